--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -141,7 +141,7 @@
 		ctx, cancel := context.WithTimeout(r.Context(), reportLimit)
 		defer cancel()
 		var rep wire.Report
-		b, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
+		b, err := io.ReadAll(io.LimitReader(r.Body, maxReport))
 		if err != nil || wire.Unmarshal(b, &rep) != nil || rep.Host == "" {
 			refuse(w, wire.ErrMalformed)
 			return
@@ -199,20 +199,27 @@
 	reply(w, http.StatusOK, st)
 }
 
+const (
+	maxReport    = 1 << 20  // bytes of a report; the protocol's limit is lower
+	maxHeader    = 16 << 10 // bytes of a request's header
+	otherSockets = 64       // of the socket budget, for the state service, cloud, workers and peers
+	minConns     = 16       // connections of workers and users, whatever the budget is
+)
+
 // NewServer returns the HTTP server. It keeps open connections below the
 // socket budget by closing those that are idle when the budget runs short.
 func NewServer(h http.Handler, sockets int) *http.Server {
 	var mu sync.Mutex
 	idle := map[net.Conn]time.Time{}
 	open := 0
-	budget := max(16, sockets-64) // the rest is for the state service, cloud, workers and peers
+	budget := max(minConns, sockets-otherSockets)
 	return &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: 5 * time.Second,
 		ReadTimeout:       10 * time.Second,
 		WriteTimeout:      10 * time.Second,
 		IdleTimeout:       60 * time.Second,
-		MaxHeaderBytes:    16 << 10,
+		MaxHeaderBytes:    maxHeader,
 		ConnState: func(c net.Conn, st http.ConnState) {
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"net/http"
 	"net/url"
+	"strconv"
 	"time"
 
 	"golang.org/x/time/rate"
@@ -26,10 +27,18 @@
 
 // New returns a client that uses at most share of the rate.
 func New(addr string, rps, share float64) *Client {
-	return &Client{calls: httpc.New("http://"+addr, 4, 0), rate: rate.NewLimiter(rate.Limit(rps*share), max(1, int(rps*share)))}
+	return &Client{calls: httpc.New("http://"+addr, maxConns, 0), rate: rate.NewLimiter(rate.Limit(rps*share), max(1, int(rps*share)))}
 }
 
-const callLimit = 4 * time.Second
+const (
+	// ListPage is how many machines a request for a list asks for, the protocol's limit.
+	ListPage = 500
+	// MaxReturn is how many machines one request may give back, the protocol's limit.
+	MaxReturn = 100
+
+	callLimit = 4 * time.Second
+	maxConns  = 4 // connections to the cloud
+)
 
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	if err := c.rate.Wait(ctx); err != nil {
@@ -68,7 +77,7 @@
 	var all []wire.Machine
 	from := ""
 	for {
-		q := url.Values{"Page": {"500"}}
+		q := url.Values{"Page": {strconv.Itoa(ListPage)}}
 		if from != "" {
 			q.Set("From", from)
 		}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"slices"
 	"sync"
 	"time"
 
@@ -37,11 +38,18 @@
 	}
 }
 
+const (
+	// minListS is how many seconds lie between two lists of machines at least.
+	minListS = 2
+	// listShare: lists take one in so many of the requests that the cloud takes.
+	listShare = 4
+)
+
 func (r *leadership) lastList(now int64) bool {
-	// A list takes a request for each 500 machines: a quarter of what the cloud takes.
+	// A list takes a request for each page of machines: a quarter of what the cloud takes.
 	known, _ := r.core.Fleet()
-	pages := float64(known/500 + 1)
-	every := int64(max(2, r.n.set.Deployment.Cloud.ListLagS/2, 4*pages/max(r.n.set.Deployment.Cloud.RPS, 0.1)) * 1e6)
+	pages := float64(known/cloud.ListPage + 1)
+	every := int64(max(minListS, r.n.set.Deployment.Cloud.ListLagS/2, listShare*pages/max(r.n.set.Deployment.Cloud.RPS, 0.1)) * 1e6)
 	if now-r.lastListed < every {
 		return false
 	}
@@ -65,22 +73,8 @@
 func (r *leadership) cloudRound(returns []string, hires []wire.Hire, list bool) {
 	n := r.n
 	defer n.post(func() { r.busyCloud = false; n.dirty = true })
-	if len(returns) > 0 {
-		err := errNotMine
-		if r.mine() {
-			err = n.cloud.Return(r.ctx, returns)
-		}
-		n.post(func() {
-			if n.leadership != r {
-				return
-			}
-			if err != nil {
-				r.core.ReturnFailed(returns, n.now())
-			} else {
-				r.core.Gone(returns, n.now())
-			}
-			n.dirty = true
-		})
+	for hosts := range slices.Chunk(returns, cloud.MaxReturn) {
+		r.giveBack(hosts)
 	}
 	r.hireAll(hires)
 	if list {
@@ -97,6 +91,27 @@
 	}
 }
 
+// giveBack returns machines, of which one request may name so many, and hands the core what
+// became of it.
+func (r *leadership) giveBack(hosts []string) {
+	n := r.n
+	err := errNotMine
+	if r.mine() {
+		err = n.cloud.Return(r.ctx, hosts)
+	}
+	n.post(func() {
+		if n.leadership != r {
+			return
+		}
+		if err != nil {
+			r.core.ReturnFailed(hosts, n.now())
+		} else {
+			r.core.Gone(hosts, n.now())
+		}
+		n.dirty = true
+	})
+}
+
 // hireAll stores the names of a round's requests, in one write, and then asks for
 // the machines, side by side: none waits behind a slow answer to another.
 func (r *leadership) hireAll(hires []wire.Hire) {
--- a/internal/node/heard.go
+++ b/internal/node/heard.go
@@ -5,6 +5,8 @@
 	"sync"
 	"time"
 
+	"golang.org/x/time/rate"
+
 	"dalefront/internal/config"
 	"dalefront/internal/domain"
 	"dalefront/internal/peer"
@@ -29,8 +31,31 @@
 		}
 	}
 	n.heardAt[host] = time.Now()
+	n.paceSendOn()
 }
 
+// paceSendOn sets, once a second, how many workers may be sent on by how many reported to this
+// node within a lease. n.mu is held.
+func (n *Node) paceSendOn() {
+	if time.Since(n.sendOnAt) < time.Second {
+		return
+	}
+	n.sendOnAt = time.Now()
+	lease := time.Duration(config.Micro(n.set.Deployment.Workers.LeaseS)) * time.Microsecond
+	heard := 0
+	for _, at := range n.heardAt {
+		if time.Since(at) <= lease {
+			heard++
+		}
+	}
+	most := sendOnRate(heard)
+	n.sendOn.SetLimit(rate.Limit(most))
+	n.sendOn.SetBurst(sendOnBurst * most)
+}
+
+// sendOnRate is how many workers a second may be sent on if so many report to this node.
+func sendOnRate(heard int) int { return max(minSendOn, heard/workersPerSendOn) }
+
 // heardWorkers says which workers reported to this node, and how long ago.
 func (n *Node) heardWorkers() []peer.Heard {
 	n.mu.Lock()
--- a/internal/node/leadership.go
+++ b/internal/node/leadership.go
@@ -53,7 +53,20 @@
 	hireSeq  int
 }
 
-// resignedTokens remembers the last term this node gave up by itself.
+const (
+	// minDirects is how many direct commands may wait to be sent at least. One that finds no room
+	// goes with the answer to its worker's next report.
+	minDirects = 256
+	// minSenders and maxSenders are how many direct commands may be on their way at a time; in
+	// between it is one for so many sockets.
+	minSenders, maxSenders = 4, 32
+	socketsPerSender       = 200
+	// cloudQueue is for how many rounds of requests to the cloud there is room; one is asked for
+	// at a time.
+	cloudQueue = 64
+)
+
+// resigned says whether this node gave up the term of a token by itself.
 func (n *Node) resigned(token uint64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -67,7 +80,7 @@
 	plain := ctx
 	ctx = state.Urgent(ctx)
 	r := &leadership{n: n, token: token, lease: h, ctx: ctx, cancel: cancel, chunks: map[string]int{}, chunkAt: map[string]uint64{},
-		directs: make(chan sched.Direct, max(256, n.set.Deployment.Resources.Sockets/4)), cloudQ: make(chan func(), 64)}
+		directs: make(chan sched.Direct, max(minDirects, n.set.Deployment.Resources.Sockets/4)), cloudQ: make(chan func(), cloudQueue)}
 	n.learn(n.set.Label, token)
 	for {
 		if h.dead.Load() || ctx.Err() != nil {
@@ -111,7 +124,7 @@
 	go r.snapshots(plain)
 	go r.copies(plain)
 	// A worker that is cut off holds a sender up for two seconds.
-	for range min(max(4, n.set.Deployment.Resources.Sockets/200), 32) {
+	for range min(max(minSenders, n.set.Deployment.Resources.Sockets/socketsPerSender), maxSenders) {
 		go r.sendDirects()
 	}
 	go r.runCloud()
@@ -376,6 +389,11 @@
 	}
 }
 
+const (
+	progressPart = 10 // of a second's changes that one write of progress may take
+	tidyPart     = 6  // the same for a write that deletes what is of no more use
+)
+
 // tick does what time brings: progress, tidying, the fleet. Owner goroutine.
 func (r *leadership) tick() {
 	n := r.n
@@ -386,13 +404,13 @@
 	r.pass()
 	reachable := n.state.Reachable(3 * time.Second)
 	if !r.busyProgress && reachable {
-		if cs := r.core.Progress(min(n.set.Deployment.State.TxnOps, max(1, int(n.set.Deployment.State.WriteRPS/10)))); len(cs) > 0 {
+		if cs := r.core.Progress(min(n.set.Deployment.State.TxnOps, max(1, int(n.set.Deployment.State.WriteRPS/progressPart)))); len(cs) > 0 {
 			r.busyProgress = true
 			go r.storeProgress(cs, r.progressTxn(cs))
 		}
 	}
 	if !r.busyTidy && reachable && len(r.tidy) > 0 {
-		k := min(len(r.tidy), n.set.Deployment.State.TxnOps, max(1, int(n.set.Deployment.State.WriteRPS/6)))
+		k := min(len(r.tidy), n.set.Deployment.State.TxnOps, max(1, int(n.set.Deployment.State.WriteRPS/tidyPart)))
 		keys := r.tidy[:k:k]
 		r.tidy = r.tidy[k:]
 		r.busyTidy = true
--- a/internal/node/load.go
+++ b/internal/node/load.go
@@ -184,6 +184,9 @@
 	return core, r.loadSchedules(s.schedule)
 }
 
+// endReaders is how many ends are read at a time at a takeover.
+const endReaders = 8
+
 // endsOf reads the ends of those of the jobs that have ended. Which have is asked
 // for many at a time, by a transaction that only compares; their ends are read side
 // by side: after a flood of small jobs hundreds may wait to be tidied up, and a
@@ -205,7 +208,7 @@
 	ends = make([]wire.Entry, len(keys))
 	errs := make([]error, len(keys))
 	var all sync.WaitGroup
-	turn := make(chan struct{}, 8)
+	turn := make(chan struct{}, endReaders)
 	for i, k := range keys {
 		turn <- struct{}{}
 		all.Go(func() {
--- a/internal/node/lookup.go
+++ b/internal/node/lookup.go
@@ -38,8 +38,9 @@
 }
 
 const (
-	maxLookups = 4096 // more are refused at once
-	lookupers  = 4    // batches at the same time
+	maxLookups  = 4096 // more are refused at once
+	lookupers   = 4    // batches at the same time
+	lookupShare = 0.35 // of the requests that the state service takes, for all nodes' lookups
 )
 
 // look asks together with others. Hundreds of users polling, each with a read of
@@ -65,7 +66,7 @@
 // nodes use some third of what the service takes. The wait for the next batch is
 // some tenths of a second at most, and only while more is asked.
 func (n *Node) lookupPace() *rate.Limiter {
-	per := n.set.Deployment.State.RPS * 0.35 / float64(len(n.set.Members)+1)
+	per := n.set.Deployment.State.RPS * lookupShare / float64(len(n.set.Members)+1)
 	return rate.NewLimiter(rate.Limit(max(per, 1)), max(2, int(per)))
 }
 
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -124,8 +124,8 @@
 	r.n.mu.Unlock()
 }
 
-// mostServed bounds the classes, and the teams, that are shown: users choose the names of
-// classes.
+// mostServed bounds the classes that are shown, since users choose their names. Teams are those
+// of the settings, and all are shown.
 const mostServed = 50
 
 // shares shows how much of what each class and team asked for is served.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -63,30 +63,57 @@
 	draining atomic.Bool
 	drained  chan struct{} // closed when this node is to end
 
-	mu      sync.Mutex
-	leader  string // who holds the term, as far as known
-	token   uint64 // highest token known
-	shown   gauges
-	grant   uint64 // the token under which a leader let this node renew leases
-	gaveUp  uint64 // the last term that this node gave up by itself
-	leading uint64 // this node's token while it acts, otherwise 0
-	catalog *wire.Catalog
-	finals  map[string]wire.JobStatus
-	finalQ  []string
-	known   map[string]struct{}  // jobs known to be accepted
-	peerAt  map[string]time.Time // when a peer last answered
-	heardAt map[string]time.Time // when a worker last reported to this node
-	sendOn  *rate.Limiter        // workers that are sent on to another node
-	born    uint64               // names this process
-	started map[string]*starts   // of the peers' processes
-	stand   standby.View         // who stands by
-	unfitAt map[string]time.Time // when a peer said that it could not follow
-	acting  acting               // which process said hello as leader
-	answers int                  // hellos that were answered
-	ends    int                  // how often this node was started anew lately, as a peer said
-	endsAt  time.Time            // when
+	mu       sync.Mutex
+	leader   string // who holds the term, as far as known
+	token    uint64 // highest token known
+	shown    gauges
+	grant    uint64 // the token under which a leader let this node renew leases
+	gaveUp   uint64 // the last term that this node gave up by itself
+	leading  uint64 // this node's token while it acts, otherwise 0
+	catalog  *wire.Catalog
+	finals   map[string]wire.JobStatus
+	finalQ   []string
+	known    map[string]struct{}  // jobs known to be accepted
+	peerAt   map[string]time.Time // when a peer last answered
+	heardAt  map[string]time.Time // when a worker last reported to this node
+	sendOn   *rate.Limiter        // workers that are sent on to another node
+	sendOnAt time.Time            // when its rate was last set
+	born     uint64               // names this process
+	started  map[string]*starts   // of the peers' processes
+	stand    standby.View         // who stands by
+	unfitAt  map[string]time.Time // when a peer said that it could not follow
+	acting   acting               // which process said hello as leader
+	answers  int                  // hellos that were answered
+	ends     int                  // how often this node was started anew lately, as a peer said
+	endsAt   time.Time            // when
 }
 
+const (
+	// minEvents is for how many events the queue of the owner goroutine has room at least. A report
+	// that finds it full is not answered.
+	minEvents = 1024
+	// minSubmits is how many submissions may be stored at a time at least.
+	minSubmits = 8
+	// minCancels is how many users may wait for their jobs' tasks to be gone at least.
+	minCancels = 16
+	// maxLookBacks is how many questions to the archive may be open at a time.
+	maxLookBacks = 8
+	// minWaiters is how many reports may wait for launches at a time at least.
+	minWaiters = 256
+	// cloudShare is the part of the cloud's requests that this node may use.
+	cloudShare = 0.7
+	// socketsPerIdle: one in so many sockets may be kept for an unused connection to a worker.
+	socketsPerIdle = 16
+
+	// minSendOn is how many workers a second are sent on to another node at least. It serves
+	// minSendOn*workersPerSendOn workers.
+	minSendOn = 40
+	// workersPerSendOn: where more workers report to this node, one in so many is sent on in a second.
+	workersPerSendOn = 12
+	// sendOnBurst is for how many seconds workers may be sent on at once.
+	sendOnBurst = 2
+)
+
 // New returns a node; Run starts it.
 func New(set *config.Settings, log *slog.Logger) (*Node, error) {
 	d := &set.Deployment
@@ -94,18 +121,18 @@
 	n := &Node{
 		set: set, log: log,
 		state:  state.New(set.Endpoints.State, d.State.RPS, d.State.WriteRPS, len(set.Members)+1),
-		cloud:  cloud.New(set.Endpoints.Cloud, d.Cloud.RPS, 0.7),
-		worker: worker.New(d.Resources.Sockets / 16),
+		cloud:  cloud.New(set.Endpoints.Cloud, d.Cloud.RPS, cloudShare),
+		worker: worker.New(d.Resources.Sockets / socketsPerIdle),
 		peers:  map[string]*peer.Client{},
 		start:  now, wall: now.UnixMicro(),
-		events: make(chan func(), max(1024, d.Resources.Sockets)),
+		events: make(chan func(), max(minEvents, d.Resources.Sockets)),
 		// What the state service takes in two seconds; more are sent away at
 		// once, since they could not be told in time.
-		submits: make(chan struct{}, max(8, int(2*d.State.WriteRPS))),
-		cancels: make(chan struct{}, max(16, d.Resources.Sockets/4)),
-		lookups: make(chan lookup, maxLookups), lookBacks: make(chan struct{}, 8),
+		submits: make(chan struct{}, max(minSubmits, int(2*d.State.WriteRPS))),
+		cancels: make(chan struct{}, max(minCancels, d.Resources.Sockets/4)),
+		lookups: make(chan lookup, maxLookups), lookBacks: make(chan struct{}, maxLookBacks),
 		finals: map[string]wire.JobStatus{}, known: map[string]struct{}{}, peerAt: map[string]time.Time{}, heardAt: map[string]time.Time{},
-		sendOn: rate.NewLimiter(40, 80), drained: make(chan struct{}),
+		sendOn: rate.NewLimiter(minSendOn, sendOnBurst*minSendOn), drained: make(chan struct{}),
 		born: newBorn(), started: map[string]*starts{}, unfitAt: map[string]time.Time{},
 	}
 	n.archive = archive.NewReader(n.state)
@@ -435,7 +462,7 @@
 
 // mostWaiters is how many reports may wait for launches at a time: each holds a socket
 // here or at a peer.
-func (n *Node) mostWaiters() int { return max(256, n.set.Deployment.Resources.Sockets/2) }
+func (n *Node) mostWaiters() int { return max(minWaiters, n.set.Deployment.Resources.Sockets/2) }
 
 // waiter is a report whose answer waits a moment for launches.
 type waiter struct {
@@ -480,7 +507,8 @@
 // another names a peer that is alive, for a worker whose report the leader did
 // not take. Left to itself the worker tries the nodes in turn and waits 4 s for
 // each that is silent; behind two such nodes its lease runs out. It bounds how many
-// are sent on, since they come back at once while nobody can act.
+// are sent on, since they come back at once while nobody can act: a part of those that
+// report to this node, or a few at a small site.
 func (n *Node) another(but string) string {
 	if !n.sendOn.Allow() {
 		return ""
--- a/internal/node/standby.go
+++ b/internal/node/standby.go
@@ -43,6 +43,7 @@
 // of a node's memory that a copy may take.
 const (
 	followShare  = 0.04
+	copyPage     = 500 // keys that one read of a copy asks for
 	followMemory = 0.15
 )
 
@@ -245,7 +246,7 @@
 	var first uint64
 	for _, prefix := range followed {
 		for after := ""; ; {
-			page, err := store.Page(ctx, prefix, after, 500)
+			page, err := store.Page(ctx, prefix, after, copyPage)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -57,6 +57,20 @@
 	Ago  int64  `msgpack:"a"`
 }
 
+const (
+	// maxRequest is how many bytes a request may have. The largest is an apply of as many
+	// documents as there may be.
+	maxRequest = 1 << 20
+	// maxAnswer is how many bytes an answer may have. The largest is the configuration's history:
+	// 200 generations, each of which may have changed many documents. It is sent to
+	// operators' commands; a controller's answers to another stay below a megabyte.
+	maxAnswer = 32 << 20
+	// minStreams is how many calls a peer may have open at a time at least.
+	minStreams = 256
+	// bufferBytes is the size of each connection's two buffers.
+	bufferBytes = 8 << 10
+)
+
 // MostHeard bounds the workers that one answer names: with names of 40 bytes it
 // stays below the limit of a message.
 const MostHeard = 16_384
@@ -122,8 +136,8 @@
 // NewServer returns a gRPC server that serves s. Each report that a peer relays is a call
 // of its own, and may wait a moment: a peer may have as many at a time as it has sockets.
 func NewServer(s Server, sockets int) *grpc.Server {
-	g := grpc.NewServer(grpc.MaxConcurrentStreams(uint32(max(256, sockets))), grpc.MaxRecvMsgSize(1<<20),
-		grpc.ReadBufferSize(8<<10), grpc.WriteBufferSize(8<<10))
+	g := grpc.NewServer(grpc.MaxConcurrentStreams(uint32(max(minStreams, sockets))), grpc.MaxRecvMsgSize(maxRequest),
+		grpc.ReadBufferSize(bufferBytes), grpc.WriteBufferSize(bufferBytes))
 	g.RegisterService(&desc, s)
 	return g
 }
@@ -135,8 +149,8 @@
 func Dial(addr string) (*Client, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(grpc.CallContentSubtype("msgpack")),
-		grpc.WithReadBufferSize(8<<10), grpc.WithWriteBufferSize(8<<10),
+		grpc.WithDefaultCallOptions(grpc.CallContentSubtype("msgpack"), grpc.MaxCallRecvMsgSize(maxAnswer)),
+		grpc.WithReadBufferSize(bufferBytes), grpc.WithWriteBufferSize(bufferBytes),
 		grpc.WithIdleTimeout(0), grpc.WithDisableServiceConfig(),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff:           backoff.Config{BaseDelay: 200 * time.Millisecond, Multiplier: 1.5, Jitter: 0.2, MaxDelay: time.Second},
--- a/internal/sched/batch.go
+++ b/internal/sched/batch.go
@@ -21,6 +21,7 @@
 	maxTxnBytes       = 49 << 10
 	maxConditionBytes = 9 << 10
 	maxDrops          = 48 // deletions of one batch, some 50 bytes each
+	maxDropsAlong     = 4  // deletions of a batch that has launches, since both count as changes
 
 	fixedConditions = 2 // of every batch, whatever it holds
 )
@@ -164,7 +165,7 @@
 	c.strays = left
 	most := maxDrops
 	if len(b.placements) > 0 {
-		most = 4 // deletions count as changes: few go along with launches
+		most = maxDropsAlong
 	}
 	for len(c.spent) > 0 && len(b.drop) < most && b.mayDrop() {
 		e := c.spent[0]
@@ -176,7 +177,7 @@
 	for n := range c.fragile {
 		names = append(names, n)
 	}
-	if len(names) == 0 && len(c.entries) > max(maxEntries, len(c.order)/4) {
+	if len(names) == 0 && len(c.entries) > c.maxLedger() {
 		for n := range c.entries { // many small ones: a takeover reads them all
 			names = append(names, n)
 		}
@@ -241,9 +242,16 @@
 	return n
 }
 
-// maxEntries is how many entries the ledger holds before small ones are merged, at a site
-// of up to four times as many machines; at a larger one a quarter of its machines.
-const maxEntries = 400
+const (
+	// maxEntries is how many entries the ledger holds before small ones are merged, at a site
+	// of up to maxEntries*machinesPerEntry machines.
+	maxEntries = 400
+	// machinesPerEntry is how many machines there are for each entry at a larger site.
+	machinesPerEntry = 4
+)
+
+// maxLedger is how many entries the ledger holds before small ones are merged.
+func (c *Core) maxLedger() int { return max(maxEntries, len(c.order)/machinesPerEntry) }
 
 // close makes the batch a commit, or returns nil if there is nothing to store.
 func (c *Core) close(b *batch) *Commit {
--- a/internal/sched/evict.go
+++ b/internal/sched/evict.go
@@ -134,9 +134,16 @@
 	return false
 }
 
-// mostLooks bounds how many machines are looked at for victims, or for gangs, in a
-// pass.
-const mostLooks = 200_000
+const (
+	// mostLooks bounds how many machines are looked at for victims, or for gangs, in a
+	// pass.
+	mostLooks = 200_000
+	// minClearings is how many jobs may have room cleared for them in a pass at any size of site.
+	minClearings = 4
+)
+
+// maxClearings is how many jobs may each look at all machines for victims in a pass.
+func (c *Core) maxClearings() int { return max(minClearings, mostLooks/max(1, len(c.open))) }
 
 // noRoom is how long a job for which nothing could be cleared is not tried again.
 const noRoom = second
@@ -145,7 +152,7 @@
 // evict at all: victims from the one machine with the least total cost.
 func (c *Core) makeRoom(j *job) {
 	// Each look goes over all machines; those who don't get one have it in a later pass.
-	if !c.mayEvict(j) || c.cleared > max(4, mostLooks/max(1, len(c.open))) {
+	if !c.mayEvict(j) || c.cleared > c.maxClearings() {
 		return
 	}
 	c.cleared++
--- a/internal/sched/fleet.go
+++ b/internal/sched/fleet.go
@@ -135,12 +135,29 @@
 	return c.domains.IsBlind()
 }
 
+const (
+	// minReturns is how many machines a round gives back at a site of up to
+	// minReturns*machinesPerReturn machines.
+	minReturns = 100
+	// machinesPerReturn is how many machines there are for each that a round gives back at a larger
+	// site. What ran on dead machines starts anew only once their return is confirmed, so a zone
+	// that died should be given back within some ten rounds, however large it is.
+	machinesPerReturn = 16
+	// maxSlots bounds the tasks of one job that one machine is thought to have room for; a machine
+	// never runs more than maxOnMachine.
+	maxSlots = 1000
+)
+
+// maxReturns is how many machines a round gives back.
+func (c *Core) maxReturns() int { return max(minReturns, len(c.order)/machinesPerReturn) }
+
 // Returns lists machines to give back now.
 func (c *Core) Returns(now Micros, blind bool) []string {
 	c.now = now
 	var out []string
+	most := c.maxReturns()
 	back := func(m *machine, why string) {
-		if len(out) < 100 && !m.returning {
+		if len(out) < most && !m.returning {
 			m.returning = true
 			c.log("return machine", "host", m.host, "type", m.kind.Name, "why", why, "tasks", m.n)
 			out = append(out, m.host)
@@ -435,7 +452,7 @@
 			n = min(n, math.Floor((x[1]+eps)/x[0]))
 		}
 	}
-	return max(0, int(min(n, 1000)))
+	return max(0, int(min(n, maxSlots)))
 }
 
 // heaviest is a job of the class that brings most work in teams with guarantees.
--- a/internal/sched/learned.go
+++ b/internal/sched/learned.go
@@ -1,6 +1,7 @@
 package sched
 
 import (
+	"cmp"
 	"maps"
 	"slices"
 	"sort"
@@ -46,6 +47,52 @@
 // most arrives of.
 const mostLearned = 64
 
+const (
+	// learnedShare is the part of a stored value's limit that what was learned may fill with teams.
+	learnedShare = 0.75
+	// learnedClassBytes, learnedTeamBytes and learnedJobBytes are what a class, a team and a suspect
+	// job take of the longer text form, by which the limit counts, beside their names.
+	learnedClassBytes = 120
+	learnedTeamBytes  = 40
+	learnedJobBytes   = 50
+	// learnedRestBytes is for what doesn't grow with the site.
+	learnedRestBytes = 1200
+)
+
+// room is how many bytes of a stored value of at most limit bytes are left for teams.
+func (l *Learned) room(limit float64) int {
+	left := int(limit*learnedShare) - learnedRestBytes
+	for i := range l.Classes {
+		left -= learnedClassBytes + len(l.Classes[i].Name)
+	}
+	for i := range l.Suspect {
+		left -= learnedJobBytes + len(l.Suspect[i].ID)
+		for _, host := range l.Suspect[i].Hosts {
+			left -= len(host)
+		}
+	}
+	return left
+}
+
+// cutTeams keeps the teams of which most jobs have ended: mostLearned of them, and more as far as
+// they fit. Their order stays.
+func (l *Learned) cutTeams(limit float64) {
+	if len(l.Teams) <= mostLearned {
+		return
+	}
+	byEnded := slices.Clone(l.Teams)
+	slices.SortStableFunc(byEnded, func(a, b LearnedTeam) int { return cmp.Compare(b.Ended, a.Ended) })
+	left := l.room(limit)
+	kept := map[string]bool{}
+	for i, t := range byEnded {
+		if left -= learnedTeamBytes + len(t.Name); left < 0 && i >= mostLearned {
+			break
+		}
+		kept[t.Name] = true
+	}
+	l.Teams = slices.DeleteFunc(l.Teams, func(t LearnedTeam) bool { return !kept[t.Name] })
+}
+
 // Learned sums up what was observed.
 func (c *Core) Learned(now Micros) Learned {
 	l := Learned{At: now, Write: c.bwWrite, Silence: c.domains.Memory()}
@@ -57,7 +104,7 @@
 		}
 	}
 	for _, t := range c.eachTeam() {
-		if t.had.decay(now); t.had.ended > 0.1 && len(t.Name) <= 64 && len(l.Teams) < mostLearned {
+		if t.had.decay(now); t.had.ended > 0.1 && len(t.Name) <= 64 {
 			l.Teams = append(l.Teams, LearnedTeam{t.Name, t.had.ended})
 		}
 	}
@@ -75,6 +122,7 @@
 			l.Suspect = append(l.Suspect, LearnedJob{j.id, hosts[:2], j.rounds})
 		}
 	}
+	l.cutTeams(c.set.Deployment.State.ValueKB * 1024)
 	return l
 }
 
--- a/internal/sched/ledger.go
+++ b/internal/sched/ledger.go
@@ -266,15 +266,23 @@
 	}
 }
 
+// attemptBits are the low bits of an attempt, which number the attempts under one token. They
+// can't run out: each batch of a term, of some hundred attempts, moves the state service's revision,
+// which the next token is, on by one.
+const attemptBits = 20
+
 // Attempts of a pass: later ones are always larger, over terms too.
 func (c *Core) attempt() uint64 {
 	c.seq++
-	return c.token<<20 + c.seq
+	return c.token<<attemptBits + c.seq
 }
 
+// taskReportBytes is what is allowed for a task in a report, and in its answer.
+const taskReportBytes = 160
+
 // maxOnMachine bounds the tasks on a machine, so that a report and its answer
 // stay well within the limits for bodies.
-const maxOnMachine = wire.MaxBody / 160
+const maxOnMachine = wire.MaxBody / taskReportBytes
 
 // expiry is when a lease must have run out: the workers' clocks may be 0.05%
 // slow, and ours fast.
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -24,8 +24,11 @@
 // planEvery is how often it is decided anew which machines are kept for gangs.
 const planEvery = second
 
+// minGangLooks is how many gangs may each look at all machines in a pass at any size of site.
+const minGangLooks = 8
+
 // looks is how many gangs may each look at all machines in a pass.
-func (c *Core) looks() int { return max(8, mostLooks/max(1, len(c.open))) }
+func (c *Core) looks() int { return max(minGangLooks, mostLooks/max(1, len(c.open))) }
 
 // shape is what decides where a gang's task may go.
 type shape struct {
--- a/internal/sched/rent.go
+++ b/internal/sched/rent.go
@@ -55,6 +55,7 @@
 		}
 	}
 	var need []demand
+	maxDemand := c.maxDemand()
 	for _, j := range c.queue() {
 		n := min(j.pending(), c.tries(j))
 		if !c.mayRent(j) {
@@ -70,7 +71,7 @@
 				n = lim - 1
 			}
 		}
-		need = append(need, demand{j, min(n, 2000)})
+		need = append(need, demand{j, min(n, maxDemand)})
 	}
 	waiting := len(need) // what follows is room kept ready: what is away will do for it
 	need = append(need, c.spares(now)...)
@@ -242,8 +243,16 @@
 	perKind   = 6
 	perHire   = 50   // the protocol's limit
 	mostAsked = 2000 // machines thought of in a round, of which the cloud's rate lets fewer through
+
+	// minDemand is for how many waiting tasks of one job machines are rented at a time at a site of
+	// up to so many machines. At a larger one it is a task for each machine, so that a large array
+	// doesn't take more rounds of renting and booting there.
+	minDemand = 2000
 )
 
+// maxDemand is for how many waiting tasks of one job machines are rented at a time.
+func (c *Core) maxDemand() int { return max(minDemand, len(c.order)) }
+
 // zonesFor lists the zones in which the job may have machines at all.
 func (c *Core) zonesFor(j *job) []string {
 	var zs []string
--- a/internal/sched/report.go
+++ b/internal/sched/report.go
@@ -398,12 +398,15 @@
 	c.free(p)
 }
 
+// maxAnswerOrders is how many orders an answer has at most before launches are added to it: it
+// keeps the answer within the protocol's limit for bodies.
+const maxAnswerOrders = 400
+
 // launches adds the stored launches that the machine does not hold yet. They
 // are repeated until a report shows them, which the protocol allows.
 func (c *Core) launches(m *machine, a *wire.ReportAnswer) {
-	const most = 400 // keeps the answer within the body limit
 	m.each(func(p *placement) {
-		if p.stored && !p.seen && !p.stop && !p.loaded && len(a.Orders) < most {
+		if p.stored && !p.seen && !p.stop && !p.loaded && len(a.Orders) < maxAnswerOrders {
 			p.sent = true
 			a.Orders = append(a.Orders, wire.Order{Op: wire.Launch, Task: wire.TaskName(p.job.id, p.task), Attempt: p.attempt})
 		}
--- a/internal/sched/served.go
+++ b/internal/sched/served.go
@@ -269,8 +269,8 @@
 	For                                              Micros // how long it has been behind
 }
 
-// Served tells it of the classes and teams with most jobs, at most so many of each.
-func (c *Core) Served(most int) (out []Served) {
+// Served tells it of all teams, and of so many classes at most: those with most jobs first.
+func (c *Core) Served(mostClasses int) (out []Served) {
 	waiting := map[*served]int{}
 	oldest := map[*served]*job{}
 	for _, j := range c.jobs {
@@ -296,9 +296,9 @@
 		}
 		return append(part, x)
 	}
-	top := func(part []Served) []Served {
+	sorted := func(part []Served) []Served {
 		slices.SortStableFunc(part, func(a, b Served) int { return cmp.Compare(b.Submitted, a.Submitted) })
-		return part[:min(most, len(part))]
+		return part
 	}
 	var classes, teams []Served
 	for _, cl := range c.eachClass() {
@@ -310,5 +310,6 @@
 	for _, t := range c.eachTeam() {
 		teams = add(teams, t.Name, true, &t.had)
 	}
-	return append(top(classes), top(teams)...)
+	classes = sorted(classes)
+	return append(classes[:min(mostClasses, len(classes))], sorted(teams)...)
 }
--- a/internal/sched/tend.go
+++ b/internal/sched/tend.go
@@ -5,12 +5,24 @@
 	"dalefront/wire"
 )
 
+const (
+	// minPushes is how many machines a pass tells of the term's token, so that they report at
+	// once, at a site of up to minPushes*machinesPerPush machines.
+	minPushes = 16
+	// machinesPerPush is how many machines there are for each that a pass tells of the token at a
+	// larger site: there, too, all are told within some hundred passes.
+	machinesPerPush = 100
+)
+
+// maxPushes is how many machines a pass tells of the term's token.
+func (c *Core) maxPushes() int { return max(minPushes, len(c.order)/machinesPerPush) }
+
 // tend looks after machines and tasks as time passes.
 func (c *Core) tend() {
 	expiry, silence := c.expiry(), c.domains.Silence()
-	pushes, most := 0, 16
+	pushes, most := 0, c.maxPushes()
 	if c.now-c.since < 2*second {
-		most = 8 // most report by themselves meanwhile
+		most /= 2 // most report by themselves meanwhile
 	}
 	for _, m := range c.order {
 		if m.up && !m.confirmed && (!m.lost || m.n > 0 && !c.domains.IsCut(m.zone)) && !m.returning && m.addr != "" && m.session > 0 && pushes < most && c.now-m.pushed > 2*second {
--- a/internal/state/pace.go
+++ b/internal/state/pace.go
@@ -20,11 +20,16 @@
 	at time.Time // of the last change
 }
 
+const (
+	mostShare  = 0.7 // of a limit that one node uses at most
+	leastShare = 0.5 // of a limit, for all nodes together, below which refusals slow nobody down
+)
+
 // newPace shares a limit of perSecond among the nodes; burst is what may go at
 // once.
 func newPace(perSecond float64, nodes, burst int) *pace {
-	most := rate.Limit(perSecond * 0.7)
-	return &pace{lim: rate.NewLimiter(most, max(1, burst)), most: most, least: rate.Limit(perSecond * 0.5 / float64(max(1, nodes)))}
+	most := rate.Limit(perSecond * mostShare)
+	return &pace{lim: rate.NewLimiter(most, max(1, burst)), most: most, least: rate.Limit(perSecond * leastShare / float64(max(1, nodes)))}
 }
 
 // changeEvery bounds how often the pace changes, since one crowded moment refuses
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -43,8 +43,8 @@
 // so many nodes have in common.
 func New(addr string, rps, writeRPS float64, nodes int) *Client {
 	return &Client{
-		calls:   httpc.New("http://"+addr, 12, 0),
-		watches: httpc.New("http://"+addr, 4, 0),
+		calls:   httpc.New("http://"+addr, maxCalls, 0),
+		watches: httpc.New("http://"+addr, maxWatches, 0),
 		reads:   newPace(rps, nodes, int(rps/4)),
 		writes:  newPace(writeRPS, nodes, int(writeRPS*0.8)),
 	}
@@ -80,7 +80,13 @@
 	return err
 }
 
-const callLimit = 1500 * time.Millisecond
+const (
+	callLimit  = 1500 * time.Millisecond
+	maxCalls   = 12   // connections for requests
+	maxWatches = 4    // connections for watches
+	listPage   = 1000 // keys that a page of a list asks for, the protocol's limit
+	maxTries   = 5    // of a request that the service has no time for
+)
 
 // Urgent marks the requests of a context as urgent: they don't wait for this
 // node's share of the limit. What keeps a term or decides for the whole cluster
@@ -105,7 +111,7 @@
 		err := c.calls.Call(ctx, limit, method, path, in, out)
 		crowded := httpc.Code(err) == http.StatusTooManyRequests
 		p.heard(crowded, time.Now())
-		if !crowded || i == 4 {
+		if !crowded || i == maxTries-1 {
 			return c.note(err)
 		}
 		select {
@@ -133,7 +139,7 @@
 	var first uint64
 	from := ""
 	for {
-		page, err := c.Page(ctx, prefix, from, 1000)
+		page, err := c.Page(ctx, prefix, from, listPage)
 		if err != nil {
 			return nil, 0, err
 		}
