--- /dev/null
+++ b/wire/golden_test.go
@@ -0,0 +1,129 @@
+package wire_test
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"dalefront/internal/golden"
+	"dalefront/wire"
+)
+
+// Every message is encoded and decoded as testdata/messages.golden has it. The file holds
+// the names on the wire and must not be rewritten.
+func TestMessagesStayAsTheyAre(t *testing.T) {
+	golden.Messages(t, "messages.golden", []golden.Message{
+		{Name: "job", Zero: wire.Job{}},
+		{Name: "job status", Zero: wire.JobStatus{}},
+		{Name: "task in a report", Zero: wire.TaskReport{}},
+		{Name: "report", Zero: wire.Report{}},
+		{Name: "order", Zero: wire.Order{}},
+		{Name: "answer to a report", Zero: wire.ReportAnswer{}},
+		{Name: "redirect", Zero: wire.Redirect{}},
+		{Name: "orders to a worker", Zero: wire.DirectOrders{}},
+		{Name: "machine type", Zero: wire.MachineType{}},
+		{Name: "catalog", Zero: wire.Catalog{}},
+		{Name: "rental", Zero: wire.Hire{}},
+		{Name: "machine names", Zero: wire.Hosts{}},
+		{Name: "machine", Zero: wire.Machine{}},
+		{Name: "machines", Zero: wire.Machines{}},
+		{Name: "error", Zero: wire.Error{}},
+		{Name: "key", Zero: wire.Entry{}},
+		{Name: "keys", Zero: wire.Entries{}},
+		{Name: "condition", Zero: wire.Cond{}},
+		{Name: "change", Zero: wire.Change{}},
+		{Name: "transaction", Zero: wire.Txn{}},
+		{Name: "answer to a transaction", Zero: wire.TxnAnswer{}},
+		{Name: "lease", Zero: wire.Lease{}},
+		{Name: "event", Zero: wire.Event{}},
+		{Name: "events", Zero: wire.Events{}},
+		{Name: "run of a schedule", Zero: wire.ScheduleRun{}},
+		{Name: "schedule", Zero: wire.Schedule{}},
+		{Name: "schedules", Zero: wire.Schedules{}},
+		{Name: "job in a list", Zero: wire.JobSummary{}},
+		{Name: "job list", Zero: wire.JobList{}},
+	})
+}
+
+// Paths, words and limits of the protocol.
+func TestWordsStayAsTheyAre(t *testing.T) {
+	var out strings.Builder
+	for _, x := range []struct {
+		name  string
+		value any
+	}{
+		{"path of jobs", wire.PathJobs},
+		{"path of health", wire.PathHealth},
+		{"path of reports", wire.PathReport},
+		{"path of orders", wire.PathOrders},
+		{"path of inspection", wire.PathInspect},
+		{"path of the catalog", wire.PathCatalog},
+		{"path of rentals", wire.PathRentals},
+		{"path of returns", wire.PathReturn},
+		{"path of schedules", wire.PathSchedules},
+		{"path of the job list", wire.PathJobList},
+		{"verb to cancel", wire.CancelVerb},
+		{"verb to pause", wire.PauseVerb},
+		{"verb to resume", wire.ResumeVerb},
+		{"bytes of a body", wire.MaxBody},
+		{"bytes of a transaction", wire.MaxTxn},
+		{"conditions for each change", wire.ConditionsPerChange},
+		{"shape array", wire.Array},
+		{"shape gang", wire.Gang},
+		{"shape service", wire.Service},
+		{"priority production", wire.Production},
+		{"priority high", wire.High},
+		{"priority normal", wire.Normal},
+		{"priority low", wire.Low},
+		{"job queued", wire.JobQueued},
+		{"job running", wire.JobRunning},
+		{"job done", wire.JobDone},
+		{"job cancelled", wire.JobCancelled},
+		{"task fetching", wire.TaskFetching},
+		{"task waiting", wire.TaskWaiting},
+		{"task running", wire.TaskRunning},
+		{"task saving", wire.TaskSaving},
+		{"task exited", wire.TaskExited},
+		{"cause done", wire.CauseDone},
+		{"cause stopped", wire.CauseStopped},
+		{"cause peers", wire.CausePeers},
+		{"cause alone", wire.CauseAlone},
+		{"cause error", wire.CauseError},
+		{"cause no room", wire.CauseNoRoom},
+		{"cause busy", wire.CauseBusy},
+		{"cause unknown", wire.CauseUnknown},
+		{"order launch", wire.Launch},
+		{"order stop", wire.Stop},
+		{"order clear", wire.Clear},
+		{"machine booting", wire.HostBooting},
+		{"machine running", wire.HostRunning},
+		{"machine failed", wire.HostFailed},
+		{"run submitted", wire.RunSubmitted},
+		{"run missed", wire.RunMissed},
+		{"run noted", wire.RunNoted},
+		{"name of a task", wire.TaskName("j-1", 2)},
+	} {
+		fmt.Fprintf(&out, "%s: %v\n", x.name, x.value)
+	}
+	golden.Text(t, "words.golden", out.String())
+}
+
+// A submission is read with all its members, whether its numbers are whole or not.
+func TestSubmissionIsRead(t *testing.T) {
+	body, err := wire.Marshal(map[string]any{
+		"Id": "j-1", "Jobclass": "c", "Owner": "o", "Shape": "ensemble", "Urgency": "urgent", "Pieces": 3, "Cores": 4, "Gpus": 1.5,
+		"RamGb": 5, "Bundle": "b", "SizeGb": 6.5, "Builds": []string{"x"}, "District": "d", "SamePlace": true, "Spread": false,
+		"Loaners": true, "ExpectedS": 7, "SnapshotEveryS": 8, "SnapshotS": 9, "DueS": 10})
+	if err != nil {
+		t.Fatal(err)
+	}
+	job, err := wire.ParseJob(body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	again, err := wire.Marshal(job)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Text(t, "submission.golden", fmt.Sprintf("%x\n", again))
+}
