--- /dev/null
+++ b/internal/peer/golden_test.go
@@ -0,0 +1,47 @@
+package peer
+
+import (
+	"strings"
+	"testing"
+
+	"google.golang.org/grpc/encoding"
+
+	"dalefront/internal/golden"
+)
+
+// What controllers say to one another is encoded and decoded as testdata/messages.golden has
+// it, so that two versions understand each other while a site is upgraded.
+func TestMessagesStayAsTheyAre(t *testing.T) {
+	golden.Messages(t, "messages.golden", []golden.Message{
+		{Name: "hello", Zero: Hello{}},
+		{Name: "heard", Zero: Heard{}},
+		{Name: "relay", Zero: Relay{}},
+		{Name: "answer to a relay", Zero: RelayAnswer{}},
+		{Name: "counts", Zero: Counts{}},
+		{Name: "answer to counts", Zero: CountsAnswer{}},
+		{Name: "handover", Zero: HandOver{}},
+		{Name: "answer to a handover", Zero: HandOverAnswer{}},
+		{Name: "apply", Zero: ConfigApply{}},
+		{Name: "answer to an apply", Zero: ConfigApplyAnswer{}},
+		{Name: "read", Zero: ConfigRead{}},
+		{Name: "answer to a read", Zero: ConfigReadAnswer{}},
+		{Name: "status", Zero: ConfigStatus{}},
+		{Name: "answer to status", Zero: ConfigStatusAnswer{}},
+	})
+}
+
+// The methods' names, the outcomes of an apply, and the codec that both sides name.
+func TestMethodsStayAsTheyAre(t *testing.T) {
+	var out []string
+	for _, m := range desc.Methods {
+		out = append(out, "/"+desc.ServiceName+"/"+m.MethodName)
+	}
+	out = append(out, "codec "+codec{}.Name())
+	for _, outcome := range []string{ConfigApplied, ConfigUnchanged, ConfigInvalid, ConfigStale, ConfigRefused, ConfigUnknown} {
+		out = append(out, "outcome "+outcome)
+	}
+	golden.Text(t, "methods.golden", strings.Join(out, "\n")+"\n")
+	if encoding.GetCodecV2("msgpack") == nil && encoding.GetCodec("msgpack") == nil {
+		t.Error("the codec is not registered")
+	}
+}
