--- /dev/null
+++ b/internal/domain/golden_test.go
@@ -0,0 +1,12 @@
+package domain
+
+import (
+	"testing"
+
+	"dalefront/internal/golden"
+)
+
+// What is remembered of past silences is stored as testdata/stored.golden has it.
+func TestStoredStaysAsItIs(t *testing.T) {
+	golden.Messages(t, "stored.golden", []golden.Message{{Name: "silences", Zero: Memory{}}})
+}
--- /dev/null
+++ b/internal/node/golden_test.go
@@ -0,0 +1,57 @@
+package node
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"dalefront/internal/golden"
+	"dalefront/internal/sched"
+	"dalefront/wire"
+)
+
+// What controllers store is encoded and decoded as testdata/stored.golden has it.
+func TestStoredStaysAsItIs(t *testing.T) {
+	golden.Messages(t, "stored.golden", []golden.Message{
+		{Name: "job record", Zero: jobRecord{}},
+		{Name: "end record", Zero: endRecord{}},
+		{Name: "term record", Zero: termRecord{}},
+		{Name: "catalog", Zero: wire.Catalog{}},
+		{Name: "rentals of a round", Zero: []wire.Hire{}},
+		{Name: "progress chunk", Zero: sched.Chunk{}.Text},
+		{Name: "ledger entry", Zero: sched.Entry{}},
+		{Name: "learned", Zero: sched.Learned{}},
+	})
+}
+
+// Where controllers store it.
+func TestKeysStayAsTheyAre(t *testing.T) {
+	var out strings.Builder
+	for _, x := range []struct{ name, key string }{
+		{"term", termKey},
+		{"catalog", catalogKey},
+		{"learned", learnedKey},
+		{"jobs and ends", queuePrefix},
+		{"jobs", jobPrefix},
+		{"ends", endPrefix},
+		{"progress", donePrefix},
+		{"ledger", ledgerPrefix},
+		{"rentals", hirePrefix},
+		{"schedules", schedulePrefix},
+		{"a job", jobKey("j-1")},
+		{"an end", endKey("j-1")},
+		{"a chunk of progress", chunkKey("j-1", 2)},
+		{"a schedule", scheduleKey("nightly")},
+	} {
+		fmt.Fprintf(&out, "%s: %s\n", x.name, x.key)
+	}
+	commit := &sched.Commit{Entries: []sched.NamedEntry{{Name: "7.1"}}, Jobs: []string{"j-1"}, Drop: []string{"6.5"}}
+	txn := CommitTxn(commit, wire.Cond{Key: termKey, Version: 7})
+	for _, c := range txn.If {
+		fmt.Fprintf(&out, "commit if: %s %d\n", c.Key, c.Version)
+	}
+	for _, c := range txn.Then {
+		fmt.Fprintf(&out, "commit then: put %q delete %q\n", c.Put, c.Delete)
+	}
+	golden.Text(t, "keys.golden", out.String())
+}
--- /dev/null
+++ b/internal/sched/golden_test.go
@@ -0,0 +1,15 @@
+package sched
+
+import (
+	"testing"
+
+	"dalefront/internal/golden"
+)
+
+// What the core has stored is encoded and decoded as testdata/stored.golden has it.
+func TestStoredStaysAsItIs(t *testing.T) {
+	golden.Messages(t, "stored.golden", []golden.Message{
+		{Name: "ledger entry", Zero: Entry{}},
+		{Name: "learned", Zero: Learned{}},
+	})
+}
