--- /dev/null
+++ b/internal/dynconfig/golden_test.go
@@ -0,0 +1,47 @@
+package dynconfig
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"dalefront/internal/golden"
+)
+
+// What is stored of the configuration is encoded and decoded as testdata/stored.golden has it.
+func TestStoredStaysAsItIs(t *testing.T) {
+	golden.Messages(t, "stored.golden", []golden.Message{
+		{Name: "document", Zero: Document{}},
+		{Name: "team", Zero: Team{}},
+		{Name: "cordon", Zero: Cordon{}},
+		{Name: "settings", Zero: Settings{}},
+		{Name: "change", Zero: Change{}},
+		{Name: "generation", Zero: Generation{}},
+		{Name: "version", Zero: Version{}},
+		{Name: "record", Zero: Record{}},
+		{Name: "change in the history", Zero: HistoryChange{}},
+		{Name: "history", Zero: History{}},
+	})
+}
+
+// Where it is stored, and the names in files.
+func TestKeysStayAsTheyAre(t *testing.T) {
+	var out strings.Builder
+	for _, x := range []struct{ name, key string }{
+		{"configuration", Prefix},
+		{"generation", GenerationKey},
+		{"documents", DocumentPrefix},
+		{"history", HistoryPrefix},
+		{"a team", documentKey(KindTeam, "a b/c")},
+		{"a cordon", documentKey(KindCordon, "x")},
+		{"settings", documentKey(KindSettings, "x")},
+		{"a part of the history", historyKey(300, 2)},
+		{"settings that can be changed", strings.Join(TunableSettings, " ")},
+	} {
+		fmt.Fprintf(&out, "%s: %s\n", x.name, x.key)
+	}
+	for _, field := range golden.Fields(file{}, "hcl") {
+		fmt.Fprintf(&out, "file: %s\n", field)
+	}
+	golden.Text(t, "keys.golden", out.String())
+}
