--- /dev/null
+++ b/internal/site/golden_test.go
@@ -0,0 +1,21 @@
+package site
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"dalefront/internal/golden"
+)
+
+// Every field of a site's file has the name that docs/site.md gives it.
+func TestFieldsStayAsTheyAre(t *testing.T) {
+	golden.Text(t, "spec.golden", strings.Join(golden.Fields(Spec{}, "hcl"), "\n")+"\n")
+}
+
+// What a site keeps in its data file is encoded and decoded as testdata/stored.golden has it.
+func TestStoredStaysAsItIs(t *testing.T) {
+	golden.Messages(t, "stored.golden", []golden.Message{{Name: "job", Zero: keptJob{}}})
+	golden.Text(t, "buckets.golden", fmt.Sprintf("format %d: %s %s %s %s; %s %s %s %s\n", keepFormat,
+		bucketSite, bucketKeys, bucketHolds, bucketJobs, fieldFormat, fieldRevision, fieldLease, fieldRented))
+}
