--- a/internal/node/archive_test.go
+++ b/internal/node/archive_test.go
@@ -43,9 +43,10 @@
 			s.before(k)
 		}
 		s.svc.ServeHTTP(w, r)
+	}, func(set *config.Settings) {
+		set.Deployment.Teams = []config.Team{{Name: "a"}}
+		set.Deployment.State.ValueKB, set.Deployment.State.TxnOps = 16, 12
 	})
-	s.n.set.Deployment.Teams = []config.Team{{Name: "a"}}
-	s.n.set.Deployment.State.ValueKB, s.n.set.Deployment.State.TxnOps = 16, 12
 	s.n.takeCatalog(wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 4, Zones: []string{"x"}}}})
 	direct := httptest.NewServer(s.svc)
 	t.Cleanup(direct.Close)
--- a/internal/node/flap_test.go
+++ b/internal/node/flap_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"dalefront/internal/config"
 	"dalefront/internal/peer"
 	"dalefront/wire"
 )
@@ -109,7 +110,10 @@
 		s := &store{rev: 40}
 		s.leave(c.node)
 		_, before := s.holder()
-		n := testNode(t, s.serve)
+		f := 1.0
+		n := testNode(t, s.serve, func(set *config.Settings) {
+			set.Operator.EvictAfterS, set.Operator.CheckpointMBS = &f, &f
+		})
 		p, err := peer.Dial("127.0.0.1:1")
 		if err != nil {
 			t.Fatal(err)
@@ -117,8 +121,6 @@
 		n.peers["b"], n.peerAt["b"] = p, time.Now()
 		n.counted(c.ends)
 		n.catalog = &wire.Catalog{}
-		f := 1.0
-		n.set.Operator.EvictAfterS, n.set.Operator.CheckpointMBS = &f, &f
 		ctx, cancel := context.WithCancel(context.Background())
 		go n.own(ctx)
 		go n.termLoop(ctx)
--- a/internal/node/snapshot_test.go
+++ b/internal/node/snapshot_test.go
@@ -11,6 +11,7 @@
 	"sync/atomic"
 	"testing"
 
+	"dalefront/internal/config"
 	"dalefront/internal/sched"
 	"dalefront/internal/site"
 	"dalefront/internal/snapshot"
@@ -25,8 +26,7 @@
 		rnd := rand.New(rand.NewPCG(seed, 16))
 		svc := site.NewServices(wire.Catalog{})
 		srv := httptest.NewServer(svc)
-		n := testNode(t, svc.ServeHTTP)
-		*n.set.Operator.TakeoverCopyS = 60
+		n := testNode(t, svc.ServeHTTP, func(set *config.Settings) { *set.Operator.TakeoverCopyS = 60 })
 		client := state.New(strings.TrimPrefix(srv.URL, "http://"), 1e6, 1e6, 1)
 		write := func(k int) {
 			var txn wire.Txn
@@ -101,11 +101,12 @@
 	n := testNode(b, func(w http.ResponseWriter, r *http.Request) {
 		requests.Add(1)
 		svc.ServeHTTP(counted{w, &bytes}, r)
+	}, func(set *config.Settings) {
+		set.Deployment.State.TxnOps = 12
+		if copies {
+			*set.Operator.TakeoverCopyS = 60
+		}
 	})
-	n.set.Deployment.State.TxnOps = 12
-	if copies {
-		*n.set.Operator.TakeoverCopyS = 60
-	}
 	for i := range live {
 		j := sceneJob(sceneID(i))
 		j.Class, j.Image, j.Tasks = "some-class", "some-image", 4
--- a/internal/node/standstill_test.go
+++ b/internal/node/standstill_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"dalefront/internal/config"
 	"dalefront/internal/sched"
 	"dalefront/wire"
 )
@@ -19,12 +20,13 @@
 		term uint64
 		acts bool
 	}{{"kept", 5, true}, {"taken", 6, false}} {
+		f := 1.0
 		n := testNode(t, func(w http.ResponseWriter, r *http.Request) {
 			b, _ := wire.Marshal(wire.Entry{Key: termKey, Version: c.term, Value: []byte{0x80}})
 			_, _ = w.Write(b)
+		}, func(set *config.Settings) {
+			set.Operator.EvictAfterS, set.Operator.CheckpointMBS = &f, &f
 		})
-		f := 1.0
-		n.set.Operator.EvictAfterS, n.set.Operator.CheckpointMBS = &f, &f
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		r := &leadership{n: n, token: 5, ctx: ctx, cancel: cancel, core: sched.New(n.set, 5, n.now(), wire.Catalog{}, func(string, ...any) {})}
@@ -74,8 +76,7 @@
 // A worker whose report nobody can take is sent on to a node that is alive: left to
 // try them in turn it may meet two silent ones, and its lease runs out.
 func TestSentPastSilentNodes(t *testing.T) {
-	n := testNode(t, func(http.ResponseWriter, *http.Request) {})
-	n.set.Label = "c"
+	n := testNode(t, func(http.ResponseWriter, *http.Request) {}, func(set *config.Settings) { set.Label = "c" })
 	now := time.Now()
 	n.peerAt = map[string]time.Time{"a": now, "b": now, "d": now.Add(-time.Minute), "e": now}
 	if to := n.another("e"); to != "a" {
--- a/internal/node/users_test.go
+++ b/internal/node/users_test.go
@@ -20,7 +20,9 @@
 	"dalefront/wire"
 )
 
-func testNode(t testing.TB, h http.HandlerFunc) *Node {
+// testNode is a node that holds no term, at a state service and a cloud that answer as h
+// does. Its settings are changed before the first goroutine reads them.
+func testNode(t testing.TB, h http.HandlerFunc, change ...func(*config.Settings)) *Node {
 	t.Helper()
 	srv := httptest.NewServer(h)
 	t.Cleanup(srv.Close)
@@ -53,15 +55,22 @@
 	}
 	set.Endpoints.State = strings.TrimPrefix(srv.URL, "http://")
 	set.Endpoints.Cloud = set.Endpoints.State
+	for _, c := range change {
+		c(set)
+	}
 	n, err := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	t.Cleanup(cancel)
+	var loops sync.WaitGroup
+	t.Cleanup(func() {
+		cancel()
+		loops.Wait()
+	})
 	pace := n.lookupPace()
-	for i := 0; i < lookupers; i++ {
-		go n.lookupLoop(ctx, pace)
+	for range lookupers {
+		loops.Go(func() { n.lookupLoop(ctx, pace) })
 	}
 	return n
 }
@@ -94,7 +103,6 @@
 		b, _ = wire.Marshal(a)
 		_, _ = w.Write(b)
 	})
-	n.set.Deployment.State.TxnOps = 12
 	const users = 100
 	var all sync.WaitGroup
 	var wrong atomic.Int64
@@ -166,9 +174,10 @@
 	n := testNode(t, func(w http.ResponseWriter, _ *http.Request) {
 		<-release
 		w.WriteHeader(http.StatusServiceUnavailable)
+	}, func(set *config.Settings) {
+		set.Deployment.Teams = []config.Team{{Name: "a"}}
+		set.Deployment.State.ValueKB = 16
 	})
-	n.set.Deployment.Teams = []config.Team{{Name: "a"}}
-	n.set.Deployment.State.ValueKB = 16
 	n.submits = make(chan struct{}, 1)
 	n.takeCatalog(wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 4, Zones: []string{"x"}}}})
 	submit := func(id string) error {
--- a/internal/node/warm_test.go
+++ b/internal/node/warm_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
-	"net/http/httptest"
 	"strings"
 	"testing"
 	"time"
@@ -31,24 +30,18 @@
 func newTended(t testing.TB, seed uint64) *tended {
 	t.Helper()
 	w := &tended{t: t, rng: rand.New(rand.NewPCG(seed, 23))}
-	n := testNode(t, nil)
 	w.svc = site.NewServices(wire.Catalog{})
-	srv := httptest.NewServer(w.svc)
-	t.Cleanup(srv.Close)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	f := 1.0
-	o := &n.set.Operator
 	zero, one := 0.0, 1
-	o.EvictAfterS, o.CheckpointMBS, o.Standbys, o.SuspectS, o.TakeoverCopyS = &f, &f, &one, &f, &zero
-	n.set.Endpoints.State = strings.TrimPrefix(srv.URL, "http://")
-	m, err := New(n.set, n.log)
-	if err != nil {
-		t.Fatal(err)
-	}
-	m.catalog = &wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 8, MemoryGB: 64, Zones: []string{"x"}}}}
-	m.beat.Store(m.now())
-	w.Node, w.ctx = m, ctx
+	n := testNode(t, w.svc.ServeHTTP, func(set *config.Settings) {
+		o := &set.Operator
+		o.EvictAfterS, o.CheckpointMBS, o.Standbys, o.SuspectS, o.TakeoverCopyS = &f, &f, &one, &f, &zero
+	})
+	n.catalog = &wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 8, MemoryGB: 64, Zones: []string{"x"}}}}
+	n.beat.Store(n.now())
+	w.Node, w.ctx = n, ctx
 	w.take()
 	return w
 }
