--- /dev/null
+++ b/internal/node/largesite_test.go
@@ -0,0 +1,108 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"dalefront/internal/cloud"
+	"dalefront/internal/sched"
+	"dalefront/wire"
+)
+
+// At a site that is large for its controllers, as many of the workers that report to one are
+// sent on as at a smaller one; at today's sizes it is as many as ever.
+func TestSendOnFollowsWorkers(t *testing.T) {
+	for _, test := range []struct{ workers, atOnce int }{{0, 80}, {350, 80}, {480, 80}, {1_333, 222}, {2_667, 444}} {
+		t.Run(fmt.Sprint(test.workers), func(t *testing.T) {
+			n := testNode(t, func(http.ResponseWriter, *http.Request) {})
+			n.set.Label = "c"
+			n.peerAt = map[string]time.Time{"a": time.Now()}
+			old := time.Now().Add(-time.Minute) // gone: they don't count
+			for i := range 10_000 {
+				n.heardAt[fmt.Sprintf("old-%d", i)] = old
+			}
+			for i := range test.workers {
+				n.heardAt[fmt.Sprintf("n-%d", i)] = time.Now()
+			}
+			n.hears("n-0")
+			// The limiter has room for a whole burst once that time has gone by.
+			at := time.Now().Add(sendOnBurst * time.Second)
+			sent := 0
+			for n.sendOn.AllowN(at, 1) {
+				sent++
+			}
+			if sent != test.atOnce {
+				t.Errorf("%d workers are sent on at once, want %d", sent, test.atOnce)
+			}
+			if !n.sendOn.AllowN(at.Add(time.Second), test.atOnce/sendOnBurst) || n.sendOn.AllowN(at.Add(time.Second), 1) {
+				t.Errorf("a second later it is not %d", test.atOnce/sendOnBurst)
+			}
+		})
+	}
+}
+
+// A request to the cloud never names more machines than it may, however many are given back
+// in a round.
+func TestReturnsInSeveralRequests(t *testing.T) {
+	var mu sync.Mutex
+	var asked [][]string
+	refuse := 2 // this request
+	n := testNode(t, func(w http.ResponseWriter, r *http.Request) {
+		body, _ := io.ReadAll(r.Body)
+		if r.URL.Path == wire.PathReturn {
+			var h wire.Hosts
+			if err := wire.Unmarshal(body, &h); err != nil {
+				t.Error(err)
+			}
+			mu.Lock()
+			asked = append(asked, h.Hosts)
+			refused := len(asked) == refuse
+			mu.Unlock()
+			if refused {
+				w.WriteHeader(http.StatusServiceUnavailable)
+				return
+			}
+		}
+		_, _ = w.Write([]byte{0x80})
+	})
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	r := &leadership{n: n, token: 5, ctx: ctx, cancel: cancel}
+	cat := wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 4, Zones: []string{"x"}}}}
+	r.core = sched.New(n.set, 5, n.now(), cat, func(string, ...any) {})
+	n.leadership = r
+	n.beat.Store(n.now())
+	var hosts []string
+	var list []wire.Machine
+	for i := range 3*cloud.MaxReturn + 20 {
+		hosts = append(hosts, fmt.Sprintf("n-%04d", i))
+		list = append(list, wire.Machine{ID: hosts[i], Addr: "a", Type: "s", Zone: "x", State: wire.HostRunning})
+	}
+	r.core.Machines(list, n.now())
+	r.cloudRound(hosts, nil, false)
+	var sizes []int
+	for _, h := range asked {
+		sizes = append(sizes, len(h))
+	}
+	if want := []int{100, 100, 100, 20}; !slices.Equal(sizes, want) {
+		t.Errorf("requests for %v machines, want %v", sizes, want)
+	}
+	if !slices.Equal(slices.Concat(asked...), hosts) {
+		t.Error("not each machine was given back once")
+	}
+	for len(n.events) > 0 {
+		(<-n.events)()
+	}
+	if known, _ := r.core.Fleet(); r.core.Stats.Returned != len(hosts)-cloud.MaxReturn || known != cloud.MaxReturn {
+		t.Errorf("%d machines are gone and %d are left; only those of the request that was refused should be", r.core.Stats.Returned, known)
+	}
+	if r.busyCloud {
+		t.Error("the round has not ended")
+	}
+}
--- /dev/null
+++ b/internal/peer/limits_test.go
@@ -0,0 +1,118 @@
+package peer
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+
+	"dalefront/internal/dynconfig"
+	"dalefront/internal/standby"
+	"dalefront/wire"
+)
+
+// answering answers with what it was given.
+type answering struct {
+	Server
+	read  *ConfigReadAnswer
+	hello *Hello
+	got   *ConfigApply
+}
+
+func (a *answering) PeerConfigRead(context.Context, *ConfigRead) (*ConfigReadAnswer, error) {
+	return a.read, nil
+}
+
+func (a *answering) PeerHello(context.Context, *Hello) (*Hello, error) { return a.hello, nil }
+
+func (a *answering) PeerConfigApply(_ context.Context, q *ConfigApply) (*ConfigApplyAnswer, error) {
+	a.got = q
+	return &ConfigApplyAnswer{Outcome: ConfigApplied}, nil
+}
+
+// connect serves s and returns a client of it.
+func connect(t *testing.T, s Server) *Client {
+	t.Helper()
+	lis, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	srv := NewServer(s, 800)
+	go func() { _ = srv.Serve(lis) }()
+	t.Cleanup(srv.Stop)
+	c, err := Dial(lis.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = c.Close() })
+	return c
+}
+
+// cordons are so many of the largest documents that make sense.
+func cordons(t *testing.T, n int) (out []dynconfig.Change) {
+	t.Helper()
+	for i := range n {
+		d, err := dynconfig.NewDocument(dynconfig.KindCordon, fmt.Sprintf("%080d", i), dynconfig.Cordon{
+			Machine: fmt.Sprintf("n-%038d", i), Drain: true, Until: 1 << 60, Reason: strings.Repeat("r", 200)})
+		if err != nil {
+			t.Fatal(err)
+		}
+		out = append(out, dynconfig.Change{Document: d})
+	}
+	return out
+}
+
+// What grows with a site goes through in one message: an apply of as many documents as there may
+// be, the configuration with all of its history, and all workers that were heard.
+func TestLargestMessages(t *testing.T) {
+	s := &answering{}
+	c := connect(t, s)
+	changes := cordons(t, dynconfig.MaxDocuments)
+	t.Run("apply", func(t *testing.T) {
+		if _, err := c.ConfigApply(t.Context(), &ConfigApply{ID: "a", Changes: changes}); err != nil {
+			t.Fatal(err)
+		}
+		if len(s.got.Changes) != len(changes) {
+			t.Errorf("%d of %d documents arrived", len(s.got.Changes), len(changes))
+		}
+	})
+	t.Run("history", func(t *testing.T) {
+		s.read = &ConfigReadAnswer{}
+		for _, change := range changes {
+			s.read.Documents = append(s.read.Documents, change.Document)
+		}
+		const each = 200 // documents that a generation changes: a row of machines, cordoned or not
+		for g := range dynconfig.KeptHistory {
+			h := dynconfig.History{Generation: uint64(g)}
+			for _, change := range changes[:each] {
+				h.Changes = append(h.Changes, dynconfig.HistoryChange{Kind: change.Kind, Name: change.Name, After: change.Body})
+			}
+			s.read.History = append(s.read.History, h)
+		}
+		b, err := wire.Marshal(s.read)
+		if err != nil || len(b) < 4<<20 {
+			t.Fatalf("%d bytes, no more than one message has without a limit of ours: %v", len(b), err)
+		}
+		a, err := c.ConfigRead(t.Context(), &ConfigRead{History: true})
+		if err != nil {
+			t.Fatalf("%d bytes: %v", len(b), err)
+		}
+		if len(a.History) != dynconfig.KeptHistory || len(a.Documents) != len(changes) {
+			t.Errorf("%d generations and %d documents arrived", len(a.History), len(a.Documents))
+		}
+	})
+	t.Run("heard", func(t *testing.T) {
+		s.hello = &Hello{View: &standby.View{}}
+		for i := range MostHeard {
+			s.hello.Heard = append(s.hello.Heard, Heard{Host: fmt.Sprintf("n-%038d", i), Ago: 1 << 30})
+		}
+		a, err := c.Hello(t.Context(), &Hello{Ask: true})
+		if err != nil || len(a.Heard) != MostHeard {
+			t.Fatalf("%d of %d workers arrived: %v", len(a.Heard), MostHeard, err)
+		}
+		if b, _ := wire.Marshal(s.hello); len(b) > maxRequest {
+			t.Errorf("%d bytes, more than an earlier version's limit of a request", len(b))
+		}
+	})
+}
