--- /dev/null
+++ b/internal/archive/golden_test.go
@@ -0,0 +1,152 @@
+package archive
+
+import (
+	"bufio"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"dalefront/internal/golden"
+	"dalefront/wire"
+)
+
+// archivedBefore are records and their keys as the earlier version has archived them.
+func archivedBefore(t *testing.T) (*memory, map[string]Record) {
+	t.Helper()
+	m := newMemory(6, 700)
+	recs := someRecords(rand.New(rand.NewPCG(15, 38)), 200)
+	store(m, recs)
+	finish(t, m, Limits{Ops: 6, Value: 700, Batch: 10})
+	return m, recs
+}
+
+// mixed is a leaf with numbers of every kind of writing, and a manifest whose filter is a
+// Bloom filter.
+func mixed(t *testing.T) (leafText, manifestText string) {
+	t.Helper()
+	var l leaf
+	for i := range 60 {
+		for _, id := range []string{fmt.Sprintf("j-%04d", i), fmt.Sprintf("j-%013d", i*i*987_654_321), fmt.Sprintf("j-1000000000000%012d", 77*i)} {
+			n, err := parseID(id)
+			if err != nil {
+				t.Fatal(err)
+			}
+			l.insert(n, answer{[]string{wire.JobDone, wire.JobCancelled}[i%2], i % 5})
+		}
+	}
+	m := manifest{next: 9, leaves: []leafRef{{8, len(l.numbers), l.numbers[0]}}, filter: newBloom(l.numbers, 400)}
+	return l.encode(), m.encode()
+}
+
+// Manifests and leaves are encoded as testdata/archive.golden has them: each line is a key
+// and its value, which is text, and was written by an earlier version. The compressed bytes
+// may differ with the library that compresses; what is in them may not.
+func TestStoredStaysAsItIs(t *testing.T) {
+	m, recs := archivedBefore(t)
+	texts := map[string]string{}
+	for _, key := range slices.Sorted(maps.Keys(m.keys)) {
+		var text string
+		if strings.HasPrefix(key, ManifestPrefix) || strings.HasPrefix(key, leafPrefix) {
+			if err := wire.Unmarshal(m.keys[key].Value, &text); err != nil {
+				t.Fatal(key, err)
+			}
+			texts[key] = text
+		}
+	}
+	texts[leafPrefix+"mixed"], texts[ManifestPrefix+"bloom"] = mixed(t)
+	body := func(key, text string) []byte {
+		t.Helper()
+		kind := byte(kindLeaf)
+		if strings.HasPrefix(key, ManifestPrefix) {
+			kind = kindManifest
+		}
+		b, err := unseal(kind, text)
+		if err != nil {
+			t.Fatal(key, err)
+		}
+		return b
+	}
+	golden.Values(t, "archive.golden", texts, func(key, got, want string) bool {
+		return slices.Equal(body(key, got), body(key, want))
+	})
+
+	// The file alone answers for every job.
+	file, err := os.Open(filepath.Join("testdata", "archive.golden"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	from := newMemory(6, 700)
+	for lines := bufio.NewScanner(file); lines.Scan(); {
+		key, text, _ := strings.Cut(lines.Text(), " ")
+		from.put(key, text)
+	}
+	readMixed(t, from)
+	for key := range m.keys {
+		if strings.HasPrefix(key, "e/") {
+			delete(recs, strings.TrimPrefix(key, "e/")) // too few of its shard to be archived
+		}
+	}
+	if len(recs) < 100 {
+		t.Fatalf("only %d records are archived", len(recs))
+	}
+	r := NewReader(from)
+	if err := r.Warm(background); err != nil {
+		t.Fatal(err)
+	}
+	for id, rec := range recs {
+		if a, err := r.Look(background, id); err != nil || !a.Found || a.Record != rec {
+			t.Errorf("%s is read as %+v, %v; want %+v", id, a, err, rec)
+		}
+	}
+	if a, err := r.Look(background, "j-77777777777777"); err != nil || a.Found {
+		t.Errorf("a job that never was is read as %+v, %v", a, err)
+	}
+}
+
+// readMixed reads the two values of mixed, and takes them out of the keys.
+func readMixed(t *testing.T, m *memory) {
+	t.Helper()
+	text := func(key string) (text string) {
+		t.Helper()
+		if err := wire.Unmarshal(m.keys[key].Value, &text); err != nil {
+			t.Fatal(err)
+		}
+		delete(m.keys, key)
+		return text
+	}
+	l, err := decodeLeaf(text(leafPrefix + "mixed"))
+	if err != nil || len(l.numbers) != 180 {
+		t.Fatal(err, len(l.numbers))
+	}
+	bloomed, err := decodeManifest(text(ManifestPrefix + "bloom"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, n := range l.numbers {
+		if want := (answer{[]string{wire.JobDone, wire.JobCancelled}[i%60%2], i % 60 % 5}); l.answers[i] != want {
+			t.Errorf("%s is read as %v, want %v", n.id(), l.answers[i], want)
+		}
+		if !bloomed.filter.mayHave(n) {
+			t.Errorf("the filter has lost %s", n.id())
+		}
+	}
+}
+
+// Where the archive is, and in which shard a job is found.
+func TestKeysStayAsTheyAre(t *testing.T) {
+	out := []string{fmt.Sprint("shards ", shards), manifestKey(10), leafKey(10, 3)}
+	for _, id := range []string{"j-1", "j-01", "j-1000001", "j-9999999999999999999", "j-12345678901234567890123456789012"} {
+		n, err := parseID(id)
+		if err != nil {
+			t.Fatal(err)
+		}
+		out = append(out, fmt.Sprintf("%s in shard %d", id, n.shard()))
+	}
+	golden.Text(t, "keys.golden", strings.Join(out, "\n")+"\n")
+}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -57,6 +57,29 @@
 	}
 }
 
+// Values compares values by name with the lines of testdata/NAME, each a name without
+// spaces and its value. The function says whether two values mean the same.
+func Values(t *testing.T, name string, values map[string]string, same func(of, got, want string) bool) {
+	t.Helper()
+	var out strings.Builder
+	for _, of := range slices.Sorted(maps.Keys(values)) {
+		fmt.Fprintf(&out, "%s %s\n", of, values[of])
+	}
+	wanted := map[string]bool{}
+	for _, l := range strings.Split(strings.TrimSpace(load(t, name, out.String())), "\n") {
+		of, want, _ := strings.Cut(l, " ")
+		wanted[of] = true
+		if got, ok := values[of]; !ok || got != want && !same(of, got, want) {
+			t.Errorf("testdata/%s: %s is\n%s, want\n%s", name, of, got, want)
+		}
+	}
+	for of := range values {
+		if !wanted[of] {
+			t.Errorf("testdata/%s has no %s", name, of)
+		}
+	}
+}
+
 func load(t *testing.T, name, got string) string {
 	t.Helper()
 	path := filepath.Join("testdata", name)
