--- /dev/null
+++ b/cmd/dalefront/golden_test.go
@@ -0,0 +1,107 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/spf13/cobra"
+
+	"dalefront/internal/golden"
+	"dalefront/internal/site"
+	"dalefront/wire"
+)
+
+// What every command says of itself with --help, as the operators' pages have it.
+func TestHelpStaysAsItIs(t *testing.T) {
+	t.Setenv("DALEFRONT_OPERATOR", "")
+	t.Setenv("USER", "")
+	var out bytes.Buffer
+	var walk func(path []string, c *cobra.Command)
+	walk = func(path []string, c *cobra.Command) {
+		root := command() // the values of flags stay with a command
+		fmt.Fprintf(&out, "$ dalefront %s\n", strings.Join(append(path, "--help"), " "))
+		root.SetOut(&out)
+		root.SetErr(&out)
+		root.SetArgs(append(slices.Clone(path), "--help"))
+		if err := root.Execute(); err != nil {
+			t.Fatal(path, err)
+		}
+		fmt.Fprintln(&out)
+		for _, sub := range c.Commands() {
+			walk(append(slices.Clone(path), sub.Name()), sub)
+		}
+	}
+	walk(nil, command())
+	golden.Text(t, "help.golden", out.String())
+}
+
+// exposed lists a controller's metrics: the type of each, and the names of its labels with
+// their values, but for those of the label "name", which users choose.
+func exposed(t *testing.T, addr string) []string {
+	t.Helper()
+	resp, err := http.Get("http://" + addr + "/metrics")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	types := map[string]string{}
+	var out []string
+	for lines := bufio.NewScanner(resp.Body); lines.Scan(); {
+		if declared, ok := strings.CutPrefix(lines.Text(), "# TYPE "); ok {
+			name, kind, _ := strings.Cut(declared, " ")
+			types[name] = kind
+			continue
+		}
+		sample, _, _ := strings.Cut(lines.Text(), " ")
+		name, labels, _ := strings.Cut(strings.TrimSuffix(sample, "}"), "{")
+		if name == "#" {
+			continue
+		}
+		parts := []string{name, types[name]}
+		for _, label := range strings.Split(labels, ",") {
+			if key, _, _ := strings.Cut(label, "="); key == "name" {
+				label = "name"
+			}
+			parts = append(parts, label)
+		}
+		out = append(out, strings.TrimSpace(strings.Join(parts, " ")))
+	}
+	slices.Sort(out)
+	return slices.Compact(out)
+}
+
+// Every metric that operators may scrape keeps its name, its type and its labels. What is
+// added, or shown under a second name, is not in the file.
+func TestMetricsStayAsTheyAre(t *testing.T) {
+	t.Parallel()
+	s, err := site.Up(site.Options{Dir: t.TempDir(), InProcess: inThisProcess, Spec: site.Spec{Controllers: 2}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() {
+		if err := s.Down(); err != nil {
+			t.Error(err)
+		}
+	}()
+	if err := s.Ready(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	jobs := "http://" + s.Users + wire.PathJobs
+	if err := patiently(func() error { return submitSmall(jobs, "j-1", 1, 0.5) }); err != nil {
+		t.Fatal(err)
+	}
+	until(t, "a job is done", func() bool {
+		var st wire.JobStatus
+		return request(http.MethodGet, jobs+"/j-1", nil, &st) == nil && st.Status == wire.JobDone
+	})
+	until(t, "a leader shows the job's class", func() bool {
+		leader := s.Leader()
+		return leader >= 0 && slices.ContainsFunc(exposed(t, s.Addr(leader)), func(l string) bool { return strings.Contains(l, `of="team"`) })
+	})
+	golden.Subset(t, "metrics.golden", exposed(t, s.Addr(s.Leader())))
+}
