--- a/internal/archive/reader.go
+++ b/internal/archive/reader.go
@@ -30,11 +30,14 @@
 // otherwise.
 func NewReader(store state.Store) *Reader { return &Reader{store: store} }
 
+// manifestPage is how many manifests are read at once, the protocol's limit.
+const manifestPage = 1000
+
 // Warm reads all manifests, page by page. It is not needed for right answers: it saves
 // the first questions in each shard a refused transaction.
 func (r *Reader) Warm(ctx context.Context) error {
 	for after := ""; ; {
-		page, err := r.store.Page(ctx, ManifestPrefix, after, 1000)
+		page, err := r.store.Page(ctx, ManifestPrefix, after, manifestPage)
 		if err != nil {
 			return err
 		}
--- a/internal/calendar/condition.go
+++ b/internal/calendar/condition.go
@@ -12,13 +12,16 @@
 // occurrence. It sees no clock, file or network, and is bounded in steps.
 type condition struct{ src string }
 
+// mostCondition bounds the characters of a condition.
+const mostCondition = 2000
+
 // mostSteps bounds an evaluation.
 const mostSteps = 10_000
 
 func newCondition(src string) (*condition, error) {
 	c := &condition{src}
-	if len(src) > 2000 {
-		return nil, fmt.Errorf("when: longer than 2000 characters")
+	if len(src) > mostCondition {
+		return nil, fmt.Errorf("when: longer than %d characters", mostCondition)
 	}
 	_, err := c.holds(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), "")
 	return c, err
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -110,6 +110,13 @@
 	return wire.TxnLimits{Changes: st.TxnOps, ValueBytes: int(st.ValueKB * 1024)}
 }
 
+const (
+	// defaultMaxMachines is how many machines a site may have unless its operator says otherwise.
+	defaultMaxMachines = 20_000
+	// largestMaxMachines is the largest number that the setting takes.
+	largestMaxMachines = 100_000
+)
+
 // Operator holds the settings that an operator may tune. docs/operations.md
 // lists them with their defaults and ranges.
 type Operator struct {
@@ -149,7 +156,7 @@
 	o.EvictAfterS = or(o.EvictAfterS, 1.5)
 	o.SpareFactor = or(o.SpareFactor, 1)
 	o.ReserveFactor = or(o.ReserveFactor, 1.25)
-	o.MaxMachines = or(o.MaxMachines, 20000)
+	o.MaxMachines = or(o.MaxMachines, defaultMaxMachines)
 	o.TermS = or(o.TermS, 2)
 	o.CheckpointMBS = or(o.CheckpointMBS, 100)
 	o.LeftoverRentS = or(o.LeftoverRentS, 600)
@@ -203,7 +210,7 @@
 		{"evict_after_s", *o.EvictAfterS, 0, 3600},
 		{"spare_factor", *o.SpareFactor, 0, 10},
 		{"reserve_factor", *o.ReserveFactor, 0, 10},
-		{"max_machines", float64(*o.MaxMachines), 1, 100000},
+		{"max_machines", float64(*o.MaxMachines), 1, largestMaxMachines},
 		{"term_s", *o.TermS, 0.5, 60},
 		{"checkpoint_mb_per_s", *o.CheckpointMBS, 0.1, 1e6},
 		{"leftover_rent_s", *o.LeftoverRentS, 0, 1e9},
--- a/internal/httpc/httpc.go
+++ b/internal/httpc/httpc.go
@@ -41,6 +41,9 @@
 	http *http.Client
 }
 
+// bufferBytes is the size of each connection's two buffers.
+const bufferBytes = 4 << 10
+
 // New returns a client for base such as "http://10.0.0.1:80" that keeps at most
 // conns connections per host, and at most idle unused ones in all; 0 is any number.
 func New(base string, conns, idle int) *Client {
@@ -52,8 +55,8 @@
 		MaxIdleConns:        idle,
 		IdleConnTimeout:     30 * time.Second,
 		DisableCompression:  true,
-		WriteBufferSize:     4 << 10,
-		ReadBufferSize:      4 << 10,
+		WriteBufferSize:     bufferBytes,
+		ReadBufferSize:      bufferBytes,
 	}}}
 }
 
--- a/internal/load/experiment.go
+++ b/internal/load/experiment.go
@@ -183,12 +183,18 @@
 	}
 }
 
+const (
+	mostMachines = 10_000 // of an experiment
+	mostTasks    = 10_000 // of one of its jobs
+	mostRepeats  = 100    // runs of a variant
+)
+
 func (e *Experiment) check(name string) error {
 	top := hcl.Range{Filename: name, Start: hcl.InitialPos}
 	if !(e.DurationS >= 1 && e.DurationS <= 1e6) || !(e.DrainS >= 0 && e.DrainS <= 1e7) {
 		return hclfile.At(top, "duration_s must be from 1 to 1000000, and drain_s from 0 to 10000000")
 	}
-	if e.Repeat > 100 || e.Machines < 1 || e.Machines > 10_000 || len(e.Classes) == 0 {
+	if e.Repeat > mostRepeats || e.Machines < 1 || e.Machines > mostMachines || len(e.Classes) == 0 {
 		return hclfile.At(top, "repeat is at most 100, machines from 1 to 10000, and there must be a class")
 	}
 	for _, c := range e.Classes {
@@ -199,7 +205,7 @@
 			return hclfile.At(c.Range, "class %s: priority must be production, urgent, normal or low", c.Name)
 		case c.Shape != wire.Array && c.Shape != wire.Gang:
 			return hclfile.At(c.Range, "class %s: shape must be %s or %s", c.Name, wire.Array, wire.Gang)
-		case len(c.Tasks) != 2 || c.Tasks[0] < 1 || c.Tasks[1] < c.Tasks[0] || c.Tasks[1] > 10_000:
+		case len(c.Tasks) != 2 || c.Tasks[0] < 1 || c.Tasks[1] < c.Tasks[0] || c.Tasks[1] > mostTasks:
 			return hclfile.At(c.Range, "class %s: tasks must be [FROM, TO], from 1 to 10000", c.Name)
 		case len(c.RunS) != 2 || !(c.RunS[0] > 0 && c.RunS[0] < 1e6) || !(c.RunS[1] >= 0 && c.RunS[1] <= 3):
 			return hclfile.At(c.Range, "class %s: run_s must be [MEAN, DEVIATION], the mean above 0, the deviation of its logarithm from 0 to 3", c.Name)
@@ -231,7 +237,7 @@
 		if _, err := e.settings(v); err != nil {
 			return hclfile.At(v.Range, "variant %s: %v", v.Name, err)
 		}
-		if names[v.Name] || v.Machines < 0 || v.Machines > 10_000 {
+		if names[v.Name] || v.Machines < 0 || v.Machines > mostMachines {
 			return hclfile.At(v.Range, "variant %s: names differ, and machines are from 1 to 10000", v.Name)
 		}
 		names[v.Name] = true
--- a/internal/load/live.go
+++ b/internal/load/live.go
@@ -36,7 +36,9 @@
 	giveUp     = time.Minute     // after which users submit no more
 	answerTime = 5 * time.Second // and for which they wait for an answer
 	pollers    = 16
-	mostOpen   = 2000 // submissions on their way: more than that stand for an outage
+	idleConns  = 256      // connections to the balancer that are kept unused
+	maxAnswer  = 16 << 20 // bytes of an answer, of which the sites' metrics are the longest
+	mostOpen   = 2000     // submissions on their way: more than that stand for an outage
 )
 
 // live is an experiment at a site that runs.
@@ -60,7 +62,7 @@
 // other run gives. It ends when all jobs have, after the time to drain, or with the
 // context.
 func (e *Experiment) Live(ctx context.Context, server string, done func(finished, all int)) (*Report, error) {
-	l := &live{e: e, server: server, client: &http.Client{Timeout: answerTime, Transport: &http.Transport{MaxIdleConnsPerHost: 256}},
+	l := &live{e: e, server: server, client: &http.Client{Timeout: answerTime, Transport: &http.Transport{MaxIdleConnsPerHost: idleConns}},
 		latency: hdrhistogram.New(1, 100_000_000, 3), open: map[string]*arrival{}, started: map[string]bool{},
 		res: &Result{Variant: "live", Seed: e.Seed, Classes: map[string]*ClassResult{}, Submit: &Submissions{}}}
 	defer l.client.CloseIdleConnections()
@@ -269,7 +271,7 @@
 		return 0, time.Second, err
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, 16<<20))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	if err == nil && out != nil && resp.StatusCode/100 == 2 {
 		err = wire.Unmarshal(b, out)
 	}
--- a/internal/node/schedules.go
+++ b/internal/node/schedules.go
@@ -16,6 +16,9 @@
 // 200 bytes each, well below the limit of an answer.
 const schedulesPage = 200
 
+// maxNextLooks is how many occurrences are looked at for the next one that isn't skipped.
+const maxNextLooks = 400
+
 // show makes what users see of a schedule.
 func (n *Node) showSchedule(name string, st *recur.State, runs bool) wire.Schedule {
 	out := wire.Schedule{Name: name, Revision: st.Revision, Paused: st.Paused, Gone: st.Gone > 0, Ran: st.Ran, Missed: st.Missed, Skipped: st.Skipped}
@@ -28,7 +31,7 @@
 		if st.Upto == 0 {
 			after = time.Now()
 		}
-		for range 400 { // beyond holidays and weekends
+		for range maxNextLooks { // beyond holidays and weekends
 			o, ok := s.Next(after)
 			if !ok {
 				break
--- a/internal/scale/generator.go
+++ b/internal/scale/generator.go
@@ -29,6 +29,8 @@
 	pollInterval = 5 * time.Second
 	pollLimit    = 2 * time.Second // for which users wait for an answer to a poll
 	mostOnTheWay = 4000            // submissions without an answer
+	idleConns    = 256             // connections to the balancer that are kept unused
+	submitters   = 8               // submissions at a time of the jobs that fill the site at first
 )
 
 // submission is a job that was or is to be submitted.
@@ -74,7 +76,7 @@
 )
 
 func newGenerator(spec *Spec, server string) *generator {
-	return &generator{spec: spec, client: httpc.New("http://"+server, 0, 256), prefix: time.Now().UnixMilli(), turns: make(chan struct{}, mostOnTheWay),
+	return &generator{spec: spec, client: httpc.New("http://"+server, 0, idleConns), prefix: time.Now().UnixMilli(), turns: make(chan struct{}, mostOnTheWay),
 		jobs: map[string]*submission{}, times: map[string]*hdrhistogram.Histogram{}}
 }
 
@@ -210,7 +212,7 @@
 func (g *generator) residents(ctx context.Context) {
 	c := &g.spec.Counts
 	var all sync.WaitGroup
-	turn := make(chan struct{}, 8)
+	turn := make(chan struct{}, submitters)
 	send := func(j wire.Job) {
 		turn <- struct{}{}
 		all.Go(func() {
--- a/internal/scale/spec.go
+++ b/internal/scale/spec.go
@@ -119,12 +119,20 @@
 	*l = SpecLimits{cmp.Or(l.MemoryShare, 0.5), cmp.Or(l.Processes, 300), cmp.Or(l.LateMs, 250)}
 }
 
+// What a run may be asked for at most.
+const (
+	maxControllers = 9
+	maxZones       = 26
+	maxWorkers     = 20_000
+	maxTeams       = 1_000
+)
+
 func (s *Spec) check(at hcl.Range) error {
 	c := &s.Counts
 	switch {
-	case c.Controllers < 1 || c.Controllers > 9 || c.Zones < 1 || c.Zones > 26:
+	case c.Controllers < 1 || c.Controllers > maxControllers || c.Zones < 1 || c.Zones > maxZones:
 		return hclfile.At(at, "counts: controllers must be from 1 to 9, zones from 1 to 26")
-	case c.Workers < 1 || c.Workers > 20_000 || c.TasksRunning < 1 || c.Teams < 1 || c.Teams > 1000:
+	case c.Workers < 1 || c.Workers > maxWorkers || c.TasksRunning < 1 || c.Teams < 1 || c.Teams > maxTeams:
 		return hclfile.At(at, "counts: workers must be from 1 to 20000, tasks_running at least 1, teams from 1 to 1000")
 	case !(c.StartsPerS >= 0) || c.StartsPerS*s.TaskS > float64(c.TasksRunning):
 		return hclfile.At(at, "counts: starts_per_s times task_s must not be above tasks_running")
--- a/internal/sched/learned.go
+++ b/internal/sched/learned.go
@@ -47,6 +47,9 @@
 // most arrives of.
 const mostLearned = 64
 
+// maxLearnedName is how long a name may be of which something is stored.
+const maxLearnedName = 64
+
 const (
 	// learnedShare is the part of a stored value's limit that what was learned may fill with teams.
 	learnedShare = 0.75
@@ -98,13 +101,13 @@
 	l := Learned{At: now, Write: c.bwWrite, Silence: c.domains.Memory()}
 	for _, cl := range c.eachClass() {
 		cl.decay(now)
-		if len(cl.name) <= 64 {
+		if len(cl.name) <= maxLearnedName {
 			cl.had.decay(now)
 			l.Classes = append(l.Classes, LearnedClass{cl.name, cl.ratio, cl.arrivals, cl.size, cl.had.ended})
 		}
 	}
 	for _, t := range c.eachTeam() {
-		if t.had.decay(now); t.had.ended > 0.1 && len(t.Name) <= 64 {
+		if t.had.decay(now); t.had.ended > 0.1 && len(t.Name) <= maxLearnedName {
 			l.Teams = append(l.Teams, LearnedTeam{t.Name, t.had.ended})
 		}
 	}
--- a/internal/site/cloud.go
+++ b/internal/site/cloud.go
@@ -9,16 +9,23 @@
 	"dalefront/wire"
 )
 
+// The protocol's limits of requests to the cloud, in machines.
+const (
+	maxListed   = 500
+	maxReturned = 100
+	maxRented   = 50
+)
+
 // serveCloud answers rental requests, returns and lists of machines.
 func (f *Fleet) serveCloud(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.Method == http.MethodGet:
 		q := r.URL.Query()
 		most, _ := strconv.Atoi(q.Get("Page"))
-		respond(w, http.StatusOK, f.page(q.Get("From"), min(max(1, most), 500)))
+		respond(w, http.StatusOK, f.page(q.Get("From"), min(max(1, most), maxListed)))
 	case r.URL.Path == wire.PathReturn:
 		var h wire.Hosts
-		if !read(r, &h) || len(h.Hosts) > 100 {
+		if !read(r, &h) || len(h.Hosts) > maxReturned {
 			respond(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 			return
 		}
@@ -26,7 +33,7 @@
 		respond(w, http.StatusOK, struct{}{})
 	default:
 		var h wire.Hire
-		if !read(r, &h) || h.Request == "" || h.Count < 1 || h.Count > 50 {
+		if !read(r, &h) || h.Request == "" || h.Count < 1 || h.Count > maxRented {
 			respond(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 			return
 		}
--- a/internal/site/services.go
+++ b/internal/site/services.go
@@ -360,7 +360,7 @@
 		most, _ := strconv.Atoi(r.URL.Query().Get("Page"))
 		size := 0
 		for i, e := range out.Items {
-			if size += len(e.Key) + len(e.Value); i >= min(max(most, 1), 1000) || size > 512<<10 {
+			if size += len(e.Key) + len(e.Value); i >= min(max(most, 1), maxPage) || size > maxPageBytes {
 				out.Items, out.More = out.Items[:i], true
 				break
 			}
@@ -472,6 +472,11 @@
 // keptChanges is how many changes a watch can look back.
 const keptChanges = 10_000
 
+const (
+	maxPage      = 1000      // keys of an answer to a list
+	maxPageBytes = 512 << 10 // bytes of one
+)
+
 func (s *Services) watch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	from, _ := strconv.ParseUint(q.Get("From"), 10, 64)
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -103,6 +103,9 @@
 
 var given sync.Map // addresses, by FreeAddr
 
+// idleConns is how many unused connections to a controller are kept.
+const idleConns = 64
+
 // Up starts a site. It is ready when Ready returns; Down ends it.
 func Up(o Options) (*Site, error) {
 	if err := o.Spec.Complete(); err != nil {
@@ -127,7 +130,7 @@
 	} else if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return nil, err
 	}
-	s := &Site{opt: o, Dir: o.Dir, log: o.Log, begun: time.Now(), transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 20 * time.Second}}
+	s := &Site{opt: o, Dir: o.Dir, log: o.Log, begun: time.Now(), transport: &http.Transport{MaxIdleConnsPerHost: idleConns, IdleConnTimeout: 20 * time.Second}}
 	s.transport.DialContext = s.dialController
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	if err := s.start(); err != nil {
--- a/internal/site/spec.go
+++ b/internal/site/spec.go
@@ -96,6 +96,11 @@
 	return s, s.Complete()
 }
 
+const (
+	maxControllers = 9      // of a played site
+	maxMachines    = 20_000 // that a played site starts with
+)
+
 // Complete fills in what a specification leaves out, and checks it.
 func (s *Spec) Complete() error {
 	s.Controllers, s.Machines, s.Seed = cmp.Or(s.Controllers, 3), cmp.Or(s.Machines, 20), cmp.Or(s.Seed, 1)
@@ -120,7 +125,7 @@
 	if s.Sockets < 100 {
 		return hclfile.At(s.Range, "sockets must be at least 100")
 	}
-	if s.Controllers < 1 || s.Controllers > 9 || s.Machines < 1 || s.Machines > 20_000 {
+	if s.Controllers < 1 || s.Controllers > maxControllers || s.Machines < 1 || s.Machines > maxMachines {
 		return hclfile.At(s.Range, "controllers must be from 1 to 9, and machines from 1 to 20000")
 	}
 	if w.ReportS < 0.1 || w.LeaseS <= w.ReportS || w.GangWaitS <= 0 || w.GangPeerS <= 0 || w.CancelS <= w.ReportS {
--- a/internal/site/worker.go
+++ b/internal/site/worker.go
@@ -15,6 +15,9 @@
 	"dalefront/wire"
 )
 
+// maxAnswer is how many bytes of an answer a played worker reads; the protocol's limit is lower.
+const maxAnswer = 1 << 20
+
 // worker is the live side of a machine: it reports to a controller and takes direct
 // commands.
 type worker struct {
@@ -142,7 +145,7 @@
 		return false
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	switch {
 	case err == nil && resp.StatusCode == http.StatusOK:
 		var a wire.ReportAnswer
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -95,7 +95,7 @@
 		size := 0
 		for _, k := range snap.Sorted() {
 			n := len(k) + 2*len(snap.Keys[k]) // sizes count in the longer text form
-			if len(batch) == ops || len(batch) > 0 && size+n > 48<<10 {
+			if len(batch) == ops || len(batch) > 0 && size+n > txnRoom {
 				if !yield(batch) {
 					return
 				}
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -106,6 +106,15 @@
 // maxAmount bounds every amount, so that whole microseconds fit into 64 bits.
 const maxAmount = 1e9
 
+// What a job may have at most.
+const (
+	maxTasks = 100_000 // the protocol's limit
+	maxTypes = 64      // types of machines that it names
+	maxID    = 64      // bytes
+	maxName  = 200     // bytes of the names of class, team, zone and types
+	maxImage = 400     // bytes of the image's name
+)
+
 func (f *fields) amount(name string) float64 {
 	x, ok := number(f.m[name])
 	if !ok || math.IsNaN(x) || x < 0 || x > maxAmount {
@@ -129,15 +138,15 @@
 	}
 	f := &fields{m: m}
 	j := &Job{
-		ID:              f.text("Id", 64),
-		Class:           f.text("Jobclass", 200),
-		Team:            f.text("Owner", 200),
+		ID:              f.text("Id", maxID),
+		Class:           f.text("Jobclass", maxName),
+		Team:            f.text("Owner", maxName),
 		Shape:           f.oneOf("Shape", Array, Gang, Service),
 		Priority:        f.oneOf("Urgency", Production, High, Normal, Low),
 		CPUs:            f.amount("Cores"),
 		GPUs:            f.amount("Gpus"),
 		MemoryGB:        f.amount("RamGb"),
-		Image:           f.text("Bundle", 400),
+		Image:           f.text("Bundle", maxImage),
 		ImageGB:         f.amount("SizeGb"),
 		OneZone:         f.flag("SamePlace"),
 		Spread:          f.flag("Spread"),
@@ -150,13 +159,13 @@
 		f.fail("Id", "has the wrong form")
 	}
 	n, ok := number(m["Pieces"])
-	if !ok || n != math.Trunc(n) || n < 1 || n > 100_000 {
+	if !ok || n != math.Trunc(n) || n < 1 || n > maxTasks {
 		f.fail("Pieces", "is missing or out of range")
 	} else {
 		j.Tasks = int(n)
 	}
 	if v := m["District"]; v != nil {
-		z := f.text("District", 200)
+		z := f.text("District", maxName)
 		j.Zone = &z
 	}
 	if v := m["DueS"]; v != nil {
@@ -165,13 +174,13 @@
 	}
 	if v := m["Builds"]; v != nil {
 		list, ok := v.([]any)
-		if !ok || len(list) > 64 {
+		if !ok || len(list) > maxTypes {
 			f.fail("Builds", "is not a list of texts")
 		}
 		j.Types = []string{}
 		for _, e := range list {
 			s, ok := e.(string)
-			if !ok || len(s) > 200 {
+			if !ok || len(s) > maxName {
 				f.fail("Builds", "is not a list of texts")
 			}
 			j.Types = append(j.Types, s)
