--- a/cmd/dalefront/config_test.go
+++ b/cmd/dalefront/config_test.go
@@ -10,14 +10,14 @@
 	"testing"
 	"time"
 
-	"dalefront/internal/site"
+	"dalefront/internal/emulator"
 )
 
 // TestConfigCommands changes, shows and rolls back the configuration of a site of real
 // controllers through the command line, while its leader is killed.
 func TestConfigCommands(t *testing.T) {
 	t.Parallel()
-	s, err := site.Up(site.Options{Dir: t.TempDir()})
+	s, err := emulator.Up(emulator.Options{Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/dalefront/golden_test.go
+++ b/cmd/dalefront/golden_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/spf13/cobra"
 
+	"dalefront/internal/emulator"
 	"dalefront/internal/golden"
-	"dalefront/internal/site"
 	"dalefront/wire"
 )
 
@@ -79,7 +79,7 @@
 // added, or shown under a second name, is not in the file.
 func TestMetricsStayAsTheyAre(t *testing.T) {
 	t.Parallel()
-	s, err := site.Up(site.Options{Dir: t.TempDir(), InProcess: inThisProcess, Spec: site.Spec{Controllers: 2}})
+	s, err := emulator.Up(emulator.Options{Dir: t.TempDir(), InProcess: inThisProcess, Spec: emulator.Spec{Controllers: 2}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/dalefront/load.go
+++ b/cmd/dalefront/load.go
@@ -14,14 +14,14 @@
 	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/cobra"
 
-	"dalefront/internal/load"
+	"dalefront/internal/experiment"
 )
 
 func loadCommand() *cobra.Command {
 	var dir, server string
 	c := &cobra.Command{Use: "load FILE", Short: "Run an experiment and compare its variants in simulated time, or load a live site", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			e, err := load.Load(args[0])
+			e, err := experiment.Load(args[0])
 			if err != nil {
 				return err
 			}
@@ -35,7 +35,7 @@
 			if server != "" {
 				ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 				defer stop()
-				play = func(done func(int, int)) (*load.Report, error) {
+				play = func(done func(int, int)) (*experiment.Report, error) {
 					return e.Live(ctx, strings.TrimSuffix(server, "/"), done)
 				}
 			}
@@ -59,7 +59,7 @@
 	return c
 }
 
-func writeLoad(dir string, e *load.Experiment, r *load.Report) error {
+func writeLoad(dir string, e *experiment.Experiment, r *experiment.Report) error {
 	return errors.Join(
 		writeFile(dir, "report.html", func(out io.Writer) error { return r.HTML(e, out) }),
 		writeFile(dir, "report.json", func(out io.Writer) error { return json.NewEncoder(out).Encode(r) }),
--- a/cmd/dalefront/main.go
+++ b/cmd/dalefront/main.go
@@ -18,7 +18,7 @@
 
 	"dalefront/internal/calendar"
 	"dalefront/internal/config"
-	"dalefront/internal/node"
+	"dalefront/internal/controller"
 )
 
 var version = "0.1.0"
@@ -116,7 +116,7 @@
 	// harder well before. Below that it may be lazy: the processor is scarcer.
 	debug.SetGCPercent(400)
 	debug.SetMemoryLimit(int64(s.Deployment.Resources.RAMMB * 0.6 * (1 << 20)))
-	n, err := node.New(s, log)
+	n, err := controller.New(s, log)
 	if err != nil {
 		return err
 	}
--- a/cmd/dalefront/scale.go
+++ b/cmd/dalefront/scale.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"dalefront/internal/scale"
+	"dalefront/internal/scaletest"
 )
 
 // scaleCommand plays a scale run, and with --sweep one for each point of the file's sweeps.
@@ -21,14 +21,14 @@
 	var sweep bool
 	c := &cobra.Command{Use: "scale FILE", Short: "Run a site at a given size on this machine and measure what each role costs", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			spec, err := scale.Load(args[0])
+			spec, err := scaletest.Load(args[0])
 			if err != nil {
 				return err
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			opt := scale.Options{Operator: *operator, Progress: func(what string) { fmt.Fprintf(cmd.ErrOrStderr(), "\r\x1b[K%s", what) }}
-			report, err := scale.Run(ctx, spec, opt)
+			opt := scaletest.Options{Operator: *operator, Progress: func(what string) { fmt.Fprintf(cmd.ErrOrStderr(), "\r\x1b[K%s", what) }}
+			report, err := scaletest.Run(ctx, spec, opt)
 			fmt.Fprintln(cmd.ErrOrStderr())
 			if report == nil {
 				return err
@@ -42,8 +42,8 @@
 			broken := report.Broken
 			if sweep {
 				var written error
-				opt.Swept = func(slopes *scale.SweepReport) { written = writeSweeps(dir, slopes) }
-				slopes, err := scale.RunSweeps(ctx, spec, opt, report)
+				opt.Swept = func(slopes *scaletest.SweepReport) { written = writeSweeps(dir, slopes) }
+				slopes, err := scaletest.RunSweeps(ctx, spec, opt, report)
 				fmt.Fprintln(cmd.ErrOrStderr())
 				if err := errors.Join(err, slopes.Text(cmd.OutOrStdout()), written); err != nil {
 					return err
@@ -57,14 +57,14 @@
 	return c
 }
 
-func writeScale(dir string, r *scale.Report) error {
+func writeScale(dir string, r *scaletest.Report) error {
 	if dir == "" {
 		return nil
 	}
 	return errors.Join(writeFile(dir, "report.json", r.JSON), writeFile(dir, "report.txt", r.Text))
 }
 
-func writeSweeps(dir string, r *scale.SweepReport) error {
+func writeSweeps(dir string, r *scaletest.SweepReport) error {
 	if dir == "" {
 		return nil
 	}
--- a/cmd/dalefront/scale_test.go
+++ b/cmd/dalefront/scale_test.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"testing"
 
-	"dalefront/internal/scale"
+	"dalefront/internal/scaletest"
 )
 
 // TestScale plays the small scale run with real controllers: no rule is broken, nothing that
@@ -16,13 +16,13 @@
 // makes a run not count.
 func TestScale(t *testing.T) {
 	t.Parallel()
-	spec, err := scale.Load("../../deploy/examples/scale-small.hcl")
+	spec, err := scaletest.Load("../../deploy/examples/scale-small.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
 	spec.RampS = 240
-	r, err := scale.Run(t.Context(), spec, scale.Options{Dir: t.TempDir()})
-	if err != nil && !errors.Is(err, scale.ErrNotCounted) {
+	r, err := scaletest.Run(t.Context(), spec, scaletest.Options{Dir: t.TempDir()})
+	if err != nil && !errors.Is(err, scaletest.ErrNotCounted) {
 		t.Fatal(err)
 	}
 	if len(r.Broken) > 0 || len(r.Malformed) > 0 {
--- a/cmd/dalefront/site.go
+++ b/cmd/dalefront/site.go
@@ -21,8 +21,8 @@
 
 	"dalefront/deploy"
 	"dalefront/internal/config"
-	"dalefront/internal/node"
-	"dalefront/internal/site"
+	"dalefront/internal/controller"
+	"dalefront/internal/emulator"
 	"dalefront/wire"
 )
 
@@ -30,7 +30,7 @@
 
 func siteCommand(operator *string) *cobra.Command {
 	root := &cobra.Command{Use: "site", Short: "A whole site on this machine: stand-ins of the platform around real controllers"}
-	var o site.Options
+	var o emulator.Options
 	var controllers, machines int
 	var seed uint64
 	var inProcess bool
@@ -44,9 +44,9 @@
 		root.AddCommand(c)
 		return c
 	}
-	up := func(out io.Writer, files []string) (*site.Site, error) {
+	up := func(out io.Writer, files []string) (*emulator.Site, error) {
 		if len(files) > 0 {
-			spec, err := site.LoadSpec(files[0])
+			spec, err := emulator.LoadSpec(files[0])
 			if err != nil {
 				return nil, err
 			}
@@ -58,7 +58,7 @@
 		if inProcess {
 			o.InProcess = inThisProcess
 		}
-		s, err := site.Up(o)
+		s, err := emulator.Up(o)
 		if err != nil {
 			return nil, err
 		}
@@ -100,11 +100,11 @@
 	}})
 	var server, name string
 	var seconds float64
-	fault := &cobra.Command{Use: "fault KIND", Short: "Do something bad to a running site: " + strings.Join(site.Faults, ", "), Args: cobra.ExactArgs(1),
+	fault := &cobra.Command{Use: "fault KIND", Short: "Do something bad to a running site: " + strings.Join(emulator.Faults, ", "), Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			q := url.Values{"kind": {args[0]}, "name": {name}, "for": {fmt.Sprint(seconds)}}
 			var what wire.Error
-			if err := request(http.MethodPost, server+site.PathFault+"?"+q.Encode(), nil, &what); err != nil {
+			if err := request(http.MethodPost, server+emulator.PathFault+"?"+q.Encode(), nil, &what); err != nil {
 				return err
 			}
 			_, err := fmt.Fprintf(cmd.OutOrStdout(), "%s: %s, %g s\n", args[0], what.Error, seconds)
@@ -113,8 +113,8 @@
 	fault.Flags().StringVar(&name, "name", "", "of the controller, machine or zone (default: the leader, one with tasks, or the last zone)")
 	fault.Flags().Float64Var(&seconds, "for", 10, "seconds")
 	summary := &cobra.Command{Use: "summary", Short: "Show what has happened at a running site", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		var a site.Summarized
-		if err := request(http.MethodGet, server+site.PathSummary, nil, &a); err != nil {
+		var a emulator.Summarized
+		if err := request(http.MethodGet, server+emulator.PathSummary, nil, &a); err != nil {
 			return err
 		}
 		printSummary(cmd.OutOrStdout(), a.Summary)
@@ -134,7 +134,7 @@
 	if err != nil {
 		return err
 	}
-	n, err := node.New(set, slog.New(slog.NewTextHandler(log, nil)))
+	n, err := controller.New(set, slog.New(slog.NewTextHandler(log, nil)))
 	if err != nil {
 		return err
 	}
@@ -154,7 +154,7 @@
 	return &exitError{exitRule, fmt.Errorf("%d times a rule was broken", len(broken))}
 }
 
-func printSummary(out io.Writer, s site.Summary) {
+func printSummary(out io.Writer, s emulator.Summary) {
 	fmt.Fprintf(out, "tasks: %d started, %d completed, %d stopped, %d saved, %d lost with their machines\n", s.Started, s.Completed, s.Stopped, s.Saved, s.Lost)
 	for _, x := range s.Served {
 		of := "class"
@@ -171,7 +171,7 @@
 
 // demo runs the sample jobs to their end. Services never end: they are cancelled when
 // everything else is done.
-func demo(out io.Writer, s *site.Site) error {
+func demo(out io.Writer, s *emulator.Site) error {
 	files, err := fs.Glob(deploy.Examples, "examples/*.json")
 	if err != nil {
 		return err
--- a/cmd/dalefront/site_test.go
+++ b/cmd/dalefront/site_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
-	"dalefront/internal/load"
-	"dalefront/internal/site"
+	"dalefront/internal/emulator"
+	"dalefront/internal/experiment"
 	"dalefront/wire"
 )
 
@@ -47,9 +47,9 @@
 }
 
 // upSite starts a site that serves, and ends it with the test.
-func upSite(t *testing.T, machines int) (*site.Site, context.Context) {
+func upSite(t *testing.T, machines int) (*emulator.Site, context.Context) {
 	t.Helper()
-	s, err := site.Up(site.Options{Dir: t.TempDir(), Spec: site.Spec{Machines: machines}})
+	s, err := emulator.Up(emulator.Options{Dir: t.TempDir(), Spec: emulator.Spec{Machines: machines}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -201,9 +201,9 @@
 	data := filepath.Join(t.TempDir(), "site.db")
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Minute) // only ends a test that hangs
 	defer cancel()
-	up := func() (*site.Site, string) {
+	up := func() (*emulator.Site, string) {
 		t.Helper()
-		s, err := site.Up(site.Options{Spec: site.Spec{Controllers: 2}, Data: data, Dir: t.TempDir()})
+		s, err := emulator.Up(emulator.Options{Spec: emulator.Spec{Controllers: 2}, Data: data, Dir: t.TempDir()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -243,7 +243,7 @@
 	if err := patiently(func() error { return request(http.MethodPost, jobs+"/j-2/"+wire.CancelVerb, nil, new(wire.JobStatus)) }); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := site.Up(site.Options{Data: data, Dir: t.TempDir()}); err == nil || !strings.Contains(err.Error(), "another site uses it") {
+	if _, err := emulator.Up(emulator.Options{Data: data, Dir: t.TempDir()}); err == nil || !strings.Contains(err.Error(), "another site uses it") {
 		t.Errorf("two sites on one file: %v", err)
 	}
 	broken := s.Fleet.Broken()
@@ -269,7 +269,7 @@
 // no rule breaks.
 func TestLoadLive(t *testing.T) {
 	t.Parallel()
-	s, err := site.Up(site.Options{Dir: t.TempDir(), InProcess: inThisProcess})
+	s, err := emulator.Up(emulator.Options{Dir: t.TempDir(), InProcess: inThisProcess})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -283,7 +283,7 @@
 	if err := s.Ready(ctx); err != nil {
 		t.Fatal(err)
 	}
-	e, err := load.Parse([]byte(`
+	e, err := experiment.Parse([]byte(`
 duration_s = 8
 drain_s    = 500
 class "c" {
--- a/cmd/dalefront/snapshot.go
+++ b/cmd/dalefront/snapshot.go
@@ -12,9 +12,9 @@
 	"github.com/spf13/cobra"
 
 	"dalefront/internal/config"
-	"dalefront/internal/node"
+	"dalefront/internal/controller"
+	"dalefront/internal/kvstore"
 	"dalefront/internal/snapshot"
-	"dalefront/internal/state"
 )
 
 // copies is the part of the command line about snapshots. Where nothing else is
@@ -52,7 +52,7 @@
 		}
 		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 		defer stop()
-		snap, err := snapshot.Take(ctx, store, snapshot.All, node.Ephemeral, func() int64 { return time.Now().UnixMicro() })
+		snap, err := snapshot.Take(ctx, store, snapshot.All, controller.Ephemeral, func() int64 { return time.Now().UnixMicro() })
 		if err != nil {
 			return err
 		}
@@ -107,7 +107,7 @@
 		}
 		fmt.Fprintln(out, snap)
 		for _, n := range snap.Counts() {
-			fmt.Fprintf(out, "%-12s %9d keys %12d bytes  %s\n", n.Prefix, n.Keys, n.Bytes, node.Describe(n.Prefix))
+			fmt.Fprintf(out, "%-12s %9d keys %12d bytes  %s\n", n.Prefix, n.Keys, n.Bytes, controller.Describe(n.Prefix))
 		}
 		return nil
 	})
@@ -215,7 +215,7 @@
 	return snapshot.KeyFile(file)
 }
 
-func (c *copies) store() (store *state.Client, ops int, err error) {
+func (c *copies) store() (store *kvstore.Client, ops int, err error) {
 	s, err := c.load()
 	if err != nil {
 		return nil, 0, err
@@ -224,5 +224,5 @@
 		return nil, 0, errors.New("--share: must be above 0 and at most 1")
 	}
 	d := &s.Deployment.State
-	return state.New(s.Endpoints.State, d.RPS*c.share, d.WriteRPS*c.share, 1), d.TxnOps, nil
+	return kvstore.New(s.Endpoints.State, d.RPS*c.share, d.WriteRPS*c.share, 1), d.TxnOps, nil
 }
--- a/cmd/dalefront/snapshot_test.go
+++ b/cmd/dalefront/snapshot_test.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"dalefront/internal/config"
-	"dalefront/internal/node"
-	"dalefront/internal/site"
+	"dalefront/internal/controller"
+	"dalefront/internal/emulator"
 	"dalefront/wire"
 )
 
@@ -50,19 +50,19 @@
 // place is a state service and the settings of a controller there.
 type place struct {
 	t      *testing.T
-	svc    *site.Services
+	svc    *emulator.Services
 	config string
 	users  string
 }
 
 func newSite(t *testing.T) *place {
 	t.Helper()
-	s := &place{t: t, svc: site.NewServices(wire.Catalog{Types: []wire.MachineType{
+	s := &place{t: t, svc: emulator.NewServices(wire.Catalog{Types: []wire.MachineType{
 		{Name: "s", CPUs: 4, MemoryGB: 16, CacheGB: 50, FetchGBPS: 0.5, Price: 1, BootS: 20, Zones: []string{"x"}}}})}
 	srv := httptest.NewServer(s.svc)
 	t.Cleanup(srv.Close)
 	free := func() string {
-		addr, err := site.FreeAddr()
+		addr, err := emulator.FreeAddr()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,7 +85,7 @@
 		s.t.Fatal(err)
 	}
 	*set.Operator.ArchiveAfterS, *set.Operator.ArchiveShare, set.Operator.SnapshotDir = 1e-6, 0.5, ""
-	n, err := node.New(set, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	n, err := controller.New(set, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -15,7 +15,7 @@
 	"github.com/cespare/xxhash/v2"
 	"pgregory.net/rapid"
 
-	"dalefront/internal/state"
+	"dalefront/internal/kvstore"
 	"dalefront/wire"
 )
 
@@ -171,7 +171,7 @@
 				m.dead = false
 				break
 			}
-			if err != nil && !errors.Is(err, state.ErrUnknown) && !errors.Is(err, state.ErrRefused) && !errors.Is(err, state.ErrConflict) {
+			if err != nil && !errors.Is(err, kvstore.ErrUnknown) && !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrConflict) {
 				t.Fatal(err)
 			}
 			if idle {
--- a/internal/archive/compact.go
+++ b/internal/archive/compact.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"slices"
 
-	"dalefront/internal/state"
+	"dalefront/internal/kvstore"
 	"dalefront/wire"
 )
 
@@ -151,7 +151,7 @@
 		jobs[i] = c.src.JobPrefix + e.id()
 	}
 	c.Counts.Requests += (len(jobs) + 4*c.lim.Ops - 1) / (4 * c.lim.Ops)
-	there, err := state.Existing(ctx, c.r.store, jobs, c.lim.Ops)
+	there, err := kvstore.Existing(ctx, c.r.store, jobs, c.lim.Ops)
 	if err != nil {
 		return err
 	}
@@ -179,7 +179,7 @@
 	}
 	c.Counts.Requests++
 	_, err := c.r.store.Multi(ctx, txn)
-	if errors.Is(err, state.ErrConflict) {
+	if errors.Is(err, kvstore.ErrConflict) {
 		return 0, false, ErrDeposed
 	}
 	if err != nil {
@@ -315,9 +315,9 @@
 	if rerr := c.r.refresh(ctx, shard); rerr != nil {
 		return rerr
 	}
-	if errors.Is(err, state.ErrConflict) {
+	if errors.Is(err, kvstore.ErrConflict) {
 		c.Counts.Requests++
-		if _, terr := c.r.store.Multi(ctx, wire.Txn{If: []wire.Cond{c.src.Term()}}); errors.Is(terr, state.ErrConflict) {
+		if _, terr := c.r.store.Multi(ctx, wire.Txn{If: []wire.Cond{c.src.Term()}}); errors.Is(terr, kvstore.ErrConflict) {
 			return ErrDeposed
 		}
 	}
--- a/internal/archive/reader.go
+++ b/internal/archive/reader.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"sync"
 
-	"dalefront/internal/state"
+	"dalefront/internal/kvstore"
 	"dalefront/wire"
 )
 
@@ -14,7 +14,7 @@
 // from it is either a final answer or a "no" that holds as of its version. It is safe
 // for use by several goroutines.
 type Reader struct {
-	store state.Store
+	store kvstore.Store
 
 	mu     sync.Mutex
 	shards [shards]view
@@ -28,7 +28,7 @@
 
 // NewReader returns a reader that assumes an empty archive until it is told
 // otherwise.
-func NewReader(store state.Store) *Reader { return &Reader{store: store} }
+func NewReader(store kvstore.Store) *Reader { return &Reader{store: store} }
 
 // manifestPage is how many manifests are read at once, the protocol's limit.
 const manifestPage = 1000
--- a/internal/archive/store_test.go
+++ b/internal/archive/store_test.go
@@ -8,7 +8,7 @@
 	"sort"
 	"strings"
 
-	"dalefront/internal/state"
+	"dalefront/internal/kvstore"
 	"dalefront/wire"
 )
 
@@ -122,12 +122,12 @@
 	}
 	switch o {
 	case refused:
-		return wire.TxnAnswer{}, state.ErrRefused
+		return wire.TxnAnswer{}, kvstore.ErrRefused
 	case lostRequest:
-		return wire.TxnAnswer{}, state.ErrUnknown
+		return wire.TxnAnswer{}, kvstore.ErrUnknown
 	case late:
 		m.late = append(m.late, t)
-		return wire.TxnAnswer{}, state.ErrUnknown
+		return wire.TxnAnswer{}, kvstore.ErrUnknown
 	case killedBefore:
 		m.dead = true
 		return wire.TxnAnswer{}, errKilled
@@ -135,7 +135,7 @@
 	a, err := m.apply(t)
 	switch o {
 	case lostAnswer:
-		return wire.TxnAnswer{}, state.ErrUnknown
+		return wire.TxnAnswer{}, kvstore.ErrUnknown
 	case killedAfter:
 		m.dead = true
 		return wire.TxnAnswer{}, errKilled
@@ -151,7 +151,7 @@
 		}
 	}
 	if len(a.Failed) > 0 {
-		return a, state.ErrConflict
+		return a, kvstore.ErrConflict
 	}
 	if len(t.Then) > 0 {
 		m.rev++
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/time/rate"
 
-	"dalefront/internal/httpc"
+	"dalefront/internal/httpclient"
 	"dalefront/wire"
 )
 
@@ -21,13 +21,13 @@
 
 // Client keeps to the cloud's request rate.
 type Client struct {
-	calls *httpc.Client
+	calls *httpclient.Client
 	rate  *rate.Limiter
 }
 
 // New returns a client that uses at most share of the rate.
 func New(addr string, rps, share float64) *Client {
-	return &Client{calls: httpc.New("http://"+addr, maxConns, 0), rate: rate.NewLimiter(rate.Limit(rps*share), max(1, int(rps*share)))}
+	return &Client{calls: httpclient.New("http://"+addr, maxConns, 0), rate: rate.NewLimiter(rate.Limit(rps*share), max(1, int(rps*share)))}
 }
 
 const (
@@ -59,7 +59,7 @@
 func (c *Client) Hire(ctx context.Context, h wire.Hire) ([]string, error) {
 	var a wire.Hosts
 	err := c.call(ctx, http.MethodPost, wire.PathRentals, h, &a)
-	var se *httpc.StatusError
+	var se *httpclient.StatusError
 	if errors.As(err, &se) && se.Code == http.StatusServiceUnavailable && se.Text == ErrNoCapacity.Error() {
 		return nil, ErrNoCapacity
 	}
--- a/internal/node/archive.go
+++ b/internal/controller/archive.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"dalefront/internal/api"
 	"dalefront/internal/archive"
 	"dalefront/internal/config"
-	"dalefront/internal/state"
+	"dalefront/internal/kvstore"
 	"dalefront/wire"
 )
 
@@ -43,7 +43,7 @@
 		}
 		txn.If = append(slices.Clone(own), a.Cond)
 		res, err := n.state.Multi(ctx, txn)
-		if !errors.Is(err, state.ErrConflict) || tries == 3 {
+		if !errors.Is(err, kvstore.ErrConflict) || tries == 3 {
 			return wire.JobStatus{}, err
 		}
 		if len(res.Failed) != 1 || res.Failed[0] != a.Cond.Key {
--- a/internal/node/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"dalefront/internal/api"
 	"dalefront/internal/archive"
 	"dalefront/internal/config"
-	"dalefront/internal/site"
-	"dalefront/internal/state"
+	"dalefront/internal/emulator"
+	"dalefront/internal/kvstore"
 	"dalefront/wire"
 )
 
@@ -23,7 +23,7 @@
 // that runs at moments of the test's choice.
 type scene struct {
 	t       *testing.T
-	svc     *site.Services
+	svc     *emulator.Services
 	n       *Node
 	compact *archive.Compactor
 	reader  *archive.Reader
@@ -37,7 +37,7 @@
 
 func newScene(t *testing.T) *scene {
 	t.Helper()
-	s := &scene{t: t, svc: site.NewServices(wire.Catalog{})}
+	s := &scene{t: t, svc: emulator.NewServices(wire.Catalog{})}
 	s.n = testNode(t, func(w http.ResponseWriter, r *http.Request) {
 		if k := s.count.Add(1); s.before != nil {
 			s.before(k)
@@ -52,7 +52,7 @@
 	t.Cleanup(direct.Close)
 	s.svc.Set(termKey, termRecord{Node: "b", Mark: "b.1"})
 	e, _ := s.svc.Entry(termKey)
-	store := state.New(strings.TrimPrefix(direct.URL, "http://"), 1e6, 1e6, 1)
+	store := kvstore.New(strings.TrimPrefix(direct.URL, "http://"), 1e6, 1e6, 1)
 	s.reader = archive.NewReader(store)
 	s.compact = archive.NewCompactor(s.reader,
 		endSource(func() wire.Cond { return wire.Cond{Key: termKey, Version: e.Version} }, func() int64 { return 1000 }),
--- a/internal/node/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"time"
 
 	"dalefront/internal/api"
-	"dalefront/internal/state"
+	"dalefront/internal/kvstore"
 	"dalefront/wire"
 )
 
@@ -83,7 +83,7 @@
 		if n.leadership != r {
 			return
 		}
-		if errors.Is(err, state.ErrConflict) {
+		if errors.Is(err, kvstore.ErrConflict) {
 			r.end()
 			return
 		}
--- a/internal/node/config.go
+++ b/internal/controller/config.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 
 	"dalefront/internal/config"
 	"dalefront/internal/dynconfig"
+	"dalefront/internal/kvstore"
 	"dalefront/internal/peer"
-	"dalefront/internal/state"
 	"dalefront/wire"
 )
 
@@ -78,7 +78,7 @@
 		}
 		events, err := c.n.state.Changes(ctx, dynconfig.Prefix, revision, configHold)
 		switch {
-		case errors.Is(err, state.ErrCompacted):
+		case errors.Is(err, kvstore.ErrCompacted):
 			c.lose()
 		case err != nil:
 			rest(ctx, configPause)
--- a/internal/node/configapply.go
+++ b/internal/controller/configapply.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"time"
 
 	"dalefront/internal/dynconfig"
+	"dalefront/internal/kvstore"
 	"dalefront/internal/peer"
-	"dalefront/internal/state"
 	"dalefront/wire"
 )
 
@@ -30,7 +30,7 @@
 
 // PeerConfigApply implements peer.Server.
 func (n *Node) PeerConfigApply(ctx context.Context, ask *peer.ConfigApply) (*peer.ConfigApplyAnswer, error) {
-	ctx, cancel := context.WithTimeout(state.Urgent(ctx), peer.ApplyLimit)
+	ctx, cancel := context.WithTimeout(kvstore.Urgent(ctx), peer.ApplyLimit)
 	defer cancel()
 	if ask.ID == "" {
 		return &peer.ConfigApplyAnswer{Outcome: peer.ConfigInvalid, Why: "the apply has no name"}, nil
@@ -217,7 +217,7 @@
 		}
 	}
 	_, err := a.n.state.Multi(ctx, wire.Txn{If: []wire.Cond{generationCond(version), term}, Then: plan.Switch})
-	if errors.Is(err, state.ErrUnknown) {
+	if errors.Is(err, kvstore.ErrUnknown) {
 		a.unknown = &version
 	}
 	return err
--- a/internal/node/node.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,6 @@
-// Package node wires the scheduler's core to the outside. One goroutine owns
+// Package controller wires the scheduler's core to the outside. One goroutine owns
 // the core and all decisions; what handlers read sits behind a short lock.
-package node
+package controller
 
 import (
 	"context"
@@ -19,11 +19,11 @@
 	"dalefront/internal/calendar"
 	"dalefront/internal/cloud"
 	"dalefront/internal/config"
+	"dalefront/internal/kvstore"
 	"dalefront/internal/peer"
 	"dalefront/internal/snapshot"
 	"dalefront/internal/standby"
-	"dalefront/internal/state"
-	"dalefront/internal/worker"
+	"dalefront/internal/workerclient"
 	"dalefront/wire"
 )
 
@@ -31,9 +31,9 @@
 type Node struct {
 	set    *config.Settings
 	log    *slog.Logger
-	state  *state.Client
+	state  *kvstore.Client
 	cloud  *cloud.Client
-	worker *worker.Client
+	worker *workerclient.Client
 	peers  map[string]*peer.Client
 	cal    *calendar.Calendar // recurring jobs, nil if none are configured
 	// Final answers of old jobs. It is asked whether or not this node's settings
@@ -120,9 +120,9 @@
 	now := time.Now()
 	n := &Node{
 		set: set, log: log,
-		state:  state.New(set.Endpoints.State, d.State.RPS, d.State.WriteRPS, len(set.Members)+1),
+		state:  kvstore.New(set.Endpoints.State, d.State.RPS, d.State.WriteRPS, len(set.Members)+1),
 		cloud:  cloud.New(set.Endpoints.Cloud, d.Cloud.RPS, cloudShare),
-		worker: worker.New(d.Resources.Sockets / socketsPerIdle),
+		worker: workerclient.New(d.Resources.Sockets / socketsPerIdle),
 		peers:  map[string]*peer.Client{},
 		start:  now, wall: now.UnixMicro(),
 		events: make(chan func(), max(minEvents, d.Resources.Sockets)),
--- a/internal/node/heard.go
+++ b/internal/controller/heard.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"golang.org/x/time/rate"
 
 	"dalefront/internal/config"
-	"dalefront/internal/domain"
+	"dalefront/internal/failuredomain"
 	"dalefront/internal/peer"
 )
 
@@ -99,12 +99,12 @@
 }
 
 // controllers is what this node knows of the others, for the detector.
-func (n *Node) controllers() []domain.Controller {
-	out := make([]domain.Controller, 0, len(n.set.Members))
+func (n *Node) controllers() []failuredomain.Controller {
+	out := make([]failuredomain.Controller, 0, len(n.set.Members))
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, m := range n.set.Members {
-		c := domain.Controller{Zone: m.Zone}
+		c := failuredomain.Controller{Zone: m.Zone}
 		if at, ok := n.peerAt[m.Label]; ok {
 			c.Heard = max(1, n.now()-config.Micros(time.Since(at)/time.Microsecond))
 		}
--- a/internal/node/jobs.go
+++ b/internal/controller/jobs.go
@@ -1,11 +1,11 @@
-package node
+package controller
 
 import (
 	"context"
 	"strings"
 
 	"dalefront/internal/api"
-	"dalefront/internal/state"
+	"dalefront/internal/kvstore"
 	"dalefront/wire"
 )
 
@@ -61,7 +61,7 @@
 	for i, id := range ids {
 		keys[i] = endKey(id)
 	}
-	there, err := state.Existing(ctx, n.state, keys, n.set.Deployment.State.TxnOps)
+	there, err := kvstore.Existing(ctx, n.state, keys, n.set.Deployment.State.TxnOps)
 	over := make(map[string]bool, len(there))
 	for k := range there {
 		over[strings.TrimPrefix(k, endPrefix)] = true
--- a/internal/node/leadership.go
+++ b/internal/controller/leadership.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"dalefront/internal/recur"
+	"dalefront/internal/kvstore"
+	"dalefront/internal/recurring"
 	"dalefront/internal/sched"
-	"dalefront/internal/state"
 	"dalefront/wire"
 )
 
@@ -36,10 +36,10 @@
 	busyCloud     bool
 	busyCancelled bool
 	busyRecur     bool
-	recur         *recur.Engine // nil without a calendar
-	ends          []string      // jobs whose end is to be stored
-	tidy          []string      // keys to delete
-	cancelled     []string      // records of cancelled jobs whose tasks are gone: their users wait
+	recur         *recurring.Engine // nil without a calendar
+	ends          []string          // jobs whose end is to be stored
+	tidy          []string          // keys to delete
+	cancelled     []string          // records of cancelled jobs whose tasks are gone: their users wait
 	lastCloud     int64
 	lastLog       int64
 	lastListed    int64
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	plain := ctx
-	ctx = state.Urgent(ctx)
+	ctx = kvstore.Urgent(ctx)
 	r := &leadership{n: n, token: token, lease: h, ctx: ctx, cancel: cancel, chunks: map[string]int{}, chunkAt: map[string]uint64{},
 		directs: make(chan sched.Direct, max(minDirects, n.set.Deployment.Resources.Sockets/4)), cloudQ: make(chan func(), cloudQueue)}
 	n.learn(n.set.Label, token)
@@ -209,7 +209,7 @@
 		return false
 	}
 	_, err := n.state.Multi(r.ctx, wire.Txn{If: []wire.Cond{r.termCond()}})
-	if errors.Is(err, state.ErrConflict) {
+	if errors.Is(err, kvstore.ErrConflict) {
 		n.post(func() { r.end() })
 	}
 	return err == nil && n.awake()
@@ -249,7 +249,7 @@
 	for r.ctx.Err() == nil {
 		ev, err := n.state.Changes(r.ctx, queuePrefix, from, 5*time.Second)
 		if err != nil {
-			if errors.Is(err, state.ErrCompacted) {
+			if errors.Is(err, kvstore.ErrCompacted) {
 				if rev, ok := r.reread(); ok {
 					from = rev
 				}
--- a/internal/node/lookup.go
+++ b/internal/controller/lookup.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"golang.org/x/time/rate"
 
 	"dalefront/internal/api"
-	"dalefront/internal/state"
+	"dalefront/internal/kvstore"
 	"dalefront/wire"
 )
 
@@ -123,7 +123,7 @@
 		}
 	}
 	a, err := n.state.Multi(ctx, txn)
-	if err != nil && !errors.Is(err, state.ErrConflict) {
+	if err != nil && !errors.Is(err, kvstore.ErrConflict) {
 		for _, l := range batch {
 			l.done <- verdict{err: err}
 		}
--- a/internal/node/metrics.go
+++ b/internal/controller/metrics.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"net/http"
@@ -8,7 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"dalefront/internal/domain"
+	"dalefront/internal/failuredomain"
 	"dalefront/internal/sched"
 )
 
@@ -45,7 +45,7 @@
 	add("machines_hired", "Machines rented in this term.", func(s *gauges) int { return s.stats.Hired })
 	add("machines_returned", "Machines returned in this term.", func(s *gauges) int { return s.stats.Returned })
 	add("zones_cut", "Zones that are found to be cut off.", func(s *gauges) int { return s.zonesCut })
-	for v := domain.Unclear; v <= domain.Blind; v++ {
+	for v := failuredomain.Unclear; v <= failuredomain.Blind; v++ {
 		name := v.String()
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "machines_silent",
 			Help: "Silent machines, by what has most likely become of them.", ConstLabels: prometheus.Labels{"verdict": name}}, func() float64 {
--- a/internal/node/recur.go
+++ b/internal/controller/recur.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"errors"
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"dalefront/internal/recur"
+	"dalefront/internal/kvstore"
+	"dalefront/internal/recurring"
 	"dalefront/internal/sched"
-	"dalefront/internal/state"
 	"dalefront/wire"
 )
 
@@ -24,16 +24,16 @@
 	if n.cal == nil {
 		return nil
 	}
-	states, versions := map[string]recur.State{}, map[string]uint64{}
+	states, versions := map[string]recurring.State{}, map[string]uint64{}
 	for _, e := range entries {
 		name := strings.TrimPrefix(e.Key, schedulePrefix)
-		var st recur.State
+		var st recurring.State
 		if err := wire.Unmarshal(e.Value, &st); err != nil {
 			return fmt.Errorf("schedule %s: %w", name, err)
 		}
 		states[name], versions[name] = st, e.Version
 	}
-	r.recur = recur.New(n.cal, states, versions)
+	r.recur = recurring.New(n.cal, states, versions)
 	known, gone := r.recur.Len()
 	n.log.Info("schedules", "known", known, "removed", gone)
 	return nil
@@ -68,7 +68,7 @@
 // storeRuns stores decisions together or, if that is refused, one by one. What the
 // service takes is shared with launches: a batch waits until its changes are no more
 // than an eighth of it.
-func (r *leadership) storeRuns(ds []recur.Decision) {
+func (r *leadership) storeRuns(ds []recurring.Decision) {
 	n := r.n
 	changes := 0
 	for _, d := range ds {
@@ -90,7 +90,7 @@
 
 // storeDecisions runs one transaction: each schedule's state is what the decision
 // rests on, no job of the ids exists or ever did, and the term is this node's.
-func (r *leadership) storeDecisions(ds []recur.Decision) (failed []string, version uint64, err error) {
+func (r *leadership) storeDecisions(ds []recurring.Decision) (failed []string, version uint64, err error) {
 	n := r.n
 	txn := wire.Txn{If: []wire.Cond{r.termCond()}}
 	for _, d := range ds {
@@ -107,7 +107,7 @@
 				return nil, 0, err
 			}
 			if a.Found { // by a job of long ago
-				return []string{endKey(j.ID)}, 0, state.ErrConflict
+				return []string{endKey(j.ID)}, 0, kvstore.ErrConflict
 			}
 			txn.If = n.guarded(append(txn.If, wire.Cond{Key: jobKey(j.ID)}, wire.Cond{Key: endKey(j.ID)}), j.ID)
 			txn.Then = append(txn.Then, wire.Change{Put: jobKey(j.ID), Value: jobRecord{Job: j, Arrival: n.now()}})
@@ -125,7 +125,7 @@
 }
 
 // runsStored tells the engine and the core. Owner goroutine.
-func (r *leadership) runsStored(ds []recur.Decision, version uint64) {
+func (r *leadership) runsStored(ds []recurring.Decision, version uint64) {
 	n := r.n
 	if n.leadership != r {
 		return
@@ -150,11 +150,11 @@
 // storeOne stores a decision, or finds out why it is not stored. Without an answer it
 // may be applied even later, but only as long as the schedule's state is the same: so
 // what is read back is decided upon anew, and one of the two is refused.
-func (r *leadership) storeOne(d recur.Decision) {
+func (r *leadership) storeOne(d recurring.Decision) {
 	n := r.n
-	failed, version, err := r.storeDecisions([]recur.Decision{d})
+	failed, version, err := r.storeDecisions([]recurring.Decision{d})
 	if err == nil {
-		n.post(func() { r.runsStored([]recur.Decision{d}, version) })
+		n.post(func() { r.runsStored([]recurring.Decision{d}, version) })
 		return
 	}
 	_, _ = n.archive.Refresh(r.ctx, failed) // if that fails, the next try does
@@ -165,7 +165,7 @@
 	taken = taken && !slices.Contains(failed, scheduleKey(d.Name))
 	for r.ctx.Err() == nil {
 		e, found, err := n.state.Get(r.ctx, scheduleKey(d.Name))
-		var st recur.State
+		var st recurring.State
 		if err == nil && found {
 			err = wire.Unmarshal(e.Value, &st)
 		}
--- a/internal/node/schedules.go
+++ b/internal/controller/schedules.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"time"
 
 	"dalefront/internal/api"
-	"dalefront/internal/recur"
-	"dalefront/internal/state"
+	"dalefront/internal/kvstore"
+	"dalefront/internal/recurring"
 	"dalefront/wire"
 )
 
@@ -20,7 +20,7 @@
 const maxNextLooks = 400
 
 // show makes what users see of a schedule.
-func (n *Node) showSchedule(name string, st *recur.State, runs bool) wire.Schedule {
+func (n *Node) showSchedule(name string, st *recurring.State, runs bool) wire.Schedule {
 	out := wire.Schedule{Name: name, Revision: st.Revision, Paused: st.Paused, Gone: st.Gone > 0, Ran: st.Ran, Missed: st.Missed, Skipped: st.Skipped}
 	if runs {
 		out.Runs = st.Runs
@@ -59,7 +59,7 @@
 		return out, api.ErrNotNow
 	}
 	for _, e := range page.Items {
-		var st recur.State
+		var st recurring.State
 		if wire.Unmarshal(e.Value, &st) == nil {
 			out.Schedules = append(out.Schedules, n.showSchedule(strings.TrimPrefix(e.Key, schedulePrefix), &st, false))
 		}
@@ -69,7 +69,7 @@
 }
 
 // schedule reads the state of one.
-func (n *Node) schedule(ctx context.Context, name string) (st recur.State, version uint64, err error) {
+func (n *Node) schedule(ctx context.Context, name string) (st recurring.State, version uint64, err error) {
 	if n.cal == nil || name == "" || len(name) > 64 || strings.ContainsAny(name, "/ ") {
 		return st, 0, api.ErrUnknown
 	}
@@ -109,7 +109,7 @@
 				If:   []wire.Cond{{Key: scheduleKey(name), Version: version}},
 				Then: []wire.Change{{Put: scheduleKey(name), Value: st}},
 			})
-			if errors.Is(err, state.ErrConflict) || errors.Is(err, state.ErrUnknown) {
+			if errors.Is(err, kvstore.ErrConflict) || errors.Is(err, kvstore.ErrUnknown) {
 				continue // read it back
 			}
 			if err != nil {
--- a/internal/node/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -1,12 +1,12 @@
-package node
+package controller
 
 import (
 	"context"
 	"strings"
 	"time"
 
+	"dalefront/internal/kvstore"
 	"dalefront/internal/snapshot"
-	"dalefront/internal/state"
 	"dalefront/wire"
 )
 
@@ -134,7 +134,7 @@
 
 // paced waits before each page.
 type paced struct {
-	*state.Client
+	*kvstore.Client
 	wait time.Duration
 }
 
--- a/internal/node/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"testing"
 
 	"dalefront/internal/config"
+	"dalefront/internal/emulator"
+	"dalefront/internal/kvstore"
 	"dalefront/internal/sched"
-	"dalefront/internal/site"
 	"dalefront/internal/snapshot"
-	"dalefront/internal/state"
 	"dalefront/wire"
 )
 
@@ -24,10 +24,10 @@
 func TestCopyIsTheSame(t *testing.T) {
 	for seed := range uint64(20) {
 		rnd := rand.New(rand.NewPCG(seed, 16))
-		svc := site.NewServices(wire.Catalog{})
+		svc := emulator.NewServices(wire.Catalog{})
 		srv := httptest.NewServer(svc)
 		n := testNode(t, svc.ServeHTTP, func(set *config.Settings) { *set.Operator.TakeoverCopyS = 60 })
-		client := state.New(strings.TrimPrefix(srv.URL, "http://"), 1e6, 1e6, 1)
+		client := kvstore.New(strings.TrimPrefix(srv.URL, "http://"), 1e6, 1e6, 1)
 		write := func(k int) {
 			var txn wire.Txn
 			for range k {
@@ -96,7 +96,7 @@
 }
 
 func takeover(b *testing.B, live, over int, copies bool) {
-	svc := site.NewServices(wire.Catalog{})
+	svc := emulator.NewServices(wire.Catalog{})
 	var requests, bytes atomic.Int64
 	n := testNode(b, func(w http.ResponseWriter, r *http.Request) {
 		requests.Add(1)
@@ -118,7 +118,7 @@
 	}
 	svc.Set(termKey, termRecord{Node: "a", Mark: "a.1"})
 	e, _ := svc.Entry(termKey)
-	r := &leadership{n: n, token: e.Version, ctx: state.Urgent(context.Background()), chunks: map[string]int{}}
+	r := &leadership{n: n, token: e.Version, ctx: kvstore.Urgent(context.Background()), chunks: map[string]int{}}
 	if copies {
 		snap, err := snapshot.Take(r.ctx, n.state, copyPrefixes, nothing, n.now)
 		if err == nil {
--- a/internal/node/standby.go
+++ b/internal/controller/standby.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"time"
 
 	"dalefront/internal/dynconfig"
+	"dalefront/internal/kvstore"
 	"dalefront/internal/peer"
 	"dalefront/internal/sched"
 	"dalefront/internal/standby"
-	"dalefront/internal/state"
 	"dalefront/wire"
 )
 
@@ -197,7 +197,7 @@
 	switch {
 	case err == nil:
 		c.Apply(ev, w.n.now())
-	case errors.Is(err, state.ErrCompacted):
+	case errors.Is(err, kvstore.ErrCompacted):
 		c.Lost("the store no longer tells what has changed")
 	}
 }
@@ -232,7 +232,7 @@
 		}
 		ev, err := w.n.state.Changes(ctx, "", at, 0)
 		w.took(c, ev, err)
-		if err != nil && !errors.Is(err, state.ErrCompacted) {
+		if err != nil && !errors.Is(err, kvstore.ErrCompacted) {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
--- a/internal/node/store.go
+++ b/internal/controller/store.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 
 	"dalefront/internal/archive"
 	"dalefront/internal/dynconfig"
+	"dalefront/internal/kvstore"
 	"dalefront/internal/sched"
-	"dalefront/internal/state"
 	"dalefront/wire"
 )
 
@@ -45,14 +45,14 @@
 		case err == nil:
 			r.commitDone(cm, true)
 			return
-		case errors.Is(err, state.ErrUnknown):
+		case errors.Is(err, kvstore.ErrUnknown):
 			unknown = true
-		case errors.Is(err, state.ErrConflict):
+		case errors.Is(err, kvstore.ErrConflict):
 			r.conflict(cm, a.Failed)
 			return
 		case !unknown:
 			// Refused: it was not executed and never will be.
-			if errors.Is(err, state.ErrRefused) {
+			if errors.Is(err, kvstore.ErrRefused) {
 				n.log.Debug("commit refused", "err", err)
 			} else {
 				n.log.Error("commit is not accepted", "err", err, "conditions", len(txn.If), "changes", len(txn.Then))
@@ -154,7 +154,7 @@
 			n.remember(ends[i].answer(id))
 			continue
 		}
-		if errs[i] = together; errors.Is(together, state.ErrConflict) || errors.Is(together, state.ErrUnknown) {
+		if errs[i] = together; errors.Is(together, kvstore.ErrConflict) || errors.Is(together, kvstore.ErrUnknown) {
 			ends[i], errs[i] = n.createEnd(ctx, id, wire.JobDone, done[i], conds)
 		}
 		failed = failed || errs[i] != nil
@@ -196,7 +196,7 @@
 	n := r.n
 	a, err := n.state.Multi(r.ctx, txn)
 	changed := map[string]uint64{} // versions that are another than thought
-	if errors.Is(err, state.ErrConflict) {
+	if errors.Is(err, kvstore.ErrConflict) {
 		for _, k := range a.Failed {
 			if e, found, err := n.state.Get(r.ctx, k); err == nil && found && k != termKey {
 				changed[k] = e.Version
@@ -243,7 +243,7 @@
 	time.Sleep(time.Second)
 	n.post(func() {
 		r.busyTidy = false
-		if err != nil && !errors.Is(err, state.ErrConflict) {
+		if err != nil && !errors.Is(err, kvstore.ErrConflict) {
 			r.tidy = append(r.tidy, keys...)
 		}
 	})
--- a/internal/node/term.go
+++ b/internal/controller/term.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"dalefront/internal/state"
+	"dalefront/internal/kvstore"
 	"dalefront/wire"
 )
 
@@ -42,7 +42,7 @@
 				return
 			case <-time.After(ttl / 4):
 			}
-			if err := n.state.RenewLease(ctx, id); errors.Is(err, state.ErrNoLease) {
+			if err := n.state.RenewLease(ctx, id); errors.Is(err, kvstore.ErrNoLease) {
 				h.dead.Store(true)
 			}
 		}
@@ -122,7 +122,7 @@
 			Then: []wire.Change{{Put: termKey, Value: termRecord{Node: n.set.Label, Mark: mark, Born: n.born, Configures: true}, Lease: h.id}},
 		})
 		token := a.Revision
-		if errors.Is(err, state.ErrUnknown) {
+		if errors.Is(err, kvstore.ErrUnknown) {
 			e, found, rerr := n.state.Get(ctx, termKey)
 			var t termRecord
 			if rerr == nil && found && wire.Unmarshal(e.Value, &t) == nil && t.Mark == mark {
@@ -186,7 +186,7 @@
 	const every = 800 * time.Millisecond
 	for ctx.Err() == nil {
 		if !n.state.Reachable(every) {
-			if e, found, err := n.state.Get(state.Urgent(ctx), termKey); err == nil && found {
+			if e, found, err := n.state.Get(kvstore.Urgent(ctx), termKey); err == nil && found {
 				var t termRecord
 				_ = wire.Unmarshal(e.Value, &t)
 				n.learn(t.Node, e.Version)
--- a/internal/node/users.go
+++ b/internal/controller/users.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"slices"
 
 	"dalefront/internal/api"
+	"dalefront/internal/kvstore"
 	"dalefront/internal/sched"
-	"dalefront/internal/state"
 	"dalefront/wire"
 
 	"github.com/vmihailenco/msgpack/v5"
@@ -189,7 +189,7 @@
 	case err == nil:
 		n.setKnown(j.ID)
 		return wire.JobStatus{ID: j.ID, Status: wire.JobQueued}, true, nil
-	case errors.Is(err, state.ErrConflict), errors.Is(err, state.ErrUnknown):
+	case errors.Is(err, kvstore.ErrConflict), errors.Is(err, kvstore.ErrUnknown):
 		// Accepted before, or perhaps just now: read it back.
 		st, err := n.Status(ctx, j.ID)
 		if errors.Is(err, api.ErrUnknown) {
@@ -216,7 +216,7 @@
 			n.remember(end.answer(id))
 		}
 		return end, nil
-	case errors.Is(err, state.ErrConflict), errors.Is(err, state.ErrUnknown):
+	case errors.Is(err, kvstore.ErrConflict), errors.Is(err, kvstore.ErrUnknown):
 		if there, rerr := n.endOf(ctx, id); rerr == nil {
 			return there, nil
 		}
--- a/internal/node/warm_test.go
+++ b/internal/controller/warm_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"time"
 
 	"dalefront/internal/config"
+	"dalefront/internal/emulator"
 	"dalefront/internal/sched"
-	"dalefront/internal/site"
 	"dalefront/internal/standby"
 	"dalefront/wire"
 )
@@ -19,7 +19,7 @@
 type tended struct {
 	*Node
 	t    testing.TB
-	svc  *site.Services
+	svc  *emulator.Services
 	ctx  context.Context
 	rng  *rand.Rand
 	term uint64
@@ -30,7 +30,7 @@
 func newTended(t testing.TB, seed uint64) *tended {
 	t.Helper()
 	w := &tended{t: t, rng: rand.New(rand.NewPCG(seed, 23))}
-	w.svc = site.NewServices(wire.Catalog{})
+	w.svc = emulator.NewServices(wire.Catalog{})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	f := 1.0
--- a/internal/site/fleet.go
+++ b/internal/emulator/fleet.go
@@ -1,7 +1,7 @@
-// Package site plays what a controller needs around it: the state service, the cloud,
+// Package emulator plays what a controller needs around it: the state service, the cloud,
 // the load balancer and the workers, as the protocol describes them, over HTTP on this
 // machine. It also watches whether the rules hold.
-package site
+package emulator
 
 import (
 	"cmp"
--- a/internal/site/services.go
+++ b/internal/emulator/services.go
@@ -1,4 +1,4 @@
-package site
+package emulator
 
 import (
 	"io"
--- a/internal/load/compare.go
+++ b/internal/experiment/compare.go
@@ -1,4 +1,4 @@
-package load
+package experiment
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"dalefront/internal/emulator"
 	"dalefront/internal/hclfile"
-	"dalefront/internal/site"
 )
 
 // Report is an experiment and all its runs, by variant and seed.
@@ -24,8 +24,8 @@
 // Play runs all variants with all seeds, several at a time. Done is told after each.
 func (e *Experiment) Play(done func(finished, all int)) (*Report, error) {
 	for _, f := range e.Faults {
-		if !slices.Contains(site.MachineFaults, f.Kind) {
-			return nil, hclfile.At(f.Range, "fault %s can only be played at a live site; in simulated time there are %v", f.Kind, site.MachineFaults)
+		if !slices.Contains(emulator.MachineFaults, f.Kind) {
+			return nil, hclfile.At(f.Range, "fault %s can only be played at a live site; in simulated time there are %v", f.Kind, emulator.MachineFaults)
 		}
 	}
 	all := len(e.Variants) * e.Repeat
--- a/internal/load/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,8 +1,8 @@
-// Package load runs experiments: classes of jobs that arrive at random, at a site that
+// Package experiment runs experiments: classes of jobs that arrive at random, at a site that
 // is played in simulated time around the scheduler's core, with faults, repetitions,
 // variants and sweeps of settings that are compared; or, in real time, at a site that
 // runs.
-package load
+package experiment
 
 import (
 	"cmp"
@@ -15,8 +15,8 @@
 	"github.com/hashicorp/hcl/v2/gohcl"
 
 	"dalefront/internal/config"
+	"dalefront/internal/emulator"
 	"dalefront/internal/hclfile"
-	"dalefront/internal/site"
 	"dalefront/wire"
 )
 
@@ -31,13 +31,13 @@
 	Faults    []Fault   `hcl:"fault,block"`
 	Variants  []Variant `hcl:"variant,block"` // one, adaptive, if there is none
 	Sweeps    []Sweep   `hcl:"sweep,block"`   // each variant is played with each combination
-	Site      site.Spec
+	Site      emulator.Spec
 }
 
 // file is an experiment as it is written: its site may be left out.
 type file struct {
-	Body hcl.Body   `hcl:",remain"`
-	Site *site.Spec `hcl:"site,block"`
+	Body hcl.Body       `hcl:",remain"`
+	Site *emulator.Spec `hcl:"site,block"`
 }
 
 // Sweep is a setting and the values with which it is played: "machines", or one of the
@@ -199,7 +199,7 @@
 	}
 	for _, c := range e.Classes {
 		switch {
-		case !slices.ContainsFunc(e.Site.Teams, func(t site.SpecTeam) bool { return t.Name == c.Team }):
+		case !slices.ContainsFunc(e.Site.Teams, func(t emulator.SpecTeam) bool { return t.Name == c.Team }):
 			return hclfile.At(c.Range, "class %s: team %s is not one of the site's", c.Name, c.Team)
 		case !slices.Contains([]string{wire.Production, wire.High, wire.Normal, wire.Low}, c.Priority):
 			return hclfile.At(c.Range, "class %s: priority must be production, urgent, normal or low", c.Name)
@@ -209,7 +209,7 @@
 			return hclfile.At(c.Range, "class %s: tasks must be [FROM, TO], from 1 to 10000", c.Name)
 		case len(c.RunS) != 2 || !(c.RunS[0] > 0 && c.RunS[0] < 1e6) || !(c.RunS[1] >= 0 && c.RunS[1] <= 3):
 			return hclfile.At(c.Range, "class %s: run_s must be [MEAN, DEVIATION], the mean above 0, the deviation of its logarithm from 0 to 3", c.Name)
-		case !(c.CPUs > 0 && c.MemoryGB > 0 && c.GPUs >= 0) || !slices.ContainsFunc(e.Site.Types, func(m site.SpecMachine) bool {
+		case !(c.CPUs > 0 && c.MemoryGB > 0 && c.GPUs >= 0) || !slices.ContainsFunc(e.Site.Types, func(m emulator.SpecMachine) bool {
 			return c.CPUs <= m.CPUs && c.GPUs <= m.GPUs && c.MemoryGB <= m.MemoryGB
 		}):
 			return hclfile.At(c.Range, "class %s: cpus and memory_gb must be above 0, gpus not below, and fit a machine", c.Name)
@@ -222,8 +222,8 @@
 		}
 	}
 	for _, f := range e.Faults {
-		if !slices.Contains(site.Faults, f.Kind) || f.Count < 1 || f.AtS < 0 || f.ForS < 0 {
-			return hclfile.At(f.Range, "fault must be one of %v, at_s and for_s not negative", site.Faults)
+		if !slices.Contains(emulator.Faults, f.Kind) || f.Count < 1 || f.AtS < 0 || f.ForS < 0 {
+			return hclfile.At(f.Range, "fault must be one of %v, at_s and for_s not negative", emulator.Faults)
 		}
 	}
 	names := map[string]bool{}
--- a/internal/load/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -1,4 +1,4 @@
-package load
+package experiment
 
 import (
 	"strings"
--- a/internal/load/live.go
+++ b/internal/experiment/live.go
@@ -1,4 +1,4 @@
-package load
+package experiment
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"dalefront/internal/config"
-	"dalefront/internal/site"
+	"dalefront/internal/emulator"
 	"dalefront/wire"
 )
 
@@ -47,7 +47,7 @@
 	server  string
 	client  *http.Client
 	begun   time.Time
-	before  site.Summarized
+	before  emulator.Summarized
 	res     *Result
 	latency *hdrhistogram.Histogram // of submissions, in microseconds
 
@@ -118,7 +118,7 @@
 }
 
 // stops counts the tasks that were stopped, for whatever reason.
-func stops(s site.Summary) int { return s.Stopped + s.Saved }
+func stops(s emulator.Summary) int { return s.Stopped + s.Saved }
 
 // report sums up.
 func (l *live) report(all int) (*Report, error) {
@@ -228,7 +228,7 @@
 			}
 			for range f.Count {
 				q := url.Values{"kind": {f.Kind}, "name": {f.Name}, "for": {fmt.Sprint(max(f.ForS, 0.001))}}
-				_, _, _ = l.ask(ctx, http.MethodPost, site.PathFault+"?"+q.Encode(), nil, nil) // nothing runs: nothing to break
+				_, _, _ = l.ask(ctx, http.MethodPost, emulator.PathFault+"?"+q.Encode(), nil, nil) // nothing runs: nothing to break
 			}
 		})
 	}
@@ -252,8 +252,8 @@
 	}
 }
 
-func (l *live) summary(ctx context.Context) (s site.Summarized, err error) {
-	code, _, err := l.ask(ctx, http.MethodGet, site.PathSummary, nil, &s)
+func (l *live) summary(ctx context.Context) (s emulator.Summarized, err error) {
+	code, _, err := l.ask(ctx, http.MethodGet, emulator.PathSummary, nil, &s)
 	if err == nil && code != http.StatusOK {
 		err = errors.New(http.StatusText(code))
 	}
--- a/internal/load/run.go
+++ b/internal/experiment/run.go
@@ -1,4 +1,4 @@
-package load
+package experiment
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"time"
 
 	"dalefront/internal/config"
+	"dalefront/internal/emulator"
 	"dalefront/internal/sched"
-	"dalefront/internal/site"
 	"dalefront/wire"
 )
 
@@ -96,7 +96,7 @@
 
 // run is a variant being played.
 type run struct {
-	fleet *site.Fleet
+	fleet *emulator.Fleet
 	core  *sched.Core
 	jobs  map[string]*arrival
 	now   config.Micros
@@ -155,7 +155,7 @@
 		machines = v.Machines
 	}
 	x := &run{now: begin, jobs: map[string]*arrival{}, meter: m}
-	x.fleet = site.NewFleet(seed, set, cat, machines, site.SimulatedAddr)
+	x.fleet = emulator.NewFleet(seed, set, cat, machines, emulator.SimulatedAddr)
 	x.core = sched.New(set, 1, x.now, cat, func(string, ...any) {})
 	res := &Result{Variant: v.Name, Seed: seed, Classes: map[string]*ClassResult{}}
 	for _, c := range e.Classes {
--- a/internal/domain/domain.go
+++ b/internal/failuredomain/detector.go
@@ -1,4 +1,4 @@
-// Package domain is the failure-domain detector. From the silence of workers and
+// Package failuredomain is the failure-domain detector. From the silence of workers and
 // controllers, by zone, and from the cloud's list it says of each silent machine
 // what has most likely become of it, with the evidence, and for how long the
 // silence may be expected to last. It is pure: observations and the time go in.
@@ -6,7 +6,7 @@
 // Its findings steer when machines are returned, what is hired meanwhile and where
 // work is placed. They never free anything: what is on a silent machine stays on
 // the books until there is proof.
-package domain
+package failuredomain
 
 import (
 	"fmt"
--- a/internal/domain/golden_test.go
+++ b/internal/failuredomain/golden_test.go
@@ -1,4 +1,4 @@
-package domain
+package failuredomain
 
 import (
 	"testing"
--- a/internal/httpc/httpc.go
+++ b/internal/httpclient/client.go
@@ -1,6 +1,6 @@
-// Package httpc sends the MessagePack requests of the typed clients. Every
+// Package httpclient sends the MessagePack requests of the typed clients. Every
 // send has a deadline; answers are bounded in size by the caller's limit.
-package httpc
+package httpclient
 
 import (
 	"bytes"
--- a/internal/state/state.go
+++ b/internal/kvstore/client.go
@@ -1,5 +1,6 @@
-// Package state is the typed client of the state service.
-package state
+// Package kvstore is the typed client of the consensus-backed key-value store that the
+// operators call the state service.
+package kvstore
 
 import (
 	"context"
@@ -10,7 +11,7 @@
 	"sync"
 	"time"
 
-	"dalefront/internal/httpc"
+	"dalefront/internal/httpclient"
 	"dalefront/wire"
 )
 
@@ -29,8 +30,8 @@
 
 // Client is safe for use by several goroutines.
 type Client struct {
-	calls   *httpc.Client
-	watches *httpc.Client
+	calls   *httpclient.Client
+	watches *httpclient.Client
 	reads   *pace // all requests
 	writes  *pace // changes
 
@@ -43,8 +44,8 @@
 // so many nodes have in common.
 func New(addr string, rps, writeRPS float64, nodes int) *Client {
 	return &Client{
-		calls:   httpc.New("http://"+addr, maxCalls, 0),
-		watches: httpc.New("http://"+addr, maxWatches, 0),
+		calls:   httpclient.New("http://"+addr, maxCalls, 0),
+		watches: httpclient.New("http://"+addr, maxWatches, 0),
 		reads:   newPace(rps, nodes, int(rps/4)),
 		writes:  newPace(writeRPS, nodes, int(writeRPS*0.8)),
 	}
@@ -59,7 +60,7 @@
 }
 
 func (c *Client) note(err error) error {
-	code := httpc.Code(err)
+	code := httpclient.Code(err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -109,7 +110,7 @@
 			return fmt.Errorf("%w: %v", ErrRefused, e)
 		}
 		err := c.calls.Call(ctx, limit, method, path, in, out)
-		crowded := httpc.Code(err) == http.StatusTooManyRequests
+		crowded := httpclient.Code(err) == http.StatusTooManyRequests
 		p.heard(crowded, time.Now())
 		if !crowded || i == maxTries-1 {
 			return c.note(err)
@@ -126,7 +127,7 @@
 func (c *Client) Get(ctx context.Context, key string) (wire.Entry, bool, error) {
 	var e wire.Entry
 	err := c.call(ctx, http.MethodGet, "/kv/"+key, nil, &e)
-	if httpc.Code(err) == http.StatusNotFound {
+	if httpclient.Code(err) == http.StatusNotFound {
 		return e, false, nil
 	}
 	return e, err == nil, err
@@ -179,7 +180,7 @@
 		}
 	}
 	err := c.try(ctx, callLimit, p, http.MethodPost, "/multi", txn, &a)
-	var se *httpc.StatusError
+	var se *httpclient.StatusError
 	if errors.As(err, &se) {
 		switch {
 		case se.Code == http.StatusConflict:
@@ -201,7 +202,7 @@
 // RenewLease renews a lease. It is urgent: it never queues behind other requests.
 func (c *Client) RenewLease(ctx context.Context, id uint64) error {
 	err := c.try(Urgent(ctx), time.Second, c.reads, http.MethodPost, fmt.Sprintf("/holds/%d/touch", id), struct{}{}, nil)
-	if httpc.Code(err) == http.StatusNotFound {
+	if httpclient.Code(err) == http.StatusNotFound {
 		return ErrNoLease
 	}
 	return err
@@ -222,7 +223,7 @@
 	q := url.Values{"Starts": {prefix}, "From": {fmt.Sprint(from)}, "HoldMs": {fmt.Sprint(hold.Milliseconds())}}
 	var ev wire.Events
 	err := c.watches.Call(ctx, hold+3*time.Second, http.MethodGet, "/changes?"+q.Encode(), nil, &ev)
-	if httpc.Code(err) == http.StatusGone {
+	if httpclient.Code(err) == http.StatusGone {
 		return ev, ErrCompacted
 	}
 	if err != nil {
--- a/internal/state/store.go
+++ b/internal/kvstore/store.go
@@ -1,4 +1,4 @@
-package state
+package kvstore
 
 import (
 	"context"
--- a/internal/recur/golden_test.go
+++ b/internal/recurring/golden_test.go
@@ -1,4 +1,4 @@
-package recur
+package recurring
 
 import (
 	"strings"
--- a/internal/recur/recur.go
+++ b/internal/recurring/recur.go
@@ -1,9 +1,9 @@
-// Package recur decides which runs of recurring jobs are due, are submitted and are
+// Package recurring decides which runs of recurring jobs are due, are submitted and are
 // missed. It is pure: schedules, stored state and the time go in, decisions to be
 // stored come out. Each decision is stored in one transaction, conditional on the
 // state that it rests on, together with the acceptance of its job: whatever fails, an
 // occurrence has one run or one recorded miss.
-package recur
+package recurring
 
 import (
 	"container/heap"
--- a/internal/scale/generator.go
+++ b/internal/scaletest/generator.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"dalefront/internal/httpc"
+	"dalefront/internal/httpclient"
 	"dalefront/wire"
 )
 
@@ -45,7 +45,7 @@
 // their tasks start.
 type generator struct {
 	spec   *Spec
-	client *httpc.Client
+	client *httpclient.Client
 	prefix int64 // of the jobs' names: no two runs share one
 	turns  chan struct{}
 
@@ -76,7 +76,7 @@
 )
 
 func newGenerator(spec *Spec, server string) *generator {
-	return &generator{spec: spec, client: httpc.New("http://"+server, 0, idleConns), prefix: time.Now().UnixMilli(), turns: make(chan struct{}, mostOnTheWay),
+	return &generator{spec: spec, client: httpclient.New("http://"+server, 0, idleConns), prefix: time.Now().UnixMilli(), turns: make(chan struct{}, mostOnTheWay),
 		jobs: map[string]*submission{}, times: map[string]*hdrhistogram.Histogram{}}
 }
 
@@ -163,7 +163,7 @@
 	for ctx.Err() == nil {
 		var status wire.JobStatus
 		err := g.client.Call(ctx, answerLimit, http.MethodPost, wire.PathJobs, job, &status)
-		if code := httpc.Code(err); err == nil || code == http.StatusCreated {
+		if code := httpclient.Code(err); err == nil || code == http.StatusCreated {
 			g.record(timeAccepted, time.Since(s.begun))
 			g.mu.Lock()
 			g.accepted++
--- a/internal/scale/meter.go
+++ b/internal/scaletest/meter.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"dalefront/internal/site"
+	"dalefront/internal/emulator"
 )
 
 // Role is what one process did for the system, per second of the steady part.
@@ -56,13 +56,13 @@
 	at          time.Time
 	controllers []Usage
 	site        Usage
-	state       site.StateLoad
-	workers     map[string]site.Traffic
+	state       emulator.StateLoad
+	workers     map[string]emulator.Traffic
 }
 
 // meter samples a site every second.
 type meter struct {
-	site *site.Site
+	site *emulator.Site
 	self int
 
 	mu      sync.Mutex
@@ -178,7 +178,7 @@
 	passed := last.at.Sub(first.at).Seconds()
 	c := WorkerCost{Reports: map[string]float64{}}
 	var rates []float64
-	both := func(t site.Traffic) float64 { return float64(t.Sent + t.Received) }
+	both := func(t emulator.Traffic) float64 { return float64(t.Sent + t.Received) }
 	for id, from := range first.workers {
 		to, there := last.workers[id]
 		if !there {
--- a/internal/scale/process.go
+++ b/internal/scaletest/process.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bufio"
--- a/internal/scale/run.go
+++ b/internal/scaletest/run.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"dalefront/internal/site"
+	"dalefront/internal/emulator"
 	"dalefront/wire"
 )
 
@@ -31,7 +31,7 @@
 type runner struct {
 	spec   *Spec
 	opt    Options
-	site   *site.Site
+	site   *emulator.Site
 	meter  *meter
 	gen    *generator
 	report *Report
@@ -54,7 +54,7 @@
 	if r.report.Host.MemoryMB, err = memoryMB(); err != nil {
 		return nil, err
 	}
-	s, err := site.Up(site.Options{Spec: spec.site(), Program: opt.Program, Operator: opt.Operator, Dir: opt.Dir})
+	s, err := emulator.Up(emulator.Options{Spec: spec.site(), Program: opt.Program, Operator: opt.Operator, Dir: opt.Dir})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scale/spec.go
+++ b/internal/scaletest/spec.go
@@ -1,8 +1,8 @@
-// Package scale runs a whole site at a given size on one machine, in real time: real
+// Package scaletest runs a whole site at a given size on one machine, in real time: real
 // controllers as processes, workers whose messages are real and whose work is not, and an
 // open-loop generator. It measures what each role costs and how long users wait, and fits
 // the cost of one more worker, task, start and so on.
-package scale
+package scaletest
 
 import (
 	"cmp"
@@ -13,26 +13,26 @@
 
 	"github.com/hashicorp/hcl/v2"
 
+	"dalefront/internal/emulator"
 	"dalefront/internal/hclfile"
-	"dalefront/internal/site"
 )
 
 // Spec is a scale run as its file describes it. Durations are seconds.
 type Spec struct {
-	Counts  Counts            `hcl:"counts,block"`
-	RampS   float64           `hcl:"ramp_s,optional"`    // at most, until the resident tasks run; 180
-	SteadyS float64           `hcl:"steady_s,optional"`  // without troubles: what roles cost is measured here; 60
-	Trouble float64           `hcl:"trouble_s,optional"` // in which the events fall; 0
-	SweepS  float64           `hcl:"sweep_s,optional"`   // the steady part of each point of a sweep; 20
-	TaskS   float64           `hcl:"task_s,optional"`    // mean run time of the tasks that come and go; 5
-	Limits  *SpecLimits       `hcl:"limits,block"`
-	Events  []Event           `hcl:"event,block"`
-	Sweeps  []Sweep           `hcl:"sweep,block"` // used with --sweep
-	Workers *site.SpecWorkers `hcl:"workers,block"`
-	State   *site.SpecState   `hcl:"state,block"`
-	Cloud   *site.SpecCloud   `hcl:"cloud,block"`
-	Seed    uint64            `hcl:"seed,optional"`
-	Sockets int               `hcl:"sockets,optional"` // of a controller; 800
+	Counts  Counts                `hcl:"counts,block"`
+	RampS   float64               `hcl:"ramp_s,optional"`    // at most, until the resident tasks run; 180
+	SteadyS float64               `hcl:"steady_s,optional"`  // without troubles: what roles cost is measured here; 60
+	Trouble float64               `hcl:"trouble_s,optional"` // in which the events fall; 0
+	SweepS  float64               `hcl:"sweep_s,optional"`   // the steady part of each point of a sweep; 20
+	TaskS   float64               `hcl:"task_s,optional"`    // mean run time of the tasks that come and go; 5
+	Limits  *SpecLimits           `hcl:"limits,block"`
+	Events  []Event               `hcl:"event,block"`
+	Sweeps  []Sweep               `hcl:"sweep,block"` // used with --sweep
+	Workers *emulator.SpecWorkers `hcl:"workers,block"`
+	State   *emulator.SpecState   `hcl:"state,block"`
+	Cloud   *emulator.SpecCloud   `hcl:"cloud,block"`
+	Seed    uint64                `hcl:"seed,optional"`
+	Sockets int                   `hcl:"sockets,optional"` // of a controller; 800
 }
 
 // Counts is the size of a run. Each can be varied by a sweep.
@@ -198,21 +198,21 @@
 
 // site is the site that the run needs: workers just large enough for the running tasks, of
 // one core each, and a little more.
-func (s *Spec) site() site.Spec {
+func (s *Spec) site() emulator.Spec {
 	c := &s.Counts
-	out := site.Spec{Controllers: c.Controllers, Machines: c.Workers, Seed: s.Seed, Sockets: s.Sockets, Workers: s.Workers, State: s.State, Cloud: s.Cloud}
+	out := emulator.Spec{Controllers: c.Controllers, Machines: c.Workers, Seed: s.Seed, Sockets: s.Sockets, Workers: s.Workers, State: s.State, Cloud: s.Cloud}
 	for i := range c.Zones {
 		out.Zones = append(out.Zones, "zone-"+string(rune('a'+i)))
 	}
 	cores := s.coresEach()
 	memory := 2 * cores
-	out.Types = append(out.Types, site.SpecMachine{Name: plainType, CPUs: cores, MemoryGB: memory, Price: 1, BootS: 1})
+	out.Types = append(out.Types, emulator.SpecMachine{Name: plainType, CPUs: cores, MemoryGB: memory, Price: 1, BootS: 1})
 	if c.Accelerators > 0 {
-		out.Types = append(out.Types, site.SpecMachine{Name: accelType, CPUs: cores, GPUs: acceleratorsEach, MemoryGB: memory, Price: 4, BootS: 1})
+		out.Types = append(out.Types, emulator.SpecMachine{Name: accelType, CPUs: cores, GPUs: acceleratorsEach, MemoryGB: memory, Price: 4, BootS: 1})
 	}
 	share := float64(c.TasksRunning) / float64(c.Teams)
 	for i := range c.Teams {
-		out.Teams = append(out.Teams, site.SpecTeam{Name: teamName(i), CPUs: math.Floor(0.8 * share), CPUsMax: math.Ceil(3*share) + 64})
+		out.Teams = append(out.Teams, emulator.SpecTeam{Name: teamName(i), CPUs: math.Floor(0.8 * share), CPUsMax: math.Ceil(3*share) + 64})
 	}
 	return out
 }
--- a/internal/sched/learned.go
+++ b/internal/sched/learned.go
@@ -6,19 +6,19 @@
 	"slices"
 	"sort"
 
-	"dalefront/internal/domain"
+	"dalefront/internal/failuredomain"
 )
 
 // Learned is what a leader has observed and its successor would otherwise have
 // to observe anew. It decides nothing by itself: a late or missing copy only costs
 // time.
 type Learned struct {
-	At      Micros         `msgpack:"A"` // time of day
-	Write   float64        `msgpack:"W"` // bandwidth of saves, GB/s
-	Classes []LearnedClass `msgpack:"C"`
-	Teams   []LearnedTeam  `msgpack:"T,omitempty"`
-	Suspect []LearnedJob   `msgpack:"J,omitempty"`
-	Silence domain.Memory  `msgpack:"S"` // how past silences of machines and zones ended
+	At      Micros               `msgpack:"A"` // time of day
+	Write   float64              `msgpack:"W"` // bandwidth of saves, GB/s
+	Classes []LearnedClass       `msgpack:"C"`
+	Teams   []LearnedTeam        `msgpack:"T,omitempty"`
+	Suspect []LearnedJob         `msgpack:"J,omitempty"`
+	Silence failuredomain.Memory `msgpack:"S"` // how past silences of machines and zones ended
 }
 
 // LearnedClass is what was observed of a class of jobs.
--- a/internal/sched/model.go
+++ b/internal/sched/model.go
@@ -11,8 +11,8 @@
 	"slices"
 
 	"dalefront/internal/config"
-	"dalefront/internal/domain"
 	"dalefront/internal/dynconfig"
+	"dalefront/internal/failuredomain"
 	"dalefront/wire"
 )
 
@@ -312,7 +312,7 @@
 	lastHello Micros // when the newest report came
 	told      Micros // when another controller last heard it, 0 if none said so
 	running   Micros // the latest moment of which a list shows it running
-	verdict   domain.Verdict
+	verdict   failuredomain.Verdict
 	pushed    Micros            // when the token was last sent straight to it
 	cordon    *dynconfig.Cordon // that keeps new tasks off, as of the last pass
 	recallAt  Micros            // when the cloud takes it, 0 if unknown
@@ -433,9 +433,9 @@
 	bwRead    float64
 	log       func(msg string, args ...any)
 	listedAt  Micros
-	domains   *domain.Detector
-	seen      []domain.Machine  // of the last survey
-	told      map[string]Micros // what other controllers heard of machines not yet known here
+	domains   *failuredomain.Detector
+	seen      []failuredomain.Machine // of the last survey
+	told      map[string]Micros       // what other controllers heard of machines not yet known here
 
 	Stats Stats
 }
@@ -466,7 +466,7 @@
 		log:     log,
 		told:    map[string]Micros{},
 	}
-	c.domains = domain.New(domain.Params{Zone: set.Zone, Began: now, Report: config.Micro(set.Deployment.Workers.ReportS),
+	c.domains = failuredomain.New(failuredomain.Params{Zone: set.Zone, Began: now, Report: config.Micro(set.Deployment.Workers.ReportS),
 		ListLag: config.Micro(set.Deployment.Cloud.ListLagS)})
 	for _, t := range set.Deployment.Teams {
 		c.teams[t.Name] = &team{Team: t}
--- a/internal/sched/scale_test.go
+++ b/internal/sched/scale_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"dalefront/internal/domain"
+	"dalefront/internal/failuredomain"
 	"dalefront/wire"
 )
 
@@ -67,7 +67,7 @@
 		}
 		bm.Run(fmt.Sprint("silence/", n), func(bm *testing.B) {
 			for bm.Loop() {
-				b.Survey(b.now, []domain.Controller{{Zone: "x", Heard: b.now}})
+				b.Survey(b.now, []failuredomain.Controller{{Zone: "x", Heard: b.now}})
 				b.ReturnFailed(b.Returns(b.now, false), b.now)
 			}
 		})
--- a/internal/sched/silence.go
+++ b/internal/sched/silence.go
@@ -5,7 +5,7 @@
 	"math"
 
 	"dalefront/internal/config"
-	"dalefront/internal/domain"
+	"dalefront/internal/failuredomain"
 	"dalefront/wire"
 )
 
@@ -25,12 +25,12 @@
 
 // observed is what the detector is told of a machine. Another controller may know
 // when it was last heard before its first report in this term.
-func (c *Core) observed(m *machine) domain.Machine {
-	return domain.Machine{Zone: m.zone, Mine: m.confirmed || m.lost, Heard: max(m.lastHello, m.told), Running: m.running, Failed: m.failed}
+func (c *Core) observed(m *machine) failuredomain.Machine {
+	return failuredomain.Machine{Zone: m.zone, Mine: m.confirmed || m.lost, Heard: max(m.lastHello, m.told), Running: m.running, Failed: m.failed}
 }
 
 // Survey lets the detector look at the machines and the other controllers.
-func (c *Core) Survey(now Micros, controllers []domain.Controller) {
+func (c *Core) Survey(now Micros, controllers []failuredomain.Controller) {
 	c.now = now
 	c.seen = c.seen[:0]
 	for _, m := range c.order {
@@ -50,7 +50,7 @@
 			continue
 		}
 		v := c.domains.Judge(now, c.observed(m)).Verdict
-		if v != m.verdict && (v == domain.Hung || v == domain.Dead) {
+		if v != m.verdict && (v == failuredomain.Hung || v == failuredomain.Dead) {
 			c.log("silent machine", "host", m.host, "zone", m.zone, "verdict", v.String(), "silent_us", now-m.lastHello, "tasks", m.n)
 		}
 		m.verdict = v
@@ -70,11 +70,11 @@
 // away says whether a machine can't be counted on for work that waits: it is silent
 // and not expected back before another one would be up.
 func (c *Core) away(m *machine) bool {
-	if !m.up || m.verdict == domain.Serving {
+	if !m.up || m.verdict == failuredomain.Serving {
 		return m.lost
 	}
 	f := c.domains.Judge(c.now, c.observed(m))
-	return f.Expect > config.Micro(0.8*m.kind.BootS) || f.Verdict == domain.Dead
+	return f.Expect > config.Micro(0.8*m.kind.BootS) || f.Verdict == failuredomain.Dead
 }
 
 // unsent frees launches of a silent machine that were stored but never went with an
@@ -100,7 +100,7 @@
 // delay is how long a task of a returned machine would wait until it runs again: it
 // takes a free place, or a machine that has to be rented, or, where none can be had,
 // the one that takes the returned one's place once it can be reached.
-func (e *elsewhere) delay(j *job, m *machine, f *domain.Finding) Micros {
+func (e *elsewhere) delay(j *job, m *machine, f *failuredomain.Finding) Micros {
 	c := e.c
 	if e.free == nil {
 		e.free, e.boot = map[*class]int{}, map[*class]Micros{}
@@ -142,7 +142,7 @@
 	switch {
 	case boot >= 0:
 		return boot + fetch
-	case f.Verdict == domain.Cut:
+	case f.Verdict == failuredomain.Cut:
 		return max(f.Expect, config.Micro(m.kind.BootS)) + fetch
 	}
 	return config.Micro(m.kind.BootS) + fetch
@@ -157,10 +157,10 @@
 // cut off goes on working.
 func (c *Core) giveUp(m *machine, e *elsewhere) (why string, ok bool) {
 	f := c.domains.Judge(c.now, c.observed(m))
-	if f.Verdict == domain.Blind {
+	if f.Verdict == failuredomain.Blind {
 		return "", false
 	}
-	if f.Verdict == domain.Dead {
+	if f.Verdict == failuredomain.Dead {
 		return f.Evidence, true
 	}
 	patience := *c.set.Operator.Patience
@@ -168,7 +168,7 @@
 		return "no patience is set", true
 	}
 	expect := float64(f.Expect)
-	if f.Verdict == domain.Unclear {
+	if f.Verdict == failuredomain.Unclear {
 		// Either it is dead, which the list will tell, or it comes back.
 		expect = f.Dying*float64(f.Known) + (1-f.Dying)*expect
 	}
--- a/internal/sched/silence_test.go
+++ b/internal/sched/silence_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"dalefront/internal/config"
-	"dalefront/internal/domain"
+	"dalefront/internal/failuredomain"
 	"dalefront/wire"
 )
 
@@ -46,9 +46,9 @@
 	for _, h := range hosts {
 		b.report(h, "s", "y", 1, b.running(h)...)
 	}
-	var cs []domain.Controller
+	var cs []failuredomain.Controller
 	if inside {
-		cs = append(cs, domain.Controller{Zone: "y", Heard: b.now})
+		cs = append(cs, failuredomain.Controller{Zone: "y", Heard: b.now})
 	}
 	for range 30 {
 		b.now += second
@@ -113,7 +113,7 @@
 	for _, h := range []string{"n-5", "n-6", "n-7"} {
 		b.report(h, "s", "x", 1)
 	}
-	b.Survey(b.now, []domain.Controller{{Zone: "y", Heard: b.now - 15*second}})
+	b.Survey(b.now, []failuredomain.Controller{{Zone: "y", Heard: b.now - 15*second}})
 	if !b.domains.IsCut("y") {
 		t.Error("the zone's silence began anew with the term")
 	}
--- a/internal/sim/confignodes_test.go
+++ b/internal/simulation/confignodes_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"time"
 
 	"dalefront/internal/config"
+	"dalefront/internal/controller"
 	"dalefront/internal/dynconfig"
-	"dalefront/internal/node"
 	"dalefront/internal/peer"
 	"dalefront/wire"
 )
@@ -190,7 +190,7 @@
 // A snapshot holds the configuration: nothing of it is left out.
 func TestSnapshotsHoldConfiguration(t *testing.T) {
 	for _, key := range []string{dynconfig.GenerationKey, dynconfig.DocumentPrefix + "team/red", dynconfig.HistoryPrefix + "0001/0000"} {
-		if node.Ephemeral(key) {
+		if controller.Ephemeral(key) {
 			t.Errorf("%s is left out of snapshots", key)
 		}
 	}
--- a/internal/sim/faults.go
+++ b/internal/simulation/faults.go
@@ -1,7 +1,7 @@
-package sim
+package simulation
 
 import (
-	"dalefront/internal/domain"
+	"dalefront/internal/failuredomain"
 )
 
 // cut is a zone that is cut off from everything outside it.
@@ -46,10 +46,10 @@
 }
 
 // controllers is one controller in each zone, as the leader sees them.
-func (w *World) controllers() []domain.Controller {
-	var out []domain.Controller
+func (w *World) controllers() []failuredomain.Controller {
+	var out []failuredomain.Controller
 	for _, z := range []string{"x", "y"} {
-		c := domain.Controller{Zone: z, Heard: w.Now}
+		c := failuredomain.Controller{Zone: z, Heard: w.Now}
 		if x := w.zones[z]; x != nil {
 			if !x.inside {
 				continue // nobody is there
--- a/internal/sim/node_test.go
+++ b/internal/simulation/node_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"bytes"
@@ -18,15 +18,15 @@
 
 	"dalefront/internal/calendar"
 	"dalefront/internal/config"
-	"dalefront/internal/node"
-	"dalefront/internal/recur"
-	"dalefront/internal/site"
+	"dalefront/internal/controller"
+	"dalefront/internal/emulator"
+	"dalefront/internal/recurring"
 	"dalefront/wire"
 )
 
 func freeAddr(t testing.TB) string {
 	t.Helper()
-	addr, err := site.FreeAddr()
+	addr, err := emulator.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,9 +36,9 @@
 // cluster is real nodes on loopback against the played services.
 type cluster struct {
 	t     testing.TB
-	svc   *site.Services
+	svc   *emulator.Services
 	addrs []string
-	nodes []*node.Node
+	nodes []*controller.Node
 	sets  []*config.Settings
 	stop  []func()                   // ends a node and waits for it
 	tasks map[string]wire.TaskReport // of the one worker
@@ -53,7 +53,7 @@
 
 func newCluster(t testing.TB, size int, set func(*config.Settings)) *cluster {
 	t.Helper()
-	c := &cluster{t: t, svc: site.NewServices(world(t, 1).Catalog), tasks: map[string]wire.TaskReport{}, clear: map[string]bool{}, session: 1}
+	c := &cluster{t: t, svc: emulator.NewServices(world(t, 1).Catalog), tasks: map[string]wire.TaskReport{}, clear: map[string]bool{}, session: 1}
 	change := set
 	srv := httptest.NewServer(c.svc)
 	t.Cleanup(srv.Close)
@@ -91,7 +91,7 @@
 // start starts a node, or another process of one that has ended.
 func (c *cluster) start(i int) {
 	c.t.Helper()
-	n, err := node.New(c.sets[i], slog.New(slog.NewTextHandler(io.Discard, nil)))
+	n, err := controller.New(c.sets[i], slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -452,7 +452,7 @@
 	}
 	c := newCluster(t, 3, func(s *config.Settings) { s.Operator.Calendar = file })
 	// As if the site had been down over the last New Year.
-	c.svc.Set("s/yearly", recur.State{Revision: cal.Schedules[0].Revision, Upto: time.Now().AddDate(-1, 0, 0).UnixMicro()})
+	c.svc.Set("s/yearly", recurring.State{Revision: cal.Schedules[0].Revision, Upto: time.Now().AddDate(-1, 0, 0).UnixMicro()})
 	c.svc.Mute(3)
 	var s wire.Schedule
 	get := func(i int) int {
--- a/internal/sim/warm_test.go
+++ b/internal/simulation/warm_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"context"
--- a/internal/sim/world.go
+++ b/internal/simulation/world.go
@@ -1,8 +1,8 @@
-// Package sim plays the outside of the scheduler's core for tests: a durable
+// Package simulation plays the outside of the scheduler's core for tests: a durable
 // store, a cloud, workers with their leases and a network that delays and loses
 // messages. Everything is driven by one seed; the rules of the protocol are
 // checked after every step.
-package sim
+package simulation
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 	"sort"
 
 	"dalefront/internal/config"
-	"dalefront/internal/node"
+	"dalefront/internal/controller"
+	"dalefront/internal/emulator"
 	"dalefront/internal/sched"
-	"dalefront/internal/site"
 	"dalefront/wire"
 )
 
@@ -21,7 +21,7 @@
 // worker is a machine's side of the network. What happens on it is played by package
 // site, as for a site of real controllers.
 type worker struct {
-	*site.Machine
+	*emulator.Machine
 	session uint64 // of its last step
 	waiting bool   // a report is in flight
 	nextAt  int64  // when it reports next
@@ -80,7 +80,7 @@
 	Set     *config.Settings
 	Catalog wire.Catalog
 
-	fleet   *site.Fleet
+	fleet   *emulator.Fleet
 	workers map[string]*worker
 	net     []message
 	said    []said
@@ -109,24 +109,24 @@
 
 	forgotten    map[string]bool
 	zones        map[string]*cut
-	alone        bool                   // the leader is the only controller
-	faulty       map[*site.Machine]bool // every task fails on them
-	Log          func(...any)           // gets what the core logs, if set
-	Sound        bool                   // new machines don't fail every task
-	Lag          int64                  // how long a transaction takes at most
-	Link         int64                  // how long a report takes at most, beside what is held back
-	Copies       int                    // one report in so many arrives again later; 0: one in forty
-	Settled      bool                   // all troubles are over
-	Lose         func() bool            // whether the answer to a transaction that is carried out is late
-	Calm         bool                   // nothing is lost, delayed or failed but what a test lets fail
-	Most         int                    // machines of a type that the cloud has, half of them in each zone
-	Returned     int                    // machines given back while tasks ran on them
-	Lost         int                    // tasks that ran when their worker forgot them or their machine was given back
-	Runs         int                    // tasks started
-	Failed       int                    // of these, at once
-	Done         int                    // jobs done
-	Reconfigured int                    // generations of the configuration
-	Refused      int                    // batches that were decided by a generation no longer in force
+	alone        bool                       // the leader is the only controller
+	faulty       map[*emulator.Machine]bool // every task fails on them
+	Log          func(...any)               // gets what the core logs, if set
+	Sound        bool                       // new machines don't fail every task
+	Lag          int64                      // how long a transaction takes at most
+	Link         int64                      // how long a report takes at most, beside what is held back
+	Copies       int                        // one report in so many arrives again later; 0: one in forty
+	Settled      bool                       // all troubles are over
+	Lose         func() bool                // whether the answer to a transaction that is carried out is late
+	Calm         bool                       // nothing is lost, delayed or failed but what a test lets fail
+	Most         int                        // machines of a type that the cloud has, half of them in each zone
+	Returned     int                        // machines given back while tasks ran on them
+	Lost         int                        // tasks that ran when their worker forgot them or their machine was given back
+	Runs         int                        // tasks started
+	Failed       int                        // of these, at once
+	Done         int                        // jobs done
+	Reconfigured int                        // generations of the configuration
+	Refused      int                        // batches that were decided by a generation no longer in force
 	Broken       []string
 	number       int // of the last job that a test has made up
 	seen         int // of the rules that the machines saw broken
@@ -138,12 +138,12 @@
 		Rng: rand.New(rand.NewPCG(seed, 1)), Now: 1_000 * second, Set: set, Catalog: cat,
 		workers: map[string]*worker{}, jobs: map[string]wire.Job{}, arrived: map[string]int64{}, ends: map[string]string{},
 		chunks: map[string]map[int]string{}, ledger: map[string]sched.Entry{},
-		forgotten: map[string]bool{}, zones: map[string]*cut{}, faulty: map[*site.Machine]bool{},
+		forgotten: map[string]bool{}, zones: map[string]*cut{}, faulty: map[*emulator.Machine]bool{},
 	}
-	w.fleet = site.NewFleet(seed, set, cat, 1<<20, site.SimulatedAddr)
+	w.fleet = emulator.NewFleet(seed, set, cat, 1<<20, emulator.SimulatedAddr)
 	w.fleet.Step(w.Now)
 	w.fleet.Refuses = func() bool { return w.Rng.IntN(60) == 0 }
-	w.fleet.Fails = func(m *site.Machine, j *wire.Job, starts bool) bool {
+	w.fleet.Fails = func(m *emulator.Machine, j *wire.Job, starts bool) bool {
 		if !starts {
 			return !w.Calm && w.Rng.IntN(3000) == 0
 		}
@@ -242,7 +242,7 @@
 // checkLimits checks a batch's transaction against the limits of the state service, which
 // would refuse it for good.
 func (w *World) checkLimits(cm *sched.Commit) {
-	txn := node.CommitTxn(cm, wire.Cond{Key: "term", Version: w.token})
+	txn := controller.CommitTxn(cm, wire.Cond{Key: "term", Version: w.token})
 	for i := range cm.Jobs { // at worst a manifest of its own for each job
 		txn.If = append(txn.If, wire.Cond{Key: fmt.Sprintf("a/m/%02x", i), Version: w.revision})
 	}
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"dalefront/internal/state"
+	"dalefront/internal/kvstore"
 	"dalefront/wire"
 )
 
@@ -121,7 +121,7 @@
 func (r *restorer) multi(ctx context.Context, t wire.Txn) (wire.TxnAnswer, error) {
 	for {
 		a, err := r.Multi(ctx, t)
-		if !errors.Is(err, state.ErrRefused) && !errors.Is(err, state.ErrUnknown) {
+		if !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrUnknown) {
 			r.d.Revision = max(r.d.Revision, a.Revision)
 			return a, err
 		}
@@ -160,7 +160,7 @@
 // put writes the mark anew.
 func (r *restorer) put(ctx context.Context, m mark, version uint64) (uint64, error) {
 	a, err := r.multi(ctx, wire.Txn{If: []wire.Cond{{Key: markKey, Version: version}}, Then: []wire.Change{{Put: markKey, Value: m}}})
-	if errors.Is(err, state.ErrConflict) { // a copy whose answer was lost, or another restore
+	if errors.Is(err, kvstore.ErrConflict) { // a copy whose answer was lost, or another restore
 		e, found, gerr := r.Get(ctx, markKey)
 		var have mark
 		if gerr == nil && found && wire.Unmarshal(e.Value, &have) == nil && have == m && e.Version > version {
@@ -184,7 +184,7 @@
 			r.d.Written += len(keys)
 			return differ, nil
 		}
-		if !errors.Is(err, state.ErrConflict) {
+		if !errors.Is(err, kvstore.ErrConflict) {
 			return differ, err
 		}
 		for _, k := range a.Failed {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -15,13 +15,13 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"dalefront/internal/state"
+	"dalefront/internal/kvstore"
 	"dalefront/wire"
 )
 
 // Store is what a snapshot needs of the state service; *state.Client has it.
 type Store interface {
-	state.Store
+	kvstore.Store
 	Changes(ctx context.Context, prefix string, from uint64, hold time.Duration) (wire.Events, error)
 }
 
@@ -50,7 +50,7 @@
 func Take(ctx context.Context, s Store, prefixes []string, leave func(key string) bool, now func() int64) (*Snapshot, error) {
 	for range tries {
 		snap, err := take(ctx, s, prefixes, leave, now)
-		if !errors.Is(err, state.ErrCompacted) {
+		if !errors.Is(err, kvstore.ErrCompacted) {
 			return snap, err
 		}
 	}
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"dalefront/internal/state"
+	"dalefront/internal/kvstore"
 	"dalefront/wire"
 )
 
@@ -84,7 +84,7 @@
 func (s *service) Changes(_ context.Context, prefix string, from uint64, _ time.Duration) (wire.Events, error) {
 	s.come()
 	if len(s.events) > 0 && s.events[0].Version > from+1 {
-		return wire.Events{}, state.ErrCompacted
+		return wire.Events{}, kvstore.ErrCompacted
 	}
 	out := wire.Events{Revision: s.rev}
 	for _, e := range s.events {
@@ -113,7 +113,7 @@
 	case err != nil && len(a.Failed) > 0:
 		return wire.TxnAnswer{}, err
 	case len(a.Failed) > 0:
-		return a, state.ErrConflict
+		return a, kvstore.ErrConflict
 	}
 	for _, c := range t.Then {
 		if c.Delete != "" {
@@ -278,7 +278,7 @@
 	o := Options{Ops: 6, Revision: 40}
 	stopped := errors.New("stopped")
 	for _, after := range []bool{false, true} {
-		for _, what := range []error{stopped, state.ErrUnknown, state.ErrRefused} {
+		for _, what := range []error{stopped, kvstore.ErrUnknown, kvstore.ErrRefused} {
 			for at := 0; ; at++ {
 				s := newService()
 				n := 0
@@ -365,7 +365,7 @@
 		}
 	}
 	s := newService()
-	if err := someSnapshot(3).Store(background, s, StoreOptions{Term: wire.Cond{Key: "term", Version: 7}, Ops: 4, Value: 300}); !errors.Is(err, state.ErrConflict) || len(s.keys) > 0 {
+	if err := someSnapshot(3).Store(background, s, StoreOptions{Term: wire.Cond{Key: "term", Version: 7}, Ops: 4, Value: 300}); !errors.Is(err, kvstore.ErrConflict) || len(s.keys) > 0 {
 		t.Errorf("without the term: %v", err)
 	}
 }
--- a/internal/worker/worker.go
+++ b/internal/workerclient/client.go
@@ -1,22 +1,22 @@
-// Package worker is the typed client for commands sent straight to workers.
-package worker
+// Package workerclient is the typed client for commands sent straight to workers.
+package workerclient
 
 import (
 	"context"
 	"net/http"
 	"time"
 
-	"dalefront/internal/httpc"
+	"dalefront/internal/httpclient"
 	"dalefront/wire"
 )
 
 // Client sends direct commands.
-type Client struct{ calls *httpc.Client }
+type Client struct{ calls *httpclient.Client }
 
 // New returns a client that keeps at most so many unused connections: without a bound
 // there would soon be one to each machine, and at some size no socket left for those who
 // ask.
-func New(idle int) *Client { return &Client{calls: httpc.New("", 1, max(1, idle))} }
+func New(idle int) *Client { return &Client{calls: httpclient.New("", 1, max(1, idle))} }
 
 // Orders sends stops and tokens to a worker. Launches never take this way: a
 // command may be held back and executed minutes later, and only a launch in a
--- a/internal/worker/worker_test.go
+++ b/internal/workerclient/client_test.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"context"
