--- a/cmd/dalefront/config.go
+++ b/cmd/dalefront/config.go
@@ -55,16 +55,16 @@
 }
 
 // apply asks the controllers one after the other, under one name, until one gives an answer.
-func (c *configClient) apply(ctx context.Context, q *peer.ConfigApply) (*peer.ConfigApplyAnswer, error) {
+func (c *configClient) apply(ctx context.Context, q *peer.ConfigApplyRequest) (*peer.ConfigApplyResponse, error) {
 	var last error
 	for _, client := range c.clients {
-		client.Again()
+		client.ResetBackoff()
 		a, err := client.ConfigApply(ctx, q)
 		if err == nil && (a.Outcome != peer.ConfigUnknown && a.Outcome != peer.ConfigRefused) {
 			return a, nil
 		}
 		if err == nil {
-			err = errors.New(a.Why)
+			err = errors.New(a.Reason)
 		}
 		// It may have been carried out, or may yet be: the next one looks for it first.
 		q.Again, last = true, err
@@ -73,16 +73,16 @@
 }
 
 // read asks the controllers one after the other.
-func (c *configClient) read(ctx context.Context, history bool) (*peer.ConfigReadAnswer, error) {
+func (c *configClient) read(ctx context.Context, history bool) (*peer.ConfigReadResponse, error) {
 	var last error
 	for _, client := range c.clients {
-		client.Again()
-		a, err := client.ConfigRead(ctx, &peer.ConfigRead{History: history})
-		if err == nil && a.Why == "" {
+		client.ResetBackoff()
+		a, err := client.ConfigRead(ctx, &peer.ConfigReadRequest{History: history})
+		if err == nil && a.Reason == "" {
 			return a, nil
 		}
 		if err == nil {
-			err = errors.New(a.Why)
+			err = errors.New(a.Reason)
 		}
 		last = err
 	}
@@ -125,8 +125,8 @@
 	cmd.Flags().StringVar(&f.by, "by", os.Getenv("USER"), "who changes it, for the history")
 }
 
-func (f *changeFlags) request() *peer.ConfigApply {
-	q := &peer.ConfigApply{ID: fmt.Sprintf("%x-%08x", time.Now().UnixMicro(), rand.Uint32()), By: f.by, DryRun: f.dryRun}
+func (f *changeFlags) request() *peer.ConfigApplyRequest {
+	q := &peer.ConfigApplyRequest{ID: fmt.Sprintf("%x-%08x", time.Now().UnixMicro(), rand.Uint32()), By: f.by, DryRun: f.dryRun}
 	if f.ifGeneration >= 0 {
 		generation := uint64(f.ifGeneration)
 		q.IfGeneration = &generation
@@ -135,7 +135,7 @@
 }
 
 // send sends a request and tells what became of it.
-func (f *changeFlags) send(cmd *cobra.Command, c *configClient, q *peer.ConfigApply) error {
+func (f *changeFlags) send(cmd *cobra.Command, c *configClient, q *peer.ConfigApplyRequest) error {
 	a, err := c.apply(cmd.Context(), q)
 	if err != nil {
 		return err
@@ -156,7 +156,7 @@
 		fmt.Fprintf(out, "nothing changes: generation %d\n", a.Generation)
 		return nil
 	}
-	return errors.New(a.Why)
+	return errors.New(a.Reason)
 }
 
 func configApplyCommand(with withController) *cobra.Command {
@@ -230,7 +230,7 @@
 	return cmd
 }
 
-func printDocuments(out io.Writer, a *peer.ConfigReadAnswer, asJSON bool) error {
+func printDocuments(out io.Writer, a *peer.ConfigReadResponse, asJSON bool) error {
 	if asJSON {
 		type document struct {
 			Kind string `json:"kind"`
@@ -327,7 +327,7 @@
 	out := make([]controllerConfig, len(c.clients))
 	for i, client := range c.clients {
 		out[i].Label = c.labels[i]
-		client.Again()
+		client.ResetBackoff()
 		a, err := client.ConfigStatus(ctx)
 		if err != nil {
 			continue
--- a/cmd/dalefront/job.go
+++ b/cmd/dalefront/job.go
@@ -68,7 +68,7 @@
 	})
 	status.Flags().BoolVar(&watch, "watch", false, "show each change until the job is over")
 	add("cancel ID", "Cancel a job", cobra.ExactArgs(1), func(s *user, args []string) error {
-		_, err := s.ask(http.MethodPost, wire.PathJobs+"/"+url.PathEscape(args[0])+"/"+wire.CancelVerb, nil)
+		_, err := s.ask(http.MethodPost, wire.PathJobs+"/"+url.PathEscape(args[0])+"/"+wire.CancelAction, nil)
 		return err
 	})
 	var f wire.JobFilter
--- a/cmd/dalefront/site.go
+++ b/cmd/dalefront/site.go
@@ -249,7 +249,7 @@
 	}
 	for _, j := range jobs {
 		if j.service {
-			path := server + wire.PathJobs + "/" + j.id + "/" + wire.CancelVerb
+			path := server + wire.PathJobs + "/" + j.id + "/" + wire.CancelAction
 			if err := patiently(func() error { return request(http.MethodPost, path, nil, &j.last) }); err != nil {
 				return fmt.Errorf("%s: %w", j.id, err)
 			}
--- a/cmd/dalefront/site_test.go
+++ b/cmd/dalefront/site_test.go
@@ -240,7 +240,9 @@
 	submit("j-2", 600)
 	submit("j-3", 4)
 	until("j-1", wire.JobDone)
-	if err := patiently(func() error { return request(http.MethodPost, jobs+"/j-2/"+wire.CancelVerb, nil, new(wire.JobStatus)) }); err != nil {
+	if err := patiently(func() error {
+		return request(http.MethodPost, jobs+"/j-2/"+wire.CancelAction, nil, new(wire.JobStatus))
+	}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := emulator.Up(emulator.Options{Data: data, Dir: t.TempDir()}); err == nil || !strings.Contains(err.Error(), "another site uses it") {
--- a/cmd/dalefront/snapshot_test.go
+++ b/cmd/dalefront/snapshot_test.go
@@ -161,7 +161,7 @@
 		})
 		if i >= running {
 			a.until("cancelled", func() bool {
-				code, _ := a.ask(http.MethodPost, fmt.Sprintf("%s/j-%04d/%s", wire.PathJobs, i, wire.CancelVerb), nil)
+				code, _ := a.ask(http.MethodPost, fmt.Sprintf("%s/j-%04d/%s", wire.PathJobs, i, wire.CancelAction), nil)
 				return code == 200
 			})
 		}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -36,7 +36,7 @@
 	Submit(ctx context.Context, j *wire.Job) (wire.JobStatus, bool, error)
 	Status(ctx context.Context, id string) (wire.JobStatus, error)
 	Cancel(ctx context.Context, id string) (wire.JobStatus, error)
-	Report(ctx context.Context, r *wire.Report) (wire.ReportAnswer, error)
+	Report(ctx context.Context, r *wire.Heartbeat) (wire.HeartbeatResponse, error)
 	Ready() error // or why no requests can be taken
 }
 
@@ -85,7 +85,7 @@
 }
 
 func body(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err != nil {
 		return nil, wire.ErrMalformed
 	}
@@ -132,15 +132,15 @@
 		defer cancel()
 		answer(w, r, func(id string) (wire.JobStatus, error) { return s.Status(ctx, id) })
 	})
-	mux.HandleFunc("POST "+wire.PathJobs+"/{id}/"+wire.CancelVerb, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("POST "+wire.PathJobs+"/{id}/"+wire.CancelAction, func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), submitLimit)
 		defer cancel()
 		answer(w, r, func(id string) (wire.JobStatus, error) { return s.Cancel(ctx, id) })
 	})
-	mux.HandleFunc("POST "+wire.PathReport, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("POST "+wire.PathHeartbeat, func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), reportLimit)
 		defer cancel()
-		var rep wire.Report
+		var rep wire.Heartbeat
 		b, err := io.ReadAll(io.LimitReader(r.Body, maxReport))
 		if err != nil || wire.Unmarshal(b, &rep) != nil || rep.Host == "" {
 			refuse(w, wire.ErrMalformed)
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -31,8 +31,8 @@
 func (f *fake) Cancel(_ context.Context, id string) (wire.JobStatus, error) {
 	return wire.JobStatus{ID: id, Status: wire.JobCancelled}, f.err
 }
-func (f *fake) Report(context.Context, *wire.Report) (wire.ReportAnswer, error) {
-	return wire.ReportAnswer{Token: 7}, f.err
+func (f *fake) Report(context.Context, *wire.Heartbeat) (wire.HeartbeatResponse, error) {
+	return wire.HeartbeatResponse{FencingToken: 7}, f.err
 }
 func (f *fake) Ready() error { return f.err }
 
@@ -90,7 +90,7 @@
 		"wrong type":   func(m map[string]any) { m["Spread"] = "yes" },
 		"types":        func(m map[string]any) { m["Builds"] = []int{3} },
 		"deadline":     func(m map[string]any) { m["DueS"] = "soon" },
-		"too long":     func(m map[string]any) { m["Extra"] = string(make([]byte, wire.MaxBody)) },
+		"too long":     func(m map[string]any) { m["Extra"] = string(make([]byte, wire.MaxBodyBytes)) },
 	}
 	for name, spoil := range bad {
 		m := job()
@@ -202,14 +202,14 @@
 		}
 	}
 	url := serve(t, &fake{err: ErrElse})
-	rep, _ := wire.Marshal(wire.Report{Host: "n-1"})
+	rep, _ := wire.Marshal(wire.Heartbeat{Host: "n-1"})
 	for _, c := range []struct {
 		method, path string
 		body         []byte
 		code         int
 	}{
-		{http.MethodPost, wire.PathReport, rep, 421}, {http.MethodGet, "/nowhere", nil, 404},
-		{http.MethodDelete, wire.PathJobs, nil, 405}, {http.MethodGet, wire.PathReport, nil, 405},
+		{http.MethodPost, wire.PathHeartbeat, rep, 421}, {http.MethodGet, "/nowhere", nil, 404},
+		{http.MethodDelete, wire.PathJobs, nil, 405}, {http.MethodGet, wire.PathHeartbeat, nil, 405},
 		{http.MethodGet, wire.PathHealth, nil, 503}, {http.MethodGet, wire.PathJobs + "/x", nil, 404},
 	} {
 		if resp, _ := send(t, c.method, url+c.path, c.body); resp.StatusCode != c.code {
@@ -220,8 +220,8 @@
 
 // A worker that is sent on is told where to.
 func TestElsewhere(t *testing.T) {
-	b, _ := wire.Marshal(wire.Report{Host: "n-1"})
-	resp, err := http.Post(serve(t, &fake{err: Elsewhere{"b"}})+wire.PathReport, contentType, bytes.NewReader(b))
+	b, _ := wire.Marshal(wire.Heartbeat{Host: "n-1"})
+	resp, err := http.Post(serve(t, &fake{err: Elsewhere{"b"}})+wire.PathHeartbeat, contentType, bytes.NewReader(b))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -48,7 +48,7 @@
 // process is one holder of the term.
 func process(m *memory, lim Limits) (*Reader, *Compactor) {
 	m.put("term", "x")
-	term := wire.Cond{Key: "term", Version: m.keys["term"].Version}
+	term := wire.Condition{Key: "term", Version: m.keys["term"].Version}
 	r := NewReader(m)
 	lim.After = testAfter
 	return r, NewCompactor(r, Source{
@@ -58,7 +58,7 @@
 			err := wire.Unmarshal(v, &s)
 			return End{Record{id, s.Status, s.Done}, s.At}, err
 		},
-		Term: func() wire.Cond { return term },
+		Term: func() wire.Condition { return term },
 		Now:  func() int64 { return testNow },
 	}, lim)
 }
--- a/internal/archive/compact.go
+++ b/internal/archive/compact.go
@@ -31,7 +31,7 @@
 	// Decode reads the value of an end's key.
 	Decode func(id string, value []byte) (End, error)
 	// Term is the condition that holds as long as this compactor is the only one.
-	Term func() wire.Cond
+	Term func() wire.Condition
 	// Now is the time of day in microseconds.
 	Now func() int64
 }
@@ -173,12 +173,12 @@
 // number of times and at any later moment: an answer once archived stays.
 func (c *Compactor) drop(ctx context.Context) (int, bool, error) {
 	k := min(len(c.drops), c.lim.Ops)
-	txn := wire.Txn{If: []wire.Cond{c.src.Term()}}
+	txn := wire.Txn{Conditions: []wire.Condition{c.src.Term()}}
 	for _, key := range c.drops[:k] {
-		txn.Then = append(txn.Then, wire.Change{Delete: key})
+		txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: key})
 	}
 	c.Counts.Requests++
-	_, err := c.r.store.Multi(ctx, txn)
+	_, err := c.r.store.Txn(ctx, txn)
 	if errors.Is(err, kvstore.ErrConflict) {
 		return 0, false, ErrDeposed
 	}
@@ -269,15 +269,15 @@
 		return 0, nil
 	}
 	m := &manifest{next: old.next}
-	txn := wire.Txn{If: []wire.Cond{c.src.Term(), {Key: manifestKey(shard), Version: v.version}}}
+	txn := wire.Txn{Conditions: []wire.Condition{c.src.Term(), {Key: manifestKey(shard), Version: v.version}}}
 	var refs []leafRef
 	for i, p := range parts {
 		refs = append(refs, leafRef{m.next, len(p.numbers), p.numbers[0]})
-		txn.Then = append(txn.Then, wire.Change{Put: leafKey(shard, m.next), Value: texts[i]})
+		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: leafKey(shard, m.next), Value: texts[i]})
 		m.next++
 	}
 	if len(old.leaves) > 0 {
-		txn.Then = append(txn.Then, wire.Change{Delete: leafKey(shard, old.leaves[at].name)})
+		txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: leafKey(shard, old.leaves[at].name)})
 		m.leaves = append(append(append(m.leaves, old.leaves[:at]...), refs...), old.leaves[at+1:]...)
 	} else {
 		m.leaves = refs
@@ -294,15 +294,15 @@
 		c.full[shard] = true
 		return 0, nil
 	}
-	txn.Then = append(txn.Then, wire.Change{Put: manifestKey(shard), Value: text})
+	txn.Mutations = append(txn.Mutations, wire.Mutation{Put: manifestKey(shard), Value: text})
 	c.Counts.Requests++
-	a, err := c.r.store.Multi(ctx, txn)
+	a, err := c.r.store.Txn(ctx, txn)
 	if err := c.failed(ctx, shard, err); err != nil {
 		return 0, err
 	}
 	c.r.set(shard, view{a.Revision, m})
 	c.Counts.Switches++
-	return len(txn.Then), nil
+	return len(txn.Mutations), nil
 }
 
 // failed looks into a transaction that was not, or not surely, applied. The manifest
@@ -317,7 +317,7 @@
 	}
 	if errors.Is(err, kvstore.ErrConflict) {
 		c.Counts.Requests++
-		if _, terr := c.r.store.Multi(ctx, wire.Txn{If: []wire.Cond{c.src.Term()}}); errors.Is(terr, kvstore.ErrConflict) {
+		if _, terr := c.r.store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{c.src.Term()}}); errors.Is(terr, kvstore.ErrConflict) {
 			return ErrDeposed
 		}
 	}
--- a/internal/archive/reader.go
+++ b/internal/archive/reader.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func (r *Reader) take(shard int, e wire.Entry) error {
+func (r *Reader) take(shard int, e wire.KeyValue) error {
 	var text string
 	if err := wire.Unmarshal(e.Value, &text); err != nil {
 		return fmt.Errorf("%s: %w", e.Key, ErrDamaged)
@@ -111,7 +111,7 @@
 type Answer struct {
 	Found  bool
 	Record Record
-	Cond   wire.Cond
+	Cond   wire.Condition
 }
 
 // Look asks about a job: without a request unless its answer is there, or, seldom,
@@ -125,7 +125,7 @@
 	// A leaf that is gone was replaced, and the manifest that named it too.
 	for tries := 0; ; tries++ {
 		v := r.view(shard)
-		a := Answer{Cond: wire.Cond{Key: manifestKey(shard), Version: v.version}}
+		a := Answer{Cond: wire.Condition{Key: manifestKey(shard), Version: v.version}}
 		if v.m == nil || !v.m.filter.mayHave(n) {
 			return a, nil
 		}
@@ -163,13 +163,13 @@
 
 // Guard returns the condition under which no job of the same shard has an answer in
 // the archive that this reader does not know of.
-func (r *Reader) Guard(id string) wire.Cond {
+func (r *Reader) Guard(id string) wire.Condition {
 	n, err := parseID(id)
 	if err != nil {
-		return wire.Cond{Key: manifestKey(0)} // never reached: ids are checked on arrival
+		return wire.Condition{Key: manifestKey(0)} // never reached: ids are checked on arrival
 	}
 	shard := n.shard()
-	return wire.Cond{Key: manifestKey(shard), Version: r.view(shard).version}
+	return wire.Condition{Key: manifestKey(shard), Version: r.view(shard).version}
 }
 
 func (r *Reader) leaf(ctx context.Context, key string) (*leaf, bool, error) {
--- a/internal/archive/store_test.go
+++ b/internal/archive/store_test.go
@@ -32,7 +32,7 @@
 type memory struct {
 	ops, value int
 	rev        uint64
-	keys       map[string]wire.Entry
+	keys       map[string]wire.KeyValue
 	sorted     []string // all keys there ever were; nil until they are listed
 	late       []wire.Txn
 	writes     int
@@ -44,12 +44,12 @@
 }
 
 func newMemory(ops, value int) *memory {
-	return &memory{ops: ops, value: value, rev: 1, keys: map[string]wire.Entry{}}
+	return &memory{ops: ops, value: value, rev: 1, keys: map[string]wire.KeyValue{}}
 }
 
-func (m *memory) Get(_ context.Context, key string) (wire.Entry, bool, error) {
+func (m *memory) Get(_ context.Context, key string) (wire.KeyValue, bool, error) {
 	if m.dead {
-		return wire.Entry{}, false, errKilled
+		return wire.KeyValue{}, false, errKilled
 	}
 	m.requests++
 	m.arrive()
@@ -58,9 +58,9 @@
 	return e, ok, nil
 }
 
-func (m *memory) Page(_ context.Context, prefix, after string, most int) (wire.Entries, error) {
+func (m *memory) Page(_ context.Context, prefix, after string, most int) (wire.KeyValuePage, error) {
 	if m.dead {
-		return wire.Entries{}, errKilled
+		return wire.KeyValuePage{}, errKilled
 	}
 	m.requests++
 	m.arrive()
@@ -70,7 +70,7 @@
 		}
 		sort.Strings(m.sorted)
 	}
-	out := wire.Entries{Revision: m.rev}
+	out := wire.KeyValuePage{Revision: m.rev}
 	size := 0
 	for _, k := range m.sorted[sort.SearchStrings(m.sorted, max(prefix, after)):] {
 		if !strings.HasPrefix(k, prefix) || k <= after {
@@ -102,16 +102,16 @@
 	}
 }
 
-func (m *memory) Multi(_ context.Context, t wire.Txn) (wire.TxnAnswer, error) {
+func (m *memory) Txn(_ context.Context, t wire.Txn) (wire.TxnResponse, error) {
 	if m.dead {
-		return wire.TxnAnswer{}, errKilled
+		return wire.TxnResponse{}, errKilled
 	}
 	m.requests++
-	if len(t.Then) > m.ops || len(t.If) > 4*m.ops {
-		panic(fmt.Sprintf("transaction with %d conditions and %d changes", len(t.If), len(t.Then)))
+	if len(t.Mutations) > m.ops || len(t.Conditions) > 4*m.ops {
+		panic(fmt.Sprintf("transaction with %d conditions and %d changes", len(t.Conditions), len(t.Mutations)))
 	}
 	o := applied
-	if len(t.Then) > 0 {
+	if len(t.Mutations) > 0 {
 		m.writes++
 		if m.next != nil {
 			o = m.next(m.writes)
@@ -122,42 +122,42 @@
 	}
 	switch o {
 	case refused:
-		return wire.TxnAnswer{}, kvstore.ErrRefused
+		return wire.TxnResponse{}, kvstore.ErrRefused
 	case lostRequest:
-		return wire.TxnAnswer{}, kvstore.ErrUnknown
+		return wire.TxnResponse{}, kvstore.ErrUnknown
 	case late:
 		m.late = append(m.late, t)
-		return wire.TxnAnswer{}, kvstore.ErrUnknown
+		return wire.TxnResponse{}, kvstore.ErrUnknown
 	case killedBefore:
 		m.dead = true
-		return wire.TxnAnswer{}, errKilled
+		return wire.TxnResponse{}, errKilled
 	}
 	a, err := m.apply(t)
 	switch o {
 	case lostAnswer:
-		return wire.TxnAnswer{}, kvstore.ErrUnknown
+		return wire.TxnResponse{}, kvstore.ErrUnknown
 	case killedAfter:
 		m.dead = true
-		return wire.TxnAnswer{}, errKilled
+		return wire.TxnResponse{}, errKilled
 	}
 	return a, err
 }
 
-func (m *memory) apply(t wire.Txn) (wire.TxnAnswer, error) {
-	a := wire.TxnAnswer{}
-	for _, c := range t.If {
+func (m *memory) apply(t wire.Txn) (wire.TxnResponse, error) {
+	a := wire.TxnResponse{}
+	for _, c := range t.Conditions {
 		if m.keys[c.Key].Version != c.Version {
-			a.Failed = append(a.Failed, c.Key)
+			a.FailedKeys = append(a.FailedKeys, c.Key)
 		}
 	}
-	if len(a.Failed) > 0 {
+	if len(a.FailedKeys) > 0 {
 		return a, kvstore.ErrConflict
 	}
-	if len(t.Then) > 0 {
+	if len(t.Mutations) > 0 {
 		m.rev++
 	}
 	size := 0
-	for _, c := range t.Then {
+	for _, c := range t.Mutations {
 		if c.Delete != "" {
 			delete(m.keys, c.Delete)
 			continue
@@ -168,14 +168,14 @@
 		}
 		size += len(b)
 		m.sort(c.Put)
-		m.keys[c.Put] = wire.Entry{Key: c.Put, Value: b, Version: m.rev}
+		m.keys[c.Put] = wire.KeyValue{Key: c.Put, Value: b, Version: m.rev}
 	}
 	if size > 64<<10 {
 		panic(fmt.Sprintf("transaction of %d bytes", size))
 	}
 	m.bytes += size
 	a.Revision = m.rev
-	if m.after != nil && len(t.Then) > 0 {
+	if m.after != nil && len(t.Mutations) > 0 {
 		m.after()
 	}
 	return a, nil
@@ -210,5 +210,5 @@
 	}
 	m.rev++
 	m.sort(key)
-	m.keys[key] = wire.Entry{Key: key, Value: b, Version: m.rev}
+	m.keys[key] = wire.KeyValue{Key: key, Value: b, Version: m.rev}
 }
--- a/internal/calendar/file.go
+++ b/internal/calendar/file.go
@@ -361,7 +361,7 @@
 func (x *jobBlock) template() (wire.Job, error) {
 	j := wire.Job{ID: "j-0", Class: x.Class, Team: x.Team, Shape: x.Shape, Priority: x.Priority, Tasks: x.Tasks, CPUs: x.CPUs, GPUs: x.GPUs,
 		MemoryGB: x.MemoryGB, Image: x.Image, ImageGB: x.ImageGB, Types: x.Types, Zone: x.Zone, OneZone: x.OneZone, Spread: x.Spread, Spot: x.Spot,
-		EstimateS: x.EstimateS, CheckpointEvery: x.CheckpointS, SaveS: x.SaveS, DeadlineS: x.DeadlineS}
+		EstimateS: x.EstimateS, CheckpointIntervalS: x.CheckpointS, CheckpointDurationS: x.SaveS, DeadlineS: x.DeadlineS}
 	if j.Shape == "" {
 		j.Shape = wire.Array
 	}
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -56,20 +56,20 @@
 
 // Hire rents machines. The request's name must be stored before and never be
 // used for another request.
-func (c *Client) Hire(ctx context.Context, h wire.Hire) ([]string, error) {
-	var a wire.Hosts
-	err := c.call(ctx, http.MethodPost, wire.PathRentals, h, &a)
+func (c *Client) Hire(ctx context.Context, h wire.ScaleOutRequest) ([]string, error) {
+	var a wire.MachineIDs
+	err := c.call(ctx, http.MethodPost, wire.PathMachines, h, &a)
 	var se *httpclient.StatusError
 	if errors.As(err, &se) && se.Code == http.StatusServiceUnavailable && se.Text == ErrNoCapacity.Error() {
 		return nil, ErrNoCapacity
 	}
-	return a.Hosts, err
+	return a.IDs, err
 }
 
 // Return gives machines back. After it succeeds they, and everything on them,
 // are gone.
 func (c *Client) Return(ctx context.Context, hosts []string) error {
-	return c.call(ctx, http.MethodPost, wire.PathReturn, wire.Hosts{Hosts: hosts}, nil)
+	return c.call(ctx, http.MethodPost, wire.PathScaleIn, wire.MachineIDs{IDs: hosts}, nil)
 }
 
 // List reads the whole machine list, which lags.
@@ -81,14 +81,14 @@
 		if from != "" {
 			q.Set("From", from)
 		}
-		var page wire.Machines
-		if err := c.call(ctx, http.MethodGet, wire.PathRentals+"?"+q.Encode(), nil, &page); err != nil {
+		var page wire.MachinePage
+		if err := c.call(ctx, http.MethodGet, wire.PathMachines+"?"+q.Encode(), nil, &page); err != nil {
 			return nil, fmt.Errorf("machine list: %w", err)
 		}
-		all = append(all, page.Hosts...)
-		if !page.More || len(page.Hosts) == 0 {
+		all = append(all, page.Machines...)
+		if !page.More || len(page.Machines) == 0 {
 			return all, nil
 		}
-		from = page.Hosts[len(page.Hosts)-1].ID
+		from = page.Machines[len(page.Machines)-1].ID
 	}
 }
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -19,7 +19,7 @@
 // from: it changes whenever ends of the same shard are archived.
 
 // guarded adds the manifests that stand for jobs, each once.
-func (n *Node) guarded(conds []wire.Cond, ids ...string) []wire.Cond {
+func (n *Node) guarded(conds []wire.Condition, ids ...string) []wire.Condition {
 	for _, id := range ids {
 		if g := n.archive.Guard(id); !slices.Contains(conds, g) {
 			conds = append(conds, g)
@@ -32,7 +32,7 @@
 // the archive; then it returns that end. The transaction's own conditions see to an
 // end that is not archived.
 func (n *Node) unlessEnded(ctx context.Context, id string, txn wire.Txn) (wire.JobStatus, error) {
-	own := txn.If
+	own := txn.Conditions
 	for tries := 0; ; tries++ {
 		a, err := n.archive.Look(ctx, id)
 		if err != nil {
@@ -41,15 +41,15 @@
 		if a.Found {
 			return n.archived(a.Record), nil
 		}
-		txn.If = append(slices.Clone(own), a.Cond)
-		res, err := n.state.Multi(ctx, txn)
+		txn.Conditions = append(slices.Clone(own), a.Cond)
+		res, err := n.state.Txn(ctx, txn)
 		if !errors.Is(err, kvstore.ErrConflict) || tries == 3 {
 			return wire.JobStatus{}, err
 		}
-		if len(res.Failed) != 1 || res.Failed[0] != a.Cond.Key {
+		if len(res.FailedKeys) != 1 || res.FailedKeys[0] != a.Cond.Key {
 			return wire.JobStatus{}, err
 		}
-		if _, rerr := n.archive.Refresh(ctx, res.Failed); rerr != nil {
+		if _, rerr := n.archive.Refresh(ctx, res.FailedKeys); rerr != nil {
 			return wire.JobStatus{}, api.ErrNotNow
 		}
 	}
@@ -145,7 +145,7 @@
 }
 
 // endSource tells a compactor about ends as they are stored.
-func endSource(term func() wire.Cond, now func() int64) archive.Source {
+func endSource(term func() wire.Condition, now func() int64) archive.Source {
 	return archive.Source{
 		EndPrefix: endPrefix, JobPrefix: jobPrefix, Term: term, Now: now,
 		Decode: func(id string, value []byte) (archive.End, error) {
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -55,7 +55,7 @@
 	store := kvstore.New(strings.TrimPrefix(direct.URL, "http://"), 1e6, 1e6, 1)
 	s.reader = archive.NewReader(store)
 	s.compact = archive.NewCompactor(s.reader,
-		endSource(func() wire.Cond { return wire.Cond{Key: termKey, Version: e.Version} }, func() int64 { return 1000 }),
+		endSource(func() wire.Condition { return wire.Condition{Key: termKey, Version: e.Version} }, func() int64 { return 1000 }),
 		archive.Limits{Ops: 12, Value: 16 << 10, After: 10})
 	return s
 }
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancelled.go
@@ -96,10 +96,10 @@
 
 // deleteNow deletes keys on condition of the term.
 func (r *leadership) deleteNow(keys []string) error {
-	txn := wire.Txn{If: []wire.Cond{r.termCond()}}
+	txn := wire.Txn{Conditions: []wire.Condition{r.termCond()}}
 	for _, k := range keys {
-		txn.Then = append(txn.Then, wire.Change{Delete: k})
+		txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: k})
 	}
-	_, err := r.n.state.Multi(r.ctx, txn)
+	_, err := r.n.state.Txn(r.ctx, txn)
 	return err
 }
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -50,8 +50,8 @@
 func (c *configuration) current() *inForce { return c.now.Load() }
 
 // generationCond makes a transaction fail once the configuration has changed.
-func generationCond(version uint64) wire.Cond {
-	return wire.Cond{Key: dynconfig.GenerationKey, Version: version}
+func generationCond(version uint64) wire.Condition {
+	return wire.Condition{Key: dynconfig.GenerationKey, Version: version}
 }
 
 const (
@@ -149,7 +149,7 @@
 
 // follows takes the configuration as a copy of the stored state has it at a revision, unless
 // what is followed is newer.
-func (c *configuration) follows(entries []wire.Entry, revision uint64) error {
+func (c *configuration) follows(entries []wire.KeyValue, revision uint64) error {
 	if len(entries) == 0 && c.current().known {
 		return nil
 	}
@@ -232,9 +232,9 @@
 }
 
 // heard takes what a peer's hello says of the configuration.
-func (c *configuration) heard(label string, h *peer.Hello) {
+func (c *configuration) heard(label string, h *peer.Heartbeat) {
 	c.mu.Lock()
-	c.earlier[label] = !h.Configures
+	c.earlier[label] = !h.SupportsConfig
 	c.mu.Unlock()
 	if now := c.current(); h.Generation > now.number {
 		select {
@@ -258,21 +258,21 @@
 }
 
 // PeerConfigStatus implements peer.Server.
-func (n *Node) PeerConfigStatus(context.Context, *peer.ConfigStatus) (*peer.ConfigStatusAnswer, error) {
+func (n *Node) PeerConfigStatus(context.Context, *peer.ConfigStatusRequest) (*peer.ConfigStatusResponse, error) {
 	now := n.config.current()
-	return &peer.ConfigStatusAnswer{Label: n.set.Label, Known: now.known, Generation: now.number, Since: now.since, Unknown: now.unknown}, nil
+	return &peer.ConfigStatusResponse{Label: n.set.Label, Known: now.known, Generation: now.number, Since: now.since, Unknown: now.unknown}, nil
 }
 
 // PeerConfigRead implements peer.Server.
-func (n *Node) PeerConfigRead(ctx context.Context, q *peer.ConfigRead) (*peer.ConfigReadAnswer, error) {
+func (n *Node) PeerConfigRead(ctx context.Context, q *peer.ConfigReadRequest) (*peer.ConfigReadResponse, error) {
 	s, _, err := n.config.read(ctx)
 	if err != nil {
-		return &peer.ConfigReadAnswer{Why: err.Error()}, nil
+		return &peer.ConfigReadResponse{Reason: err.Error()}, nil
 	}
-	a := &peer.ConfigReadAnswer{Generation: s.Generation.Number, Documents: s.Documents()}
+	a := &peer.ConfigReadResponse{Generation: s.Generation.Number, Documents: s.Documents()}
 	if q.History {
 		if a.History, err = n.config.history(ctx, s); err != nil {
-			return &peer.ConfigReadAnswer{Why: err.Error()}, nil
+			return &peer.ConfigReadResponse{Reason: err.Error()}, nil
 		}
 	}
 	return a, nil
--- a/internal/controller/configapply.go
+++ b/internal/controller/configapply.go
@@ -18,7 +18,7 @@
 type applier struct {
 	n     *Node
 	q     *dynconfig.Request
-	ask   *peer.ConfigApply
+	ask   *peer.ConfigApplyRequest
 	first uint64 // generation at the first read; 0: not read yet
 
 	// The version of the generation's key that a switch without an answer was conditional on.
@@ -29,15 +29,15 @@
 var errEarlierVersion = errors.New("runs a version that knows no configuration at run time: update it first")
 
 // PeerConfigApply implements peer.Server.
-func (n *Node) PeerConfigApply(ctx context.Context, ask *peer.ConfigApply) (*peer.ConfigApplyAnswer, error) {
+func (n *Node) PeerConfigApply(ctx context.Context, ask *peer.ConfigApplyRequest) (*peer.ConfigApplyResponse, error) {
 	ctx, cancel := context.WithTimeout(kvstore.Urgent(ctx), peer.ApplyLimit)
 	defer cancel()
 	if ask.ID == "" {
-		return &peer.ConfigApplyAnswer{Outcome: peer.ConfigInvalid, Why: "the apply has no name"}, nil
+		return &peer.ConfigApplyResponse{Outcome: peer.ConfigInvalid, Reason: "the apply has no name"}, nil
 	}
 	for i := range ask.Changes {
 		if err := dynconfig.Check(n.set, &ask.Changes[i]); err != nil {
-			return &peer.ConfigApplyAnswer{Outcome: peer.ConfigInvalid, Why: err.Error()}, nil
+			return &peer.ConfigApplyResponse{Outcome: peer.ConfigInvalid, Reason: err.Error()}, nil
 		}
 	}
 	a := &applier{n: n, ask: ask, q: &dynconfig.Request{ID: ask.ID, By: ask.By, Changes: ask.Changes, IfGeneration: ask.IfGeneration, At: n.now()}}
@@ -47,7 +47,7 @@
 // applyPause is how long an apply waits before it tries again.
 const applyPause = 60 * time.Millisecond
 
-func (a *applier) run(ctx context.Context) *peer.ConfigApplyAnswer {
+func (a *applier) run(ctx context.Context) *peer.ConfigApplyResponse {
 	var last error
 	for ctx.Err() == nil {
 		answer, err := a.try(ctx)
@@ -58,13 +58,13 @@
 		rest(ctx, applyPause)
 	}
 	if a.unknown != nil {
-		return &peer.ConfigApplyAnswer{Outcome: peer.ConfigUnknown, Why: "the state service gave no answer: it may have been applied, or may yet be"}
+		return &peer.ConfigApplyResponse{Outcome: peer.ConfigUnknown, Reason: "the state service gave no answer: it may have been applied, or may yet be"}
 	}
-	return &peer.ConfigApplyAnswer{Outcome: peer.ConfigRefused, Why: fmt.Sprint(last)}
+	return &peer.ConfigApplyResponse{Outcome: peer.ConfigRefused, Reason: fmt.Sprint(last)}
 }
 
 // try reads and stores once. It returns no answer if it is to be tried again.
-func (a *applier) try(ctx context.Context) (*peer.ConfigApplyAnswer, error) {
+func (a *applier) try(ctx context.Context) (*peer.ConfigApplyResponse, error) {
 	s, _, err := a.n.config.read(ctx)
 	if err != nil {
 		return nil, err
@@ -92,24 +92,24 @@
 	}
 	term, err := a.term(ctx)
 	if errors.Is(err, errEarlierVersion) {
-		return &peer.ConfigApplyAnswer{Outcome: peer.ConfigRefused, Why: err.Error()}, nil
+		return &peer.ConfigApplyResponse{Outcome: peer.ConfigRefused, Reason: err.Error()}, nil
 	} else if err != nil {
 		return nil, err
 	}
 	if a.ask.DryRun {
-		return &peer.ConfigApplyAnswer{Outcome: peer.ConfigApplied, Generation: plan.Generation, Changes: plan.Changes}, nil
+		return &peer.ConfigApplyResponse{Outcome: peer.ConfigApplied, Generation: plan.Generation, Changes: plan.Changes}, nil
 	}
 	if err := a.store(ctx, s, plan, term); err != nil {
 		return nil, err
 	}
 	a.tidy(plan.Tidy)
 	_ = a.n.config.refresh(ctx) // the watch brings it all the same
-	return &peer.ConfigApplyAnswer{Outcome: peer.ConfigApplied, Generation: plan.Generation, Changes: plan.Changes}, nil
+	return &peer.ConfigApplyResponse{Outcome: peer.ConfigApplied, Generation: plan.Generation, Changes: plan.Changes}, nil
 }
 
 // unplanned answers a request that can't be planned, or lets it be tried again: while an
 // earlier transaction of it may yet arrive nothing is final.
-func (a *applier) unplanned(s *dynconfig.State, err error) (*peer.ConfigApplyAnswer, error) {
+func (a *applier) unplanned(s *dynconfig.State, err error) (*peer.ConfigApplyResponse, error) {
 	outcome := peer.ConfigInvalid
 	switch {
 	case errors.Is(err, dynconfig.ErrStaging):
@@ -122,7 +122,7 @@
 	if a.unknown != nil {
 		return nil, err
 	}
-	return &peer.ConfigApplyAnswer{Outcome: outcome, Generation: s.Generation.Number, Why: err.Error()}, nil
+	return &peer.ConfigApplyResponse{Outcome: outcome, Generation: s.Generation.Number, Reason: err.Error()}, nil
 }
 
 // oldestHistory is how many of the oldest keys of the history are looked at, to be tidied.
@@ -131,7 +131,7 @@
 // history looks whether this apply is in force already, and returns the oldest and newest
 // keys of the history. An apply that is asked for the first time can only be there since its
 // first read.
-func (a *applier) history(ctx context.Context, s *dynconfig.State) (*peer.ConfigApplyAnswer, []string, error) {
+func (a *applier) history(ctx context.Context, s *dynconfig.State) (*peer.ConfigApplyResponse, []string, error) {
 	oldest, err := a.n.state.Page(ctx, dynconfig.HistoryPrefix, "", oldestHistory)
 	if err != nil {
 		return nil, nil, err
@@ -153,7 +153,7 @@
 	}
 	for _, h := range history {
 		if h.Apply == a.q.ID {
-			return &peer.ConfigApplyAnswer{Outcome: peer.ConfigApplied, Generation: h.Generation, Changes: h.Changes}, nil, nil
+			return &peer.ConfigApplyResponse{Outcome: peer.ConfigApplied, Generation: h.Generation, Changes: h.Changes}, nil, nil
 		}
 	}
 	return nil, dynconfig.HistoryKeys(append(oldest.Items, newest.Items...)), nil
@@ -162,61 +162,61 @@
 // claim takes the generation's key over from an apply that is writing, or that ended while it
 // wrote.
 func (a *applier) claim(ctx context.Context, s *dynconfig.State) error {
-	_, err := a.n.state.Multi(ctx, wire.Txn{If: []wire.Cond{generationCond(s.GenerationVersion)}, Then: s.Claim(a.q.ID)})
+	_, err := a.n.state.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCond(s.GenerationVersion)}, Mutations: s.Claim(a.q.ID)})
 	return err
 }
 
 // rollBack makes the request's changes those that lead back to a generation.
-func (a *applier) rollBack(ctx context.Context, s *dynconfig.State) (*peer.ConfigApplyAnswer, error) {
+func (a *applier) rollBack(ctx context.Context, s *dynconfig.State) (*peer.ConfigApplyResponse, error) {
 	history, err := a.n.config.history(ctx, s)
 	if err != nil {
 		return nil, err
 	}
 	if a.q.Changes, err = dynconfig.RollBack(history, *a.ask.RollBack); err != nil {
-		return &peer.ConfigApplyAnswer{Outcome: peer.ConfigInvalid, Why: err.Error()}, nil
+		return &peer.ConfigApplyResponse{Outcome: peer.ConfigInvalid, Reason: err.Error()}, nil
 	}
 	return nil, nil
 }
 
 // term is the condition that the leader, if there is one, stores launches on condition of the
 // generation, and stays the leader until the change is stored.
-func (a *applier) term(ctx context.Context) (wire.Cond, error) {
+func (a *applier) term(ctx context.Context) (wire.Condition, error) {
 	e, found, err := a.n.state.Get(ctx, termKey)
 	if err != nil {
-		return wire.Cond{}, err
+		return wire.Condition{}, err
 	}
 	old := a.n.config.earlierPeers()
 	if found {
 		var t termRecord
 		if err := wire.Unmarshal(e.Value, &t); err != nil {
-			return wire.Cond{}, err
+			return wire.Condition{}, err
 		}
 		if !t.Configures {
 			old = []string{t.Node}
 		}
 	}
 	if len(old) > 0 {
-		return wire.Cond{}, fmt.Errorf("%s %w", strings.Join(old, ", "), errEarlierVersion)
+		return wire.Condition{}, fmt.Errorf("%s %w", strings.Join(old, ", "), errEarlierVersion)
 	}
-	return wire.Cond{Key: termKey, Version: e.Version}, nil // version 0: there is none, and none may come
+	return wire.Condition{Key: termKey, Version: e.Version}, nil // version 0: there is none, and none may come
 }
 
 // store carries a plan out. Whatever of it has no answer is found by reading again.
-func (a *applier) store(ctx context.Context, s *dynconfig.State, plan *dynconfig.Plan, term wire.Cond) error {
+func (a *applier) store(ctx context.Context, s *dynconfig.State, plan *dynconfig.Plan, term wire.Condition) error {
 	version := s.GenerationVersion
 	if plan.Stage != nil {
-		answer, err := a.n.state.Multi(ctx, wire.Txn{If: []wire.Cond{generationCond(version)}, Then: plan.Stage})
+		answer, err := a.n.state.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCond(version)}, Mutations: plan.Stage})
 		if err != nil {
 			return err
 		}
 		version = answer.Revision
 	}
 	for _, batch := range plan.Batches {
-		if _, err := a.n.state.Multi(ctx, wire.Txn{If: []wire.Cond{generationCond(version)}, Then: batch}); err != nil {
+		if _, err := a.n.state.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCond(version)}, Mutations: batch}); err != nil {
 			return err
 		}
 	}
-	_, err := a.n.state.Multi(ctx, wire.Txn{If: []wire.Cond{generationCond(version), term}, Then: plan.Switch})
+	_, err := a.n.state.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCond(version), term}, Mutations: plan.Switch})
 	if errors.Is(err, kvstore.ErrUnknown) {
 		a.unknown = &version
 	}
@@ -230,11 +230,11 @@
 	}
 	var txn wire.Txn
 	for _, k := range keys[:min(len(keys), a.n.set.Deployment.State.TxnOps)] {
-		txn.Then = append(txn.Then, wire.Change{Delete: k})
+		txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: k})
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), peer.ApplyLimit)
 		defer cancel()
-		_, _ = a.n.state.Multi(ctx, txn) // the next apply finds what is left
+		_, _ = a.n.state.Txn(ctx, txn) // the next apply finds what is left
 	}()
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -329,9 +329,9 @@
 		if err == nil && len(cat.Types) > 0 {
 			n.takeCatalog(cat)
 			if _, _, leading := n.view(); leading != 0 {
-				_, _ = n.state.Multi(ctx, wire.Txn{
-					If:   []wire.Cond{{Key: termKey, Version: leading}},
-					Then: []wire.Change{{Put: catalogKey, Value: cat}},
+				_, _ = n.state.Txn(ctx, wire.Txn{
+					Conditions: []wire.Condition{{Key: termKey, Version: leading}},
+					Mutations:  []wire.Mutation{{Put: catalogKey, Value: cat}},
 				})
 				wait = 120 * time.Second
 			} else {
@@ -375,17 +375,17 @@
 }
 
 // PeerRelay implements peer.Server.
-func (n *Node) PeerRelay(ctx context.Context, r *peer.Relay) (*peer.RelayAnswer, error) {
+func (n *Node) PeerRelay(ctx context.Context, r *peer.RelayRequest) (*peer.RelayResponse, error) {
 	a, ok := n.report(ctx, &r.Report)
 	if !ok {
-		return &peer.RelayAnswer{Status: http.StatusMisdirectedRequest}, nil
+		return &peer.RelayResponse{Status: http.StatusMisdirectedRequest}, nil
 	}
-	return &peer.RelayAnswer{Status: http.StatusOK, Answer: a}, nil
+	return &peer.RelayResponse{Status: http.StatusOK, Answer: a}, nil
 }
 
 // PeerCounts implements peer.Server.
-func (n *Node) PeerCounts(ctx context.Context, c *peer.Counts) (*peer.CountsAnswer, error) {
-	return &peer.CountsAnswer{Jobs: n.counts(ctx, c.IDs)}, nil
+func (n *Node) PeerCounts(ctx context.Context, c *peer.CountsRequest) (*peer.CountsResponse, error) {
+	return &peer.CountsResponse{Jobs: n.counts(ctx, c.JobIDs)}, nil
 }
 
 // counts reads jobs' display counts from the core, if this node has it.
@@ -413,24 +413,24 @@
 // the term as far as it knows, and neither the worker nor a peer has shown a
 // higher token. While the state service is out of reach it goes on renewing
 // leases, since it starts nothing without it.
-func (n *Node) report(ctx context.Context, r *wire.Report) (a wire.ReportAnswer, ok bool) {
+func (n *Node) report(ctx context.Context, r *wire.Heartbeat) (a wire.HeartbeatResponse, ok bool) {
 	_, token, leading := n.view()
-	if r.Token > token {
-		n.learn("", r.Token)
+	if r.FencingToken > token {
+		n.learn("", r.FencingToken)
 	}
-	if leading == 0 || r.Token > leading {
+	if leading == 0 || r.FencingToken > leading {
 		return a, false
 	}
-	var fresh chan []wire.Order
+	var fresh chan []wire.Command
 	done := n.do(ctx, func() {
 		if n.leadership == nil || n.leadership.doubt > 0 || ctx.Err() != nil {
 			return
 		}
-		a, ok = n.leadership.core.Report(r, n.now()), true
-		hungry := n.leadership.core.Hungry(r.Host)
-		n.dirty = n.dirty || hungry || n.leadership.core.Changed()
+		a, ok = n.leadership.core.Heartbeat(r, n.now()), true
+		hungry := n.leadership.core.WantsLaunches(r.Host)
+		n.dirty = n.dirty || hungry || n.leadership.core.TakePassNeeded()
 		if hungry && len(n.leadership.waiters) < n.mostWaiters() {
-			fresh = make(chan []wire.Order, 1)
+			fresh = make(chan []wire.Command, 1)
 			n.leadership.waiters = append(n.leadership.waiters, waiter{r.Host, n.leadership.passes, fresh})
 		}
 	})
@@ -445,19 +445,19 @@
 		defer t.Stop()
 		select {
 		case launches := <-fresh:
-			kept := a.Orders[:0]
-			for _, o := range a.Orders {
+			kept := a.Commands[:0]
+			for _, o := range a.Commands {
 				if o.Op != wire.Launch {
 					kept = append(kept, o)
 				}
 			}
-			a.Orders = append(kept, launches...)
+			a.Commands = append(kept, launches...)
 		case <-t.C:
 		case <-ctx.Done():
 		}
 	}
 	_, _, leading = n.view()
-	return a, leading == a.Token && n.awake()
+	return a, leading == a.FencingToken && n.awake()
 }
 
 // mostWaiters is how many reports may wait for launches at a time: each holds a socket
@@ -468,38 +468,38 @@
 type waiter struct {
 	host   string
 	passes int
-	fresh  chan<- []wire.Order
+	fresh  chan<- []wire.Command
 }
 
 const launchWait = 600 * time.Millisecond
 
 // Report implements api.Service: the leader answers itself, other nodes relay
 // to it, so that no worker has to find it.
-func (n *Node) Report(ctx context.Context, r *wire.Report) (wire.ReportAnswer, error) {
+func (n *Node) Report(ctx context.Context, r *wire.Heartbeat) (wire.HeartbeatResponse, error) {
 	n.hears(r.Host)
 	if a, ok := n.report(ctx, r); ok {
 		return a, nil
 	}
 	leader, token, leading := n.view()
-	if leading != 0 || leader == "" || leader == n.set.Label || r.Token > token {
-		return wire.ReportAnswer{}, api.ErrNotNow
+	if leading != 0 || leader == "" || leader == n.set.Label || r.FencingToken > token {
+		return wire.HeartbeatResponse{}, api.ErrNotNow
 	}
 	p := n.peers[leader]
 	if p == nil {
-		return wire.ReportAnswer{}, api.ErrNotNow
+		return wire.HeartbeatResponse{}, api.ErrNotNow
 	}
-	a, err := p.Relay(ctx, &peer.Relay{Report: *r})
+	a, err := p.Relay(ctx, &peer.RelayRequest{Report: *r})
 	if err != nil {
 		if token, ok := n.mayRenew(r); ok {
-			return wire.ReportAnswer{Token: token, Orders: []wire.Order{}}, nil
+			return wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}, nil
 		}
 		if to := n.another(leader); to != "" {
-			return wire.ReportAnswer{}, api.Elsewhere{Node: to}
+			return wire.HeartbeatResponse{}, api.Elsewhere{Node: to}
 		}
-		return wire.ReportAnswer{}, api.ErrNotNow
+		return wire.HeartbeatResponse{}, api.ErrNotNow
 	}
 	if a.Status != http.StatusOK {
-		return wire.ReportAnswer{}, api.ErrElse
+		return wire.HeartbeatResponse{}, api.ErrElse
 	}
 	return a.Answer, nil
 }
--- a/internal/controller/drain.go
+++ b/internal/controller/drain.go
@@ -66,9 +66,9 @@
 	return true
 }
 
-// PeerHandOver implements peer.Server. A request that comes late is for another term.
-func (n *Node) PeerHandOver(ctx context.Context, h *peer.HandOver) (*peer.HandOverAnswer, error) {
-	var a peer.HandOverAnswer
-	n.do(ctx, func() { a.Did = n.leadership != nil && n.leadership.token == h.Token && n.handOver() })
+// PeerTransferLeadership implements peer.Server. A request that comes late is for another term.
+func (n *Node) PeerTransferLeadership(ctx context.Context, h *peer.TransferRequest) (*peer.TransferResponse, error) {
+	var a peer.TransferResponse
+	n.do(ctx, func() { a.Transferred = n.leadership != nil && n.leadership.token == h.Token && n.handOver() })
 	return &a, ctx.Err()
 }
--- a/internal/controller/flap_test.go
+++ b/internal/controller/flap_test.go
@@ -15,7 +15,7 @@
 // store is a state service with a term key and holds, which counts.
 type store struct {
 	mu    sync.Mutex
-	term  *wire.Entry
+	term  *wire.KeyValue
 	rev   uint64
 	holds uint64
 }
@@ -36,7 +36,7 @@
 		b := make([]byte, r.ContentLength)
 		_, _ = r.Body.Read(b)
 		var t struct {
-			If   []wire.Cond `msgpack:"When"`
+			If   []wire.Condition `msgpack:"When"`
 			Then []struct {
 				Put    string     `msgpack:"Write"`
 				Value  termRecord `msgpack:"Value"`
@@ -50,7 +50,7 @@
 		}
 		for _, c := range t.If {
 			if c.Key == termKey && c.Version != now {
-				put(409, wire.TxnAnswer{Revision: s.rev, Failed: []string{termKey}})
+				put(409, wire.TxnResponse{Revision: s.rev, FailedKeys: []string{termKey}})
 				return
 			}
 		}
@@ -61,21 +61,21 @@
 			}
 			if c.Put == termKey {
 				v, _ := wire.Marshal(c.Value)
-				s.term = &wire.Entry{Key: termKey, Value: v, Version: s.rev}
+				s.term = &wire.KeyValue{Key: termKey, Value: v, Version: s.rev}
 			}
 		}
-		put(200, wire.TxnAnswer{Revision: s.rev})
+		put(200, wire.TxnResponse{Revision: s.rev})
 	case r.URL.Path == "/kv/"+termKey && s.term != nil:
 		put(200, *s.term)
 	case r.URL.Path == "/kv":
-		put(200, wire.Entries{Revision: s.rev})
+		put(200, wire.KeyValuePage{Revision: s.rev})
 	case r.URL.Path == "/changes":
 		s.mu.Unlock()
 		time.Sleep(20 * time.Millisecond)
 		s.mu.Lock()
 		put(200, wire.Events{Revision: s.rev})
 	default:
-		put(404, wire.TxnAnswer{Revision: s.rev})
+		put(404, wire.TxnResponse{Revision: s.rev})
 	}
 }
 
@@ -84,7 +84,7 @@
 	defer s.mu.Unlock()
 	s.rev++
 	v, _ := wire.Marshal(termRecord{Node: node, Mark: node + ".1.1"})
-	s.term = &wire.Entry{Key: termKey, Value: v, Version: s.rev, Lease: 77}
+	s.term = &wire.KeyValue{Key: termKey, Value: v, Version: s.rev, Lease: 77}
 }
 
 func (s *store) holder() (t termRecord, version uint64) {
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -15,16 +15,16 @@
 func (r *leadership) fleet(blind bool) {
 	n := r.n
 	now := n.now()
-	r.core.Survey(now, n.controllers())
+	r.core.DetectFailures(now, n.controllers())
 	var returns []string
-	var hires []wire.Hire
+	var hires []wire.ScaleOutRequest
 	if n.state.Reachable(3 * time.Second) {
-		returns, hires = r.core.Returns(now, blind), r.core.Hires(now)
+		returns, hires = r.core.ScaleIn(now, blind), r.core.ScaleOut(now)
 	}
 	for i := range hires {
 		r.hireSeq++
 		// The token makes the name unique over terms, the number within one.
-		hires[i].Request = fmt.Sprintf("r-%d-%d", r.token, r.hireSeq)
+		hires[i].RequestID = fmt.Sprintf("r-%d-%d", r.token, r.hireSeq)
 	}
 	list := r.lastList(now)
 	if len(returns) == 0 && len(hires) == 0 && !list {
@@ -47,7 +47,7 @@
 
 func (r *leadership) lastList(now int64) bool {
 	// A list takes a request for each page of machines: a quarter of what the cloud takes.
-	known, _ := r.core.Fleet()
+	known, _ := r.core.FleetSize()
 	pages := float64(known/cloud.ListPage + 1)
 	every := int64(max(minListS, r.n.set.Deployment.Cloud.ListLagS/2, listShare*pages/max(r.n.set.Deployment.Cloud.RPS, 0.1)) * 1e6)
 	if now-r.lastListed < every {
@@ -70,7 +70,7 @@
 
 var errNotMine = errors.New("the term may be another node's")
 
-func (r *leadership) cloudRound(returns []string, hires []wire.Hire, list bool) {
+func (r *leadership) cloudRound(returns []string, hires []wire.ScaleOutRequest, list bool) {
 	n := r.n
 	defer n.post(func() { r.busyCloud = false; n.dirty = true })
 	for hosts := range slices.Chunk(returns, cloud.MaxReturn) {
@@ -85,7 +85,7 @@
 		}
 		n.post(func() {
 			if n.leadership == r {
-				r.core.Machines(ms, n.now())
+				r.core.MachinesListed(ms, n.now())
 			}
 		})
 	}
@@ -104,9 +104,9 @@
 			return
 		}
 		if err != nil {
-			r.core.ReturnFailed(hosts, n.now())
+			r.core.ScaleInFailed(hosts, n.now())
 		} else {
-			r.core.Gone(hosts, n.now())
+			r.core.MachinesReturned(hosts, n.now())
 		}
 		n.dirty = true
 	})
@@ -114,13 +114,13 @@
 
 // hireAll stores the names of a round's requests, in one write, and then asks for
 // the machines, side by side: none waits behind a slow answer to another.
-func (r *leadership) hireAll(hires []wire.Hire) {
+func (r *leadership) hireAll(hires []wire.ScaleOutRequest) {
 	if len(hires) == 0 {
 		return
 	}
 	n := r.n
-	key := hirePrefix + hires[0].Request
-	_, stored := n.state.Multi(r.ctx, wire.Txn{If: []wire.Cond{r.termCond()}, Then: []wire.Change{{Put: key, Value: hires}}})
+	key := hirePrefix + hires[0].RequestID
+	_, stored := n.state.Txn(r.ctx, wire.Txn{Conditions: []wire.Condition{r.termCond()}, Mutations: []wire.Mutation{{Put: key, Value: hires}}})
 	var all sync.WaitGroup
 	for _, h := range hires {
 		all.Go(func() {
@@ -135,9 +135,9 @@
 					return
 				}
 				if err != nil {
-					r.core.HireFailed(h, errors.Is(err, cloud.ErrNoCapacity), n.now())
+					r.core.ScaleOutFailed(h, errors.Is(err, cloud.ErrNoCapacity), n.now())
 				} else {
-					r.core.Hired(h, hosts, n.now())
+					r.core.ScaledOut(h, hosts, n.now())
 				}
 			})
 		})
@@ -146,7 +146,7 @@
 	n.post(func() { r.tidy = append(r.tidy, key) })
 }
 
-func (r *leadership) hire(h wire.Hire) ([]string, error) {
+func (r *leadership) hire(h wire.ScaleOutRequest) ([]string, error) {
 	for i := 0; ; i++ {
 		hosts, err := r.n.cloud.Hire(r.ctx, h)
 		if err == nil || errors.Is(err, cloud.ErrNoCapacity) || i == 2 || r.ctx.Err() != nil {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -17,10 +17,10 @@
 		{Name: "end record", Zero: endRecord{}},
 		{Name: "term record", Zero: termRecord{}},
 		{Name: "catalog", Zero: wire.Catalog{}},
-		{Name: "rentals of a round", Zero: []wire.Hire{}},
-		{Name: "progress chunk", Zero: sched.Chunk{}.Text},
-		{Name: "ledger entry", Zero: sched.Entry{}},
-		{Name: "learned", Zero: sched.Learned{}},
+		{Name: "rentals of a round", Zero: []wire.ScaleOutRequest{}},
+		{Name: "progress chunk", Zero: sched.ProgressChunk{}.Text},
+		{Name: "ledger entry", Zero: sched.LedgerEntry{}},
+		{Name: "learned", Zero: sched.Statistics{}},
 	})
 }
 
@@ -45,12 +45,12 @@
 	} {
 		fmt.Fprintf(&out, "%s: %s\n", x.name, x.key)
 	}
-	commit := &sched.Commit{Entries: []sched.NamedEntry{{Name: "7.1"}}, Jobs: []string{"j-1"}, Drop: []string{"6.5"}}
-	txn := CommitTxn(commit, wire.Cond{Key: termKey, Version: 7})
-	for _, c := range txn.If {
+	commit := &sched.Commit{Entries: []sched.NamedLedgerEntry{{Name: "7.1"}}, Jobs: []string{"j-1"}, Drop: []string{"6.5"}}
+	txn := CommitTxn(commit, wire.Condition{Key: termKey, Version: 7})
+	for _, c := range txn.Conditions {
 		fmt.Fprintf(&out, "commit if: %s %d\n", c.Key, c.Version)
 	}
-	for _, c := range txn.Then {
+	for _, c := range txn.Mutations {
 		fmt.Fprintf(&out, "commit then: put %q delete %q\n", c.Put, c.Delete)
 	}
 	golden.Text(t, "keys.golden", out.String())
--- a/internal/controller/heard.go
+++ b/internal/controller/heard.go
@@ -57,13 +57,13 @@
 func sendOnRate(heard int) int { return max(minSendOn, heard/workersPerSendOn) }
 
 // heardWorkers says which workers reported to this node, and how long ago.
-func (n *Node) heardWorkers() []peer.Heard {
+func (n *Node) heardWorkers() []peer.Contact {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	out := make([]peer.Heard, 0, len(n.heardAt))
+	out := make([]peer.Contact, 0, len(n.heardAt))
 	for h, at := range n.heardAt {
 		if ago := time.Since(at); ago <= heardFor {
-			out = append(out, peer.Heard{Host: h, Ago: ago.Microseconds()})
+			out = append(out, peer.Contact{Host: h, AgeMicros: ago.Microseconds()})
 		}
 	}
 	return out
@@ -74,11 +74,11 @@
 func (n *Node) gatherHeard(ctx context.Context) map[string]config.Micros {
 	at := map[string]config.Micros{}
 	var mu sync.Mutex
-	take := func(hs []peer.Heard) {
+	take := func(hs []peer.Contact) {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, h := range hs {
-			at[h.Host] = max(at[h.Host], n.now()-max(0, h.Ago))
+			at[h.Host] = max(at[h.Host], n.now()-max(0, h.AgeMicros))
 		}
 	}
 	take(n.heardWorkers())
@@ -88,9 +88,9 @@
 	for _, p := range n.peers {
 		all.Go(func() {
 			h := n.hello()
-			h.Ask = true
-			if a, err := p.Hello(ctx, h); err == nil {
-				take(a.Heard)
+			h.WantContacts = true
+			if a, err := p.Heartbeat(ctx, h); err == nil {
+				take(a.Contacts)
 			}
 		})
 	}
--- a/internal/controller/largesite_test.go
+++ b/internal/controller/largesite_test.go
@@ -55,13 +55,13 @@
 	refuse := 2 // this request
 	n := testNode(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		if r.URL.Path == wire.PathReturn {
-			var h wire.Hosts
+		if r.URL.Path == wire.PathScaleIn {
+			var h wire.MachineIDs
 			if err := wire.Unmarshal(body, &h); err != nil {
 				t.Error(err)
 			}
 			mu.Lock()
-			asked = append(asked, h.Hosts)
+			asked = append(asked, h.IDs)
 			refused := len(asked) == refuse
 			mu.Unlock()
 			if refused {
@@ -82,9 +82,9 @@
 	var list []wire.Machine
 	for i := range 3*cloud.MaxReturn + 20 {
 		hosts = append(hosts, fmt.Sprintf("n-%04d", i))
-		list = append(list, wire.Machine{ID: hosts[i], Addr: "a", Type: "s", Zone: "x", State: wire.HostRunning})
+		list = append(list, wire.Machine{ID: hosts[i], Addr: "a", Type: "s", Zone: "x", State: wire.MachineRunning})
 	}
-	r.core.Machines(list, n.now())
+	r.core.MachinesListed(list, n.now())
 	r.cloudRound(hosts, nil, false)
 	var sizes []int
 	for _, h := range asked {
@@ -99,8 +99,8 @@
 	for len(n.events) > 0 {
 		(<-n.events)()
 	}
-	if known, _ := r.core.Fleet(); r.core.Stats.Returned != len(hosts)-cloud.MaxReturn || known != cloud.MaxReturn {
-		t.Errorf("%d machines are gone and %d are left; only those of the request that was refused should be", r.core.Stats.Returned, known)
+	if known, _ := r.core.FleetSize(); r.core.Stats.ScaledIn != len(hosts)-cloud.MaxReturn || known != cloud.MaxReturn {
+		t.Errorf("%d machines are gone and %d are left; only those of the request that was refused should be", r.core.Stats.ScaledIn, known)
 	}
 	if r.busyCloud {
 		t.Error("the round has not ended")
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -48,7 +48,7 @@
 	chunkAt       map[string]uint64 // and the version of each key
 
 	revision uint64 // where the watch begins
-	directs  chan sched.Direct
+	directs  chan sched.DirectCommand
 	cloudQ   chan func()
 	hireSeq  int
 }
@@ -80,7 +80,7 @@
 	plain := ctx
 	ctx = kvstore.Urgent(ctx)
 	r := &leadership{n: n, token: token, lease: h, ctx: ctx, cancel: cancel, chunks: map[string]int{}, chunkAt: map[string]uint64{},
-		directs: make(chan sched.Direct, max(minDirects, n.set.Deployment.Resources.Sockets/4)), cloudQ: make(chan func(), cloudQueue)}
+		directs: make(chan sched.DirectCommand, max(minDirects, n.set.Deployment.Resources.Sockets/4)), cloudQ: make(chan func(), cloudQueue)}
 	n.learn(n.set.Label, token)
 	for {
 		if h.dead.Load() || ctx.Err() != nil {
@@ -117,7 +117,7 @@
 	}
 	n.log.Info("acting as leader", "token", token)
 	for _, p := range n.peers {
-		go func() { _, _ = p.Hello(ctx, n.hello()) }()
+		go func() { _, _ = p.Heartbeat(ctx, n.hello()) }()
 	}
 	go r.watch()
 	go r.compact(plain)
@@ -194,7 +194,7 @@
 		n.leading = r.token
 	}
 	n.mu.Unlock()
-	r.core.Slept(r.doubt, n.now())
+	r.core.ResumeAfterStall(r.doubt, n.now())
 	r.doubt = 0
 	n.dirty = true
 }
@@ -208,7 +208,7 @@
 	if r.ctx.Err() != nil || !n.awake() {
 		return false
 	}
-	_, err := n.state.Multi(r.ctx, wire.Txn{If: []wire.Cond{r.termCond()}})
+	_, err := n.state.Txn(r.ctx, wire.Txn{Conditions: []wire.Condition{r.termCond()}})
 	if errors.Is(err, kvstore.ErrConflict) {
 		n.post(func() { r.end() })
 	}
@@ -231,11 +231,11 @@
 }
 
 // termCond makes a transaction fail once another node holds the term.
-func (r *leadership) termCond() wire.Cond { return wire.Cond{Key: termKey, Version: r.token} }
+func (r *leadership) termCond() wire.Condition { return wire.Condition{Key: termKey, Version: r.token} }
 
 func (r *leadership) ended(id string, value []byte) {
 	if rec, err := r.n.decodeEnd(id, value); err == nil {
-		r.core.Ended(id, rec.Status, r.n.now())
+		r.core.JobEnded(id, rec.Status, r.n.now())
 	}
 }
 
@@ -338,8 +338,8 @@
 func (r *leadership) serveWaiters() {
 	kept := r.waiters[:0]
 	for _, w := range r.waiters {
-		if r.passes > w.passes && !r.core.InFlight(w.host) {
-			w.fresh <- r.core.Launches(w.host)
+		if r.passes > w.passes && !r.core.HasLaunchInFlight(w.host) {
+			w.fresh <- r.core.LaunchCommands(w.host)
 		} else if r.passes < w.passes+4 {
 			kept = append(kept, w)
 		}
@@ -349,13 +349,13 @@
 
 func (r *leadership) effects() {
 	n := r.n
-	for _, d := range r.core.Directs() {
+	for _, d := range r.core.TakeDirectCommands() {
 		select {
 		case r.directs <- d:
 		default: // the next report's answer repeats it
 		}
 	}
-	r.ends = append(r.ends, r.core.Ends()...)
+	r.ends = append(r.ends, r.core.TakeEnds()...)
 	if !r.busyEnds && len(r.ends) > 0 {
 		// Half of a transaction: ends leave room for launches.
 		k := min(len(r.ends), max(1, n.set.Deployment.State.TxnOps/2))
@@ -368,7 +368,7 @@
 		}
 		go r.storeEnds(ids, done)
 	}
-	for _, f := range r.core.Forgotten() {
+	for _, f := range r.core.TakeForgotten() {
 		id := f.Job
 		if f.Status == wire.JobCancelled {
 			r.cancelled = append(r.cancelled, jobKey(id))
@@ -404,7 +404,7 @@
 	r.pass()
 	reachable := n.state.Reachable(3 * time.Second)
 	if !r.busyProgress && reachable {
-		if cs := r.core.Progress(min(n.set.Deployment.State.TxnOps, max(1, int(n.set.Deployment.State.WriteRPS/progressPart)))); len(cs) > 0 {
+		if cs := r.core.ProgressToStore(min(n.set.Deployment.State.TxnOps, max(1, int(n.set.Deployment.State.WriteRPS/progressPart)))); len(cs) > 0 {
 			r.busyProgress = true
 			go r.storeProgress(cs, r.progressTxn(cs))
 		}
@@ -421,7 +421,7 @@
 	}
 	if !r.busyLearned && reachable && now-r.lastLearned >= learnEvery {
 		r.busyLearned, r.lastLearned = true, now
-		go r.storeLearned(r.core.Learned(now))
+		go r.storeLearned(r.core.Statistics(now))
 	}
 	blind := r.core.Blind(now)
 	// Without the state service nobody could take the term, and this node's word
@@ -445,16 +445,16 @@
 		jobs, tasks := r.core.Waiting()
 		n.log.Info("leader", "waiting_jobs", jobs, "waiting_tasks", tasks, "stats", fmt.Sprintf("%+v", r.core.Stats))
 		n.log.Info("work", n.work.take()...)
-		classes, types := r.core.Uses()
+		classes, types := r.core.Usages()
 		for _, u := range classes {
 			n.log.Info("class", "name", u.Name, "tasks", u.Tasks)
 		}
 		for _, u := range types {
-			n.log.Info("machines", "type", u.Name, "up", u.Up, "idle", u.Idle, "kept", u.Held, "tasks", u.Tasks, "free_cpus", int(u.Free))
+			n.log.Info("machines", "type", u.Name, "up", u.Up, "idle", u.Idle, "kept", u.Reserved, "tasks", u.Tasks, "free_cpus", int(u.Free))
 		}
 		r.tellServed()
-		for _, w := range r.core.Waits(3) {
-			n.log.Info("waits", "job", w.Job, "class", w.Class, "team", w.Team, "tasks", w.Tasks, "age_us", w.Age, "why", w.Why, "room", w.Room, "held", w.Held)
+		for _, w := range r.core.WaitingJobs(3) {
+			n.log.Info("waits", "job", w.Job, "class", w.Class, "team", w.Team, "tasks", w.Tasks, "age_us", w.Age, "why", w.Reason, "room", w.Room, "held", w.Reserved)
 		}
 	}
 }
@@ -468,22 +468,22 @@
 			if !r.n.awake() {
 				continue // as old as the standstill; a report's answer repeats it
 			}
-			r.answered(r.n.worker.Orders(r.ctx, d.Addr, d.Orders))
+			r.answered(r.n.worker.Orders(r.ctx, d.Addr, d.Batch))
 		}
 	}
 }
 
 // answered hands the core what a worker said to a direct command: its report, also where it
 // refused the command (409).
-func (r *leadership) answered(said wire.Report, _ error) {
+func (r *leadership) answered(said wire.Heartbeat, _ error) {
 	if said.Host == "" {
 		return
 	}
 	n := r.n
 	n.post(func() {
 		if n.leadership == r && r.doubt == 0 {
-			r.core.Answered(&said, n.now())
-			n.dirty = n.dirty || r.core.Changed()
+			r.core.CommandAnswered(&said, n.now())
+			n.dirty = n.dirty || r.core.TakePassNeeded()
 		}
 	})
 }
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -43,13 +43,13 @@
 			at := <-heard
 			n.post(func() {
 				for host, t := range at {
-					core.Told(host, t)
+					core.PeerContact(host, t)
 				}
 			})
 		}()
 	} else {
 		for host, at := range <-heard {
-			core.Told(host, at)
+			core.PeerContact(host, at)
 		}
 	}
 	n.log.Info("loaded", "warm", why == "", "cold_because", why, "jobs", len(s.jobs), "entries", len(s.ledger), "revision", s.revision,
@@ -64,7 +64,7 @@
 // read reads what a takeover needs.
 func (r *leadership) read() (*stored, error) {
 	n := r.n
-	s := &stored{ledger: map[string]sched.Entry{}}
+	s := &stored{ledger: map[string]sched.LedgerEntry{}}
 	copied := r.loadCopy()
 	configured := make(chan error, 1)
 	go func() { configured <- n.config.refresh(r.ctx) }()
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	for _, e := range entries {
-		var entry sched.Entry
+		var entry sched.LedgerEntry
 		if err := wire.Unmarshal(e.Value, &entry); err != nil {
 			return nil, fmt.Errorf("ledger entry %s: %w", e.Key, err)
 		}
@@ -168,9 +168,9 @@
 		r.chunkAt[c.key] = c.version
 		r.chunks[c.id] = max(r.chunks[c.id], c.index+1)
 	}
-	core.Load(s.ledger)
+	core.RecoverLedger(s.ledger)
 	if s.learned != nil {
-		core.Remember(*s.learned)
+		core.RestoreStatistics(*s.learned)
 	}
 	// The machines of a hire whose answer was lost show up in the list and in reports, and
 	// are adopted; the name is never used again.
@@ -179,7 +179,7 @@
 		if e.Status == wire.JobDone {
 			n.remember(e.answer(e.id))
 		}
-		core.Ended(e.id, e.Status, n.now())
+		core.JobEnded(e.id, e.Status, n.now())
 	}
 	return core, r.loadSchedules(s.schedule)
 }
@@ -191,7 +191,7 @@
 // for many at a time, by a transaction that only compares; their ends are read side
 // by side: after a flood of small jobs hundreds may wait to be tidied up, and a
 // takeover must not ask for one after the other.
-func (n *Node) endsOf(ctx context.Context, jobs []wire.Entry) (ends []wire.Entry, err error) {
+func (n *Node) endsOf(ctx context.Context, jobs []wire.KeyValue) (ends []wire.KeyValue, err error) {
 	var ids, keys []string
 	for _, e := range jobs {
 		ids = append(ids, strings.TrimPrefix(e.Key, jobPrefix))
@@ -205,7 +205,7 @@
 			keys = append(keys, endKey(id))
 		}
 	}
-	ends = make([]wire.Entry, len(keys))
+	ends = make([]wire.KeyValue, len(keys))
 	errs := make([]error, len(keys))
 	var all sync.WaitGroup
 	turn := make(chan struct{}, endReaders)
@@ -227,11 +227,11 @@
 type stored struct {
 	jobs     []*jobRecord
 	chunks   []storedChunk
-	ledger   map[string]sched.Entry
-	learned  *sched.Learned
+	ledger   map[string]sched.LedgerEntry
+	learned  *sched.Statistics
 	hires    []string // keys
-	schedule []wire.Entry
-	config   []wire.Entry // of a copy; otherwise it was read already
+	schedule []wire.KeyValue
+	config   []wire.KeyValue // of a copy; otherwise it was read already
 	ends     []storedEnd
 	revision uint64
 }
@@ -250,7 +250,7 @@
 
 // storedOf sorts what a copy has.
 func storedOf(c *standby.Copy) *stored {
-	s := &stored{ledger: map[string]sched.Entry{}, revision: c.Revision()}
+	s := &stored{ledger: map[string]sched.LedgerEntry{}, revision: c.Revision()}
 	for _, k := range c.Under(jobPrefix) {
 		it, _ := c.Get(k)
 		s.jobs = append(s.jobs, it.Decoded.(*jobRecord))
@@ -265,7 +265,7 @@
 	}
 	for _, k := range c.Under(ledgerPrefix) {
 		it, _ := c.Get(k)
-		s.ledger[strings.TrimPrefix(k, ledgerPrefix)] = *it.Decoded.(*sched.Entry)
+		s.ledger[strings.TrimPrefix(k, ledgerPrefix)] = *it.Decoded.(*sched.LedgerEntry)
 	}
 	if it, ok := c.Get(learnedKey); ok {
 		s.learn(it.Value)
@@ -273,17 +273,17 @@
 	s.hires = c.Under(hirePrefix)
 	for _, k := range c.Under(dynconfig.Prefix) {
 		it, _ := c.Get(k)
-		s.config = append(s.config, wire.Entry{Key: k, Value: it.Value, Version: it.Version})
+		s.config = append(s.config, wire.KeyValue{Key: k, Value: it.Value, Version: it.Version})
 	}
 	for _, k := range c.Under(schedulePrefix) {
 		it, _ := c.Get(k)
-		s.schedule = append(s.schedule, wire.Entry{Key: k, Value: it.Value, Version: it.Version})
+		s.schedule = append(s.schedule, wire.KeyValue{Key: k, Value: it.Value, Version: it.Version})
 	}
 	return s
 }
 
 func (s *stored) learn(value []byte) {
-	var l sched.Learned
+	var l sched.Statistics
 	if wire.Unmarshal(value, &l) == nil {
 		s.learned = &l
 	}
--- a/internal/controller/lookup.go
+++ b/internal/controller/lookup.go
@@ -109,7 +109,7 @@
 	ask := func(key string) {
 		if !asked[key] {
 			asked[key] = true
-			txn.If = append(txn.If, wire.Cond{Key: key})
+			txn.Conditions = append(txn.Conditions, wire.Condition{Key: key})
 		}
 	}
 	for _, l := range batch {
@@ -118,11 +118,11 @@
 		if !l.known {
 			if guard := n.archive.Guard(l.id); !asked[guard.Key] {
 				asked[guard.Key] = true
-				txn.If = append(txn.If, guard)
+				txn.Conditions = append(txn.Conditions, guard)
 			}
 		}
 	}
-	a, err := n.state.Multi(ctx, txn)
+	a, err := n.state.Txn(ctx, txn)
 	if err != nil && !errors.Is(err, kvstore.ErrConflict) {
 		for _, l := range batch {
 			l.done <- verdict{err: err}
@@ -133,7 +133,7 @@
 	// deleted only after its end was created, so that finding neither means that
 	// its end was archived or that it was never accepted.
 	exists := map[string]bool{}
-	for _, k := range a.Failed {
+	for _, k := range a.FailedKeys {
 		exists[k] = true
 	}
 	var running []string
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -19,7 +19,7 @@
 	machines, up int
 	silent       map[string]int // machines, by what the detector says of them
 	zonesCut     int
-	served       []sched.Served // of classes and teams
+	served       []sched.ServiceShare // of classes and teams
 }
 
 // metrics serves the counters. Those of the core are zero on nodes that are not
@@ -38,12 +38,12 @@
 	add("machines", "Machines known to the leader.", func(s *gauges) int { return s.machines })
 	add("machines_up", "Machines whose workers have confirmed this term.", func(s *gauges) int { return s.up })
 	add("launches", "Launches stored in this term.", func(s *gauges) int { return s.stats.Launches })
-	add("evictions", "Tasks told to make way in this term.", func(s *gauges) int { return s.stats.Evictions })
+	add("evictions", "Tasks told to make way in this term.", func(s *gauges) int { return s.stats.Preemptions })
 	add("checkpoints", "Evictions that saved in this term.", func(s *gauges) int { return s.stats.Checkpoints })
-	add("leases_lost", "Workers whose lease ran out in this term.", func(s *gauges) int { return s.stats.LeasesLost })
+	add("leases_lost", "Workers whose lease ran out in this term.", func(s *gauges) int { return s.stats.LeasesExpired })
 	add("task_errors", "Tasks that failed in this term.", func(s *gauges) int { return s.stats.Errors })
-	add("machines_hired", "Machines rented in this term.", func(s *gauges) int { return s.stats.Hired })
-	add("machines_returned", "Machines returned in this term.", func(s *gauges) int { return s.stats.Returned })
+	add("machines_hired", "Machines rented in this term.", func(s *gauges) int { return s.stats.ScaledOut })
+	add("machines_returned", "Machines returned in this term.", func(s *gauges) int { return s.stats.ScaledIn })
 	add("zones_cut", "Zones that are found to be cut off.", func(s *gauges) int { return s.zonesCut })
 	for v := failuredomain.Unclear; v <= failuredomain.Blind; v++ {
 		name := v.String()
@@ -116,9 +116,9 @@
 	var s gauges
 	s.stats = r.core.Stats
 	s.jobs, s.tasks = r.core.Waiting()
-	s.machines, s.up = r.core.Fleet()
-	s.silent, s.zonesCut = r.core.Silent()
-	s.served = r.core.Served(mostServed)
+	s.machines, s.up = r.core.FleetSize()
+	s.silent, s.zonesCut = r.core.SilentMachines()
+	s.served = r.core.ServiceShares(mostServed)
 	r.n.mu.Lock()
 	r.n.shown = s
 	r.n.mu.Unlock()
@@ -159,19 +159,19 @@
 		for _, v := range []struct {
 			what string
 			n    int
-		}{{"submitted", x.Submitted}, {"begun", x.Begun}, {"done", x.Done}, {"late", x.Late}, {"cancelled", x.Cancelled}, {"waiting", x.Waiting}} {
+		}{{"submitted", x.Submitted}, {"begun", x.Started}, {"done", x.Done}, {"late", x.Late}, {"cancelled", x.Cancelled}, {"waiting", x.Waiting}} {
 			show(jobsDesc, float64(v.n), of, name, v.what)
 		}
 		show(shareDesc, x.Share, of, name)
 		behind := 0.0
-		if x.Behind {
+		if x.Underserved {
 			behind = 1
 		}
 		show(behindDesc, behind, of, name)
 	}
 }
 
-func kindOf(s *sched.Served) string {
+func kindOf(s *sched.ServiceShare) string {
 	if s.Team {
 		return "team"
 	}
@@ -180,11 +180,11 @@
 
 // tellServed logs what each class and team has had, and warns of those that are behind.
 func (r *leadership) tellServed() {
-	for _, s := range r.core.Served(mostServed) {
-		r.n.log.Info("served", "of", kindOf(&s), "name", s.Name, "submitted", s.Submitted, "begun", s.Begun, "done", s.Done, "late", s.Late,
+	for _, s := range r.core.ServiceShares(mostServed) {
+		r.n.log.Info("served", "of", kindOf(&s), "name", s.Name, "submitted", s.Submitted, "begun", s.Started, "done", s.Done, "late", s.Late,
 			"cancelled", s.Cancelled, "waiting", s.Waiting, "share", s.Share)
-		if s.Behind {
-			r.n.log.Warn(kindOf(&s)+" starves", "name", s.Name, "share", s.Share, "for_us", s.For, "why", s.Why)
+		if s.Underserved {
+			r.n.log.Warn(kindOf(&s)+" starves", "name", s.Name, "share", s.Share, "for_us", s.UnderservedFor, "why", s.WaitReason)
 		}
 	}
 }
--- a/internal/controller/recur.go
+++ b/internal/controller/recur.go
@@ -19,7 +19,7 @@
 func scheduleKey(name string) string { return schedulePrefix + name }
 
 // loadSchedules makes the engine of a term from the calendar and what is stored.
-func (r *leadership) loadSchedules(entries []wire.Entry) error {
+func (r *leadership) loadSchedules(entries []wire.KeyValue) error {
 	n := r.n
 	if n.cal == nil {
 		return nil
@@ -42,7 +42,7 @@
 // jobs answers the engine from the core. Owner goroutine.
 type jobs struct{ r *leadership }
 
-func (j jobs) Running(id string) bool { return j.r.core.Active(id) }
+func (j jobs) Running(id string) bool { return j.r.core.IsActive(id) }
 
 func (j jobs) Admit(job *wire.Job) error {
 	cat, ok := j.r.n.types()
@@ -92,15 +92,15 @@
 // rests on, no job of the ids exists or ever did, and the term is this node's.
 func (r *leadership) storeDecisions(ds []recurring.Decision) (failed []string, version uint64, err error) {
 	n := r.n
-	txn := wire.Txn{If: []wire.Cond{r.termCond()}}
+	txn := wire.Txn{Conditions: []wire.Condition{r.termCond()}}
 	for _, d := range ds {
 		key := scheduleKey(d.Name)
-		txn.If = append(txn.If, wire.Cond{Key: key, Version: d.Version})
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: key, Version: d.Version})
 		if d.State == nil {
-			txn.Then = append(txn.Then, wire.Change{Delete: key})
+			txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: key})
 			continue
 		}
-		txn.Then = append(txn.Then, wire.Change{Put: key, Value: d.State})
+		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: key, Value: d.State})
 		for _, j := range d.Jobs {
 			a, err := n.archive.Look(r.ctx, j.ID)
 			if err != nil {
@@ -109,19 +109,19 @@
 			if a.Found { // by a job of long ago
 				return []string{endKey(j.ID)}, 0, kvstore.ErrConflict
 			}
-			txn.If = n.guarded(append(txn.If, wire.Cond{Key: jobKey(j.ID)}, wire.Cond{Key: endKey(j.ID)}), j.ID)
-			txn.Then = append(txn.Then, wire.Change{Put: jobKey(j.ID), Value: jobRecord{Job: j, Arrival: n.now()}})
+			txn.Conditions = n.guarded(append(txn.Conditions, wire.Condition{Key: jobKey(j.ID)}, wire.Condition{Key: endKey(j.ID)}), j.ID)
+			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: jobKey(j.ID), Value: jobRecord{Job: j, Arrival: n.now()}})
 		}
 		if d.Cancel != "" {
-			txn.If = n.guarded(append(txn.If, wire.Cond{Key: endKey(d.Cancel)}), d.Cancel)
-			txn.Then = append(txn.Then, wire.Change{Put: endKey(d.Cancel), Value: endRecord{Status: wire.JobCancelled, At: n.now()}})
+			txn.Conditions = n.guarded(append(txn.Conditions, wire.Condition{Key: endKey(d.Cancel)}), d.Cancel)
+			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: endKey(d.Cancel), Value: endRecord{Status: wire.JobCancelled, At: n.now()}})
 		}
 	}
-	if len(txn.Then) > n.set.Deployment.State.TxnOps || len(txn.If) > 4*n.set.Deployment.State.TxnOps {
+	if len(txn.Mutations) > n.set.Deployment.State.TxnOps || len(txn.Conditions) > 4*n.set.Deployment.State.TxnOps {
 		return nil, 0, errors.New("too much for one transaction")
 	}
-	a, err := n.state.Multi(r.ctx, txn)
-	return a.Failed, a.Revision, err
+	a, err := n.state.Txn(r.ctx, txn)
+	return a.FailedKeys, a.Revision, err
 }
 
 // runsStored tells the engine and the core. Owner goroutine.
--- a/internal/controller/schedules.go
+++ b/internal/controller/schedules.go
@@ -105,9 +105,9 @@
 		}
 		if st.Paused != paused {
 			st.Paused = paused
-			_, err = n.state.Multi(ctx, wire.Txn{
-				If:   []wire.Cond{{Key: scheduleKey(name), Version: version}},
-				Then: []wire.Change{{Put: scheduleKey(name), Value: st}},
+			_, err = n.state.Txn(ctx, wire.Txn{
+				Conditions: []wire.Condition{{Key: scheduleKey(name), Version: version}},
+				Mutations:  []wire.Mutation{{Put: scheduleKey(name), Value: st}},
 			})
 			if errors.Is(err, kvstore.ErrConflict) || errors.Is(err, kvstore.ErrUnknown) {
 				continue // read it back
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -125,7 +125,7 @@
 }
 
 // list reads the keys with a prefix from a copy, or from the state service.
-func (r *leadership) list(copied *snapshot.Snapshot, prefix string) ([]wire.Entry, uint64, error) {
+func (r *leadership) list(copied *snapshot.Snapshot, prefix string) ([]wire.KeyValue, uint64, error) {
 	if copied != nil {
 		return copied.Entries(prefix), copied.Revision, nil
 	}
@@ -138,7 +138,7 @@
 	wait time.Duration
 }
 
-func (p paced) Page(ctx context.Context, prefix, after string, most int) (page wire.Entries, err error) {
+func (p paced) Page(ctx context.Context, prefix, after string, most int) (page wire.KeyValuePage, err error) {
 	select {
 	case <-ctx.Done():
 		return page, ctx.Err()
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -33,15 +33,15 @@
 			for range k {
 				key := fmt.Sprintf("%s%d", []string{jobPrefix, donePrefix, ledgerPrefix, hirePrefix, schedulePrefix, endPrefix, "x/"}[rnd.IntN(7)], rnd.IntN(20))
 				if rnd.IntN(3) == 0 {
-					txn.Then = append(txn.Then, wire.Change{Delete: key})
+					txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: key})
 				} else {
-					txn.Then = append(txn.Then, wire.Change{Put: key, Value: rnd.IntN(100)})
+					txn.Mutations = append(txn.Mutations, wire.Mutation{Put: key, Value: rnd.IntN(100)})
 				}
 				if rnd.IntN(5) == 0 {
-					txn.Then = append(txn.Then, wire.Change{Put: learnedKey, Value: rnd.IntN(100)})
+					txn.Mutations = append(txn.Mutations, wire.Mutation{Put: learnedKey, Value: rnd.IntN(100)})
 				}
 			}
-			if _, err := client.Multi(context.Background(), txn); err != nil {
+			if _, err := client.Txn(context.Background(), txn); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -111,7 +111,7 @@
 		j := sceneJob(sceneID(i))
 		j.Class, j.Image, j.Tasks = "some-class", "some-image", 4
 		svc.Set(jobKey(j.ID), jobRecord{Job: *j, Arrival: int64(i)})
-		svc.Set(fmt.Sprintf("%s%d.%d", ledgerPrefix, 7, i), sched.Entry{})
+		svc.Set(fmt.Sprintf("%s%d.%d", ledgerPrefix, 7, i), sched.LedgerEntry{})
 	}
 	for i := range over {
 		svc.Set(endKey(fmt.Sprintf("j-9%06d", i)), sceneEnd(i))
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -92,7 +92,7 @@
 		err = wire.Unmarshal(value, rec)
 		return rec, err
 	case strings.HasPrefix(key, ledgerPrefix):
-		rec := new(sched.Entry)
+		rec := new(sched.LedgerEntry)
 		err = wire.Unmarshal(value, rec)
 		return rec, err
 	case strings.HasPrefix(key, donePrefix):
@@ -242,7 +242,7 @@
 // read reads the state whole.
 func (w *warm) read(ctx context.Context, store paced) (*standby.Copy, error) {
 	n := w.n
-	var all, jobs []wire.Entry
+	var all, jobs []wire.KeyValue
 	var first uint64
 	for _, prefix := range followed {
 		for after := ""; ; {
@@ -337,9 +337,9 @@
 }
 
 // takeView takes a view that a hello brought. The lock is held.
-func (n *Node) takeView(h *peer.Hello) {
-	if h.View != nil && n.leading == 0 && len(h.View.Standbys) <= len(n.set.Members)+1 && h.View.Newer(&n.stand) {
-		n.stand = *h.View
+func (n *Node) takeView(h *peer.Heartbeat) {
+	if h.StandbyView != nil && n.leading == 0 && len(h.StandbyView.Standbys) <= len(n.set.Members)+1 && h.StandbyView.Newer(&n.stand) {
+		n.stand = *h.StandbyView
 	}
 }
 
@@ -429,14 +429,14 @@
 		if _, now, _ := n.view(); now != token || !n.awake() {
 			return false
 		}
-		p.Again()
+		p.ResetBackoff()
 		a, err := p.Probe(ctx, n.hello())
-		if err == nil && a.Born == born {
+		if err == nil && a.ProcessID == born {
 			return false
 		}
 		answered := uint64(0)
 		if err == nil {
-			answered = a.Born
+			answered = a.ProcessID
 		}
 		w.mu.Lock()
 		another := w.suspicion.Tried(n.now(), answered)
@@ -469,8 +469,8 @@
 		}
 		all.Go(func() {
 			h := n.hello()
-			h.Probe, h.ProbeBorn = leader, born
-			a, err := p.Hello(ctx, h)
+			h.Probe, h.ProbeProcessID = leader, born
+			a, err := p.Heartbeat(ctx, h)
 			if err != nil || a.Probe != leader {
 				return // it can't be asked, or is of a version that does not know the question
 			}
@@ -491,9 +491,9 @@
 	if p == nil {
 		return false
 	}
-	p.Again()
+	p.ResetBackoff()
 	a, err := p.Probe(ctx, n.hello())
-	return err == nil && a.Born == born
+	return err == nil && a.ProcessID == born
 }
 
 // lives notes that a process said hello: if this node had taken it for ended and replaced
--- a/internal/controller/standstill_test.go
+++ b/internal/controller/standstill_test.go
@@ -22,7 +22,7 @@
 	}{{"kept", 5, true}, {"taken", 6, false}} {
 		f := 1.0
 		n := testNode(t, func(w http.ResponseWriter, r *http.Request) {
-			b, _ := wire.Marshal(wire.Entry{Key: termKey, Version: c.term, Value: []byte{0x80}})
+			b, _ := wire.Marshal(wire.KeyValue{Key: termKey, Version: c.term, Value: []byte{0x80}})
 			_, _ = w.Write(b)
 		}, func(set *config.Settings) {
 			set.Operator.EvictAfterS, set.Operator.CheckpointMBS = &f, &f
@@ -36,7 +36,7 @@
 			t.Errorf("%s: what woke before the owner goroutine may act", c.name)
 		}
 		n.woke()
-		rep := wire.Report{Host: "n-1", Type: "s", Zone: "x", Session: 1, Seq: 1, Token: 5}
+		rep := wire.Heartbeat{Host: "n-1", Type: "s", Zone: "x", Incarnation: 1, Sequence: 1, FencingToken: 5}
 		if _, ok := n.report(ctx, &rep); ok {
 			t.Errorf("%s: a report was answered before the term was read", c.name)
 		}
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -16,17 +16,17 @@
 
 // CommitTxn is the transaction that stores a write-ahead batch: on condition of the
 // leadership, of the entries' names, which are never used again, and of no end of the jobs.
-func CommitTxn(cm *sched.Commit, conditions ...wire.Cond) wire.Txn {
-	txn := wire.Txn{If: conditions}
+func CommitTxn(cm *sched.Commit, conditions ...wire.Condition) wire.Txn {
+	txn := wire.Txn{Conditions: conditions}
 	for _, e := range cm.Entries {
-		txn.If = append(txn.If, wire.Cond{Key: ledgerPrefix + e.Name})
-		txn.Then = append(txn.Then, wire.Change{Put: ledgerPrefix + e.Name, Value: e.Entry})
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: ledgerPrefix + e.Name})
+		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: ledgerPrefix + e.Name, Value: e.LedgerEntry})
 	}
 	for _, name := range cm.Drop {
-		txn.Then = append(txn.Then, wire.Change{Delete: ledgerPrefix + name})
+		txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: ledgerPrefix + name})
 	}
 	for _, id := range cm.Jobs {
-		txn.If = append(txn.If, wire.Cond{Key: endKey(id)})
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: endKey(id)})
 	}
 	return txn
 }
@@ -37,10 +37,10 @@
 func (r *leadership) commit(cm *sched.Commit) {
 	n := r.n
 	txn := CommitTxn(cm, r.termCond(), generationCond(cm.Generation))
-	txn.If = n.guarded(txn.If, cm.Jobs...)
+	txn.Conditions = n.guarded(txn.Conditions, cm.Jobs...)
 	unknown := false
 	for r.ctx.Err() == nil {
-		a, err := n.state.Multi(r.ctx, txn)
+		a, err := n.state.Txn(r.ctx, txn)
 		switch {
 		case err == nil:
 			r.commitDone(cm, true)
@@ -48,14 +48,14 @@
 		case errors.Is(err, kvstore.ErrUnknown):
 			unknown = true
 		case errors.Is(err, kvstore.ErrConflict):
-			r.conflict(cm, a.Failed)
+			r.conflict(cm, a.FailedKeys)
 			return
 		case !unknown:
 			// Refused: it was not executed and never will be.
 			if errors.Is(err, kvstore.ErrRefused) {
 				n.log.Debug("commit refused", "err", err)
 			} else {
-				n.log.Error("commit is not accepted", "err", err, "conditions", len(txn.If), "changes", len(txn.Then))
+				n.log.Error("commit is not accepted", "err", err, "conditions", len(txn.Conditions), "changes", len(txn.Mutations))
 			}
 			r.commitDone(cm, false)
 			return
@@ -73,9 +73,9 @@
 		r.busyCommit = false
 		n.config.configureCore() // what was refused is decided by the newest one
 		if ok {
-			r.core.Committed(cm, n.now())
+			r.core.CommitStored(cm, n.now())
 		} else {
-			r.core.Refused(cm, n.now())
+			r.core.CommitRejected(cm, n.now())
 		}
 		r.serveWaiters()
 		n.dirty = true
@@ -136,15 +136,15 @@
 	n := r.n
 	ctx, cancel := context.WithTimeout(r.ctx, 4*time.Second)
 	defer cancel()
-	conds := []wire.Cond{r.termCond()}
-	txn := wire.Txn{If: conds}
+	conds := []wire.Condition{r.termCond()}
+	txn := wire.Txn{Conditions: conds}
 	at := n.now()
 	for i, id := range ids {
-		txn.If = append(txn.If, wire.Cond{Key: endKey(id)})
-		txn.Then = append(txn.Then, wire.Change{Put: endKey(id), Value: endRecord{Status: wire.JobDone, At: at, Done: done[i]}})
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: endKey(id)})
+		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: endKey(id), Value: endRecord{Status: wire.JobDone, At: at, Done: done[i]}})
 	}
-	txn.If = n.guarded(txn.If, ids...)
-	_, together := n.state.Multi(ctx, txn)
+	txn.Conditions = n.guarded(txn.Conditions, ids...)
+	_, together := n.state.Txn(ctx, txn)
 	ends := make([]endRecord, len(ids))
 	errs := make([]error, len(ids))
 	failed := false
@@ -171,7 +171,7 @@
 			if errs[i] != nil {
 				r.core.RetryEnd(id)
 			} else {
-				r.core.Ended(id, ends[i].Status, n.now())
+				r.core.JobEnded(id, ends[i].Status, n.now())
 			}
 		}
 		r.effects()
@@ -182,22 +182,22 @@
 // progressTxn stores progress, each chunk on condition that it is as last stored or read: a
 // copy of an earlier transaction that got no answer may be applied after it, and would take
 // back what tasks have been cleared for since. Owner goroutine.
-func (r *leadership) progressTxn(cs []sched.Chunk) wire.Txn {
-	txn := wire.Txn{If: []wire.Cond{r.termCond()}}
+func (r *leadership) progressTxn(cs []sched.ProgressChunk) wire.Txn {
+	txn := wire.Txn{Conditions: []wire.Condition{r.termCond()}}
 	for _, c := range cs {
 		key := chunkKey(c.Job, c.Index)
-		txn.If = append(txn.If, wire.Cond{Key: key, Version: r.chunkAt[key]})
-		txn.Then = append(txn.Then, wire.Change{Put: key, Value: c.Text})
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: key, Version: r.chunkAt[key]})
+		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: key, Value: c.Text})
 	}
 	return txn
 }
 
-func (r *leadership) storeProgress(cs []sched.Chunk, txn wire.Txn) {
+func (r *leadership) storeProgress(cs []sched.ProgressChunk, txn wire.Txn) {
 	n := r.n
-	a, err := n.state.Multi(r.ctx, txn)
+	a, err := n.state.Txn(r.ctx, txn)
 	changed := map[string]uint64{} // versions that are another than thought
 	if errors.Is(err, kvstore.ErrConflict) {
-		for _, k := range a.Failed {
+		for _, k := range a.FailedKeys {
 			if e, found, err := n.state.Get(r.ctx, k); err == nil && found && k != termKey {
 				changed[k] = e.Version
 			} else if err == nil && k != termKey {
@@ -231,9 +231,9 @@
 // in twenty seconds.
 const learnEvery = 20_000_000
 
-func (r *leadership) storeLearned(l sched.Learned) {
+func (r *leadership) storeLearned(l sched.Statistics) {
 	n := r.n
-	_, _ = n.state.Multi(r.ctx, wire.Txn{If: []wire.Cond{r.termCond()}, Then: []wire.Change{{Put: learnedKey, Value: l}}})
+	_, _ = n.state.Txn(r.ctx, wire.Txn{Conditions: []wire.Condition{r.termCond()}, Mutations: []wire.Mutation{{Put: learnedKey, Value: l}}})
 	n.post(func() { r.busyLearned = false })
 }
 
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -99,7 +99,7 @@
 		if !n.warm.ready() && n.yields(ctx) {
 			if left != 0 {
 				// Nobody acts under it any more, and somebody else is to.
-				_, err := n.state.Multi(ctx, wire.Txn{If: []wire.Cond{{Key: termKey, Version: left}}, Then: []wire.Change{{Delete: termKey}}})
+				_, err := n.state.Txn(ctx, wire.Txn{Conditions: []wire.Condition{{Key: termKey, Version: left}}, Mutations: []wire.Mutation{{Delete: termKey}}})
 				n.log.Info("gives up a term that an ended process has left", "token", left, "err", err)
 			}
 			rest(ctx, n.yieldFor())
@@ -117,9 +117,9 @@
 		}
 		// The service never gives a lease's number twice, whatever the clocks say.
 		mark := fmt.Sprintf("%s.%d.%d", n.set.Label, n.wall, h.id)
-		a, err := n.state.Multi(ctx, wire.Txn{
-			If:   []wire.Cond{{Key: termKey, Version: left}},
-			Then: []wire.Change{{Put: termKey, Value: termRecord{Node: n.set.Label, Mark: mark, Born: n.born, Configures: true}, Lease: h.id}},
+		a, err := n.state.Txn(ctx, wire.Txn{
+			Conditions: []wire.Condition{{Key: termKey, Version: left}},
+			Mutations:  []wire.Mutation{{Put: termKey, Value: termRecord{Node: n.set.Label, Mark: mark, Born: n.born, Configures: true}, Lease: h.id}},
 		})
 		token := a.Revision
 		if errors.Is(err, kvstore.ErrUnknown) {
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -180,8 +180,8 @@
 		return wire.JobStatus{}, false, fmt.Errorf("%w: too large to be stored", wire.ErrMalformed)
 	}
 	st, err := n.unlessEnded(ctx, j.ID, wire.Txn{
-		If:   []wire.Cond{{Key: jobKey(j.ID)}, {Key: endKey(j.ID)}},
-		Then: []wire.Change{{Put: jobKey(j.ID), Value: rec}},
+		Conditions: []wire.Condition{{Key: jobKey(j.ID)}, {Key: endKey(j.ID)}},
+		Mutations:  []wire.Mutation{{Put: jobKey(j.ID), Value: rec}},
 	})
 	switch {
 	case err == nil && wire.Final(st.Status):
@@ -202,11 +202,11 @@
 
 // createEnd creates a job's end or returns the one that exists. An error means
 // that it isn't known whether there is an end.
-func (n *Node) createEnd(ctx context.Context, id, status string, done int, conds []wire.Cond) (endRecord, error) {
+func (n *Node) createEnd(ctx context.Context, id, status string, done int, conds []wire.Condition) (endRecord, error) {
 	end := endRecord{Status: status, At: n.now(), Done: done, Untold: status == wire.JobCancelled}
 	st, err := n.unlessEnded(ctx, id, wire.Txn{
-		If:   append(slices.Clone(conds), wire.Cond{Key: endKey(id)}),
-		Then: []wire.Change{{Put: endKey(id), Value: end}},
+		Conditions: append(slices.Clone(conds), wire.Condition{Key: endKey(id)}),
+		Mutations:  []wire.Mutation{{Put: endKey(id), Value: end}},
 	})
 	switch {
 	case err == nil && wire.Final(st.Status):
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -84,7 +84,7 @@
 	release := make(chan struct{})
 	n = testNode(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/multi" {
-			b, _ := wire.Marshal(wire.Entry{Key: endKey("j-7"), Value: []byte{0x81, 0xa1, 'S', 0xa4, 'd', 'o', 'n', 'e'}})
+			b, _ := wire.Marshal(wire.KeyValue{Key: endKey("j-7"), Value: []byte{0x81, 0xa1, 'S', 0xa4, 'd', 'o', 'n', 'e'}})
 			_, _ = w.Write(b)
 			return
 		}
@@ -93,10 +93,10 @@
 		var txn wire.Txn
 		b, _ := io.ReadAll(r.Body)
 		_ = wire.Unmarshal(b, &txn)
-		var a wire.TxnAnswer
-		for _, c := range txn.If {
+		var a wire.TxnResponse
+		for _, c := range txn.Conditions {
 			if strings.HasPrefix(c.Key, jobPrefix) || c.Key == endKey("j-7") {
-				a.Failed = append(a.Failed, c.Key)
+				a.FailedKeys = append(a.FailedKeys, c.Key)
 			}
 		}
 		w.WriteHeader(http.StatusConflict)
@@ -149,20 +149,20 @@
 // without the leader's grant it must not renew a lease either.
 func TestNotEntitled(t *testing.T) {
 	n := testNode(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
-	r := &wire.Report{Host: "n-1", Type: "s", Zone: "x", Session: 1, Seq: 1, Token: 5}
+	r := &wire.Heartbeat{Host: "n-1", Type: "s", Zone: "x", Incarnation: 1, Sequence: 1, FencingToken: 5}
 	if _, err := n.Report(context.Background(), r); err == nil {
 		t.Error("a node without a term answered 200")
 	}
-	n.heard(&peer.Hello{From: "b", Leader: "b", Token: 5})
+	n.heard(&peer.Heartbeat{From: "b", Leader: "b", Token: 5})
 	if token, ok := n.mayRenew(r); !ok || token != 5 {
 		t.Errorf("with a fresh grant: token %d, %v", token, ok)
 	}
-	r.Token = 6 // somebody newer rules
+	r.FencingToken = 6 // somebody newer rules
 	if _, ok := n.mayRenew(r); ok {
 		t.Error("renewed although the worker has seen a higher token")
 	}
-	n.heard(&peer.Hello{From: "c", Leader: "d", Token: 7})
-	r.Token = 5
+	n.heard(&peer.Heartbeat{From: "c", Leader: "d", Token: 7})
+	r.FencingToken = 5
 	if _, ok := n.mayRenew(r); ok {
 		t.Error("renewed under a grant that a higher token has ended")
 	}
--- a/internal/dynconfig/dynconfig_test.go
+++ b/internal/dynconfig/dynconfig_test.go
@@ -130,18 +130,18 @@
 type store struct {
 	t       testing.TB
 	limits  wire.TxnLimits
-	keys    map[string]wire.Entry
+	keys    map[string]wire.KeyValue
 	version uint64
 }
 
 func newStore(t testing.TB) *store {
-	return &store{t: t, limits: platform(t).TxnLimits(), keys: map[string]wire.Entry{}, version: 10}
+	return &store{t: t, limits: platform(t).TxnLimits(), keys: map[string]wire.KeyValue{}, version: 10}
 }
 
 // write runs a transaction on condition of the generation key's version.
-func (s *store) write(version uint64, changes []wire.Change) bool {
+func (s *store) write(version uint64, changes []wire.Mutation) bool {
 	s.t.Helper()
-	if err := s.limits.Check(wire.Txn{If: []wire.Cond{{Key: GenerationKey, Version: version}, {}, {}}, Then: changes}); err != nil {
+	if err := s.limits.Check(wire.Txn{Conditions: []wire.Condition{{Key: GenerationKey, Version: version}, {}, {}}, Mutations: changes}); err != nil {
 		s.t.Fatal("a transaction beyond the limits: ", err)
 	}
 	if s.keys[GenerationKey].Version != version {
@@ -157,18 +157,18 @@
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		s.keys[c.Put] = wire.Entry{Key: c.Put, Value: value, Version: s.version}
+		s.keys[c.Put] = wire.KeyValue{Key: c.Put, Value: value, Version: s.version}
 	}
 	return true
 }
 
-func (s *store) entries(prefix string) (out []wire.Entry) {
+func (s *store) entries(prefix string) (out []wire.KeyValue) {
 	for k, e := range s.keys {
 		if strings.HasPrefix(k, prefix) {
 			out = append(out, e)
 		}
 	}
-	slices.SortFunc(out, func(a, b wire.Entry) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(out, func(a, b wire.KeyValue) int { return strings.Compare(a.Key, b.Key) })
 	return out
 }
 
@@ -203,7 +203,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	steps := append(append([][]wire.Change{p.Stage}, p.Batches...), p.Switch)
+	steps := append(append([][]wire.Mutation{p.Stage}, p.Batches...), p.Switch)
 	for _, changes := range steps {
 		if changes == nil {
 			continue
@@ -304,18 +304,18 @@
 // Parts of a history that an abandoned apply has left behind those of the one in force are not
 // taken for its own.
 func TestHistoryOfAnAbandonedApply(t *testing.T) {
-	part := func(apply string, number int, name string) wire.Entry {
+	part := func(apply string, number int, name string) wire.KeyValue {
 		value, err := wire.Marshal(History{Generation: 1, Apply: apply, Parts: 2, Changes: []HistoryChange{{Kind: KindTeam, Name: name}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return wire.Entry{Key: historyKey(1, number), Value: value}
+		return wire.KeyValue{Key: historyKey(1, number), Value: value}
 	}
-	got, err := ReadHistory([]wire.Entry{part("b", 0, "red"), part("b", 1, "blue"), part("a", 2, "green")}, 1)
+	got, err := ReadHistory([]wire.KeyValue{part("b", 0, "red"), part("b", 1, "blue"), part("a", 2, "green")}, 1)
 	if err != nil || len(got) != 1 || len(got[0].Changes) != 2 {
 		t.Errorf("%+v %v", got, err)
 	}
-	if got, err := ReadHistory([]wire.Entry{part("a", 0, "red")}, 0); err != nil || len(got) != 0 {
+	if got, err := ReadHistory([]wire.KeyValue{part("a", 0, "red")}, 0); err != nil || len(got) != 0 {
 		t.Errorf("history of a generation that never was: %+v %v", got, err)
 	}
 }
--- a/internal/dynconfig/plan.go
+++ b/internal/dynconfig/plan.go
@@ -43,9 +43,9 @@
 // time.
 type Plan struct {
 	Generation uint64
-	Stage      []wire.Change
-	Batches    [][]wire.Change
-	Switch     []wire.Change
+	Stage      []wire.Mutation
+	Batches    [][]wire.Mutation
+	Switch     []wire.Mutation
 	Tidy       []string
 	Changes    []HistoryChange
 }
@@ -53,10 +53,10 @@
 // Claim is the change of GenerationKey by which an apply takes over from one that is writing
 // pending versions. Everything is to be read again after it: what the other wrote until then
 // is there, and nothing can be added to it.
-func (s *State) Claim(id string) []wire.Change {
+func (s *State) Claim(id string) []wire.Mutation {
 	staging := s.Generation
 	staging.Staging = id
-	return []wire.Change{{Put: GenerationKey, Value: staging}}
+	return []wire.Mutation{{Put: GenerationKey, Value: staging}}
 }
 
 // Plan plans a request against the state, and the oldest and newest keys of the history. It
@@ -83,7 +83,7 @@
 		return nil, err
 	}
 	stale := s.staleHistory(history, p.Generation, len(past))
-	p.Switch = slices.Concat(records, past, []wire.Change{{Put: GenerationKey, Value: generation}})
+	p.Switch = slices.Concat(records, past, []wire.Mutation{{Put: GenerationKey, Value: generation}})
 	p.Switch = append(p.Switch, deletions(stale.abandoned)...)
 	p.Tidy = stale.old
 	if fits(limits, p.Switch) {
@@ -112,23 +112,23 @@
 
 // replaced is the documents as one transaction stores them. Versions that an abandoned apply
 // has left go, since the new generation would put them in force.
-func (s *State) replaced(p *Plan) (out []wire.Change) {
+func (s *State) replaced(p *Plan) (out []wire.Mutation) {
 	changed := map[string]bool{}
 	for _, c := range p.Changes {
 		key := documentKey(c.Kind, c.Name)
 		changed[key] = true
 		if c.After == nil {
-			out = append(out, wire.Change{Delete: key})
+			out = append(out, wire.Mutation{Delete: key})
 			continue
 		}
-		out = append(out, wire.Change{Put: key, Value: Record{Current: &Version{Generation: p.Generation, Body: c.After}}})
+		out = append(out, wire.Mutation{Put: key, Value: Record{Current: &Version{Generation: p.Generation, Body: c.After}}})
 	}
 	return append(out, s.cleaned(func(key string) bool { return changed[key] })...)
 }
 
 // cleaned rewrites the records, but for some, that have versions of an abandoned apply, and
 // deletes some of those that hold nothing.
-func (s *State) cleaned(but func(key string) bool) (out []wire.Change) {
+func (s *State) cleaned(but func(key string) bool) (out []wire.Mutation) {
 	tidied := 0
 	for _, key := range slices.Sorted(maps.Keys(s.records)) {
 		r := s.records[key]
@@ -137,9 +137,9 @@
 		case but(key):
 		case v == nil && (r.abandoned(s.Generation.Number) || tidied < mostTidied):
 			tidied++
-			out = append(out, wire.Change{Delete: key})
+			out = append(out, wire.Mutation{Delete: key})
 		case r.abandoned(s.Generation.Number):
-			out = append(out, wire.Change{Put: key, Value: Record{Current: v}})
+			out = append(out, wire.Mutation{Put: key, Value: Record{Current: v}})
 		}
 	}
 	return out
@@ -147,25 +147,25 @@
 
 // stage plans a change that is too large for one transaction: documents get pending versions
 // in as many transactions as that takes, and the last write puts all in force.
-func (s *State) stage(p *Plan, q *Request, next Generation, past []wire.Change, limits wire.TxnLimits) error {
+func (s *State) stage(p *Plan, q *Request, next Generation, past []wire.Mutation, limits wire.TxnLimits) error {
 	if s.Generation.Staging == "" {
 		p.Stage = s.Claim(q.ID)
 	}
-	var writes []wire.Change
+	var writes []wire.Mutation
 	changed := map[string]bool{}
 	for _, c := range p.Changes {
 		key := documentKey(c.Kind, c.Name)
 		changed[key] = true
 		old := s.records[key]
-		writes = append(writes, wire.Change{Put: key, Value: Record{
+		writes = append(writes, wire.Mutation{Put: key, Value: Record{
 			Current: old.inForce(s.Generation.Number),
 			Pending: &Version{Generation: p.Generation, Body: c.After, Removed: c.After == nil},
 		}})
 	}
 	writes = slices.Concat(s.cleaned(func(key string) bool { return changed[key] }), writes, past)
-	var batch []wire.Change
+	var batch []wire.Mutation
 	for _, w := range writes {
-		if !fits(limits, []wire.Change{w}) {
+		if !fits(limits, []wire.Mutation{w}) {
 			return fmt.Errorf("%s: too large for the state service", w.Put)
 		}
 		if !fits(limits, append(slices.Clone(batch), w)) {
@@ -177,29 +177,29 @@
 	if len(batch) > 0 {
 		p.Batches = append(p.Batches, batch)
 	}
-	p.Switch = []wire.Change{{Put: GenerationKey, Value: next}}
+	p.Switch = []wire.Mutation{{Put: GenerationKey, Value: next}}
 	return nil
 }
 
 // fits says whether a transaction with the conditions of a plan is within the limits.
-func fits(limits wire.TxnLimits, changes []wire.Change) bool {
-	txn := wire.Txn{Then: changes}
+func fits(limits wire.TxnLimits, changes []wire.Mutation) bool {
+	txn := wire.Txn{Mutations: changes}
 	for range conditionsEach {
-		txn.If = append(txn.If, wire.Cond{Key: GenerationKey, Version: 1 << 60})
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: GenerationKey, Version: 1 << 60})
 	}
 	return limits.Check(txn) == nil
 }
 
 // historyOf cuts what a generation did into as many keys as that takes.
-func historyOf(p *Plan, q *Request, limits wire.TxnLimits) (out []wire.Change, err error) {
+func historyOf(p *Plan, q *Request, limits wire.TxnLimits) (out []wire.Mutation, err error) {
 	var parts []History
 	one := func(changes []HistoryChange) History {
 		return History{Generation: p.Generation, Apply: q.ID, By: q.By, At: q.At, Parts: 1 << 20, Changes: changes}
 	}
 	from := 0
 	for i := range p.Changes {
-		whole := wire.Change{Put: historyKey(p.Generation, len(parts)), Value: one(p.Changes[from : i+1])}
-		if fits(limits, []wire.Change{whole}) {
+		whole := wire.Mutation{Put: historyKey(p.Generation, len(parts)), Value: one(p.Changes[from : i+1])}
+		if fits(limits, []wire.Mutation{whole}) {
 			continue
 		}
 		if i == from {
@@ -211,7 +211,7 @@
 	parts = append(parts, one(p.Changes[from:]))
 	for i := range parts {
 		parts[i].Parts = len(parts)
-		out = append(out, wire.Change{Put: historyKey(p.Generation, i), Value: parts[i]})
+		out = append(out, wire.Mutation{Put: historyKey(p.Generation, i), Value: parts[i]})
 	}
 	return out, nil
 }
@@ -234,15 +234,15 @@
 	return out
 }
 
-func deletions(keys []string) (out []wire.Change) {
+func deletions(keys []string) (out []wire.Mutation) {
 	for _, k := range keys {
-		out = append(out, wire.Change{Delete: k})
+		out = append(out, wire.Mutation{Delete: k})
 	}
 	return out
 }
 
 // HistoryKeys are the keys of the history among entries.
-func HistoryKeys(entries []wire.Entry) (out []string) {
+func HistoryKeys(entries []wire.KeyValue) (out []string) {
 	for _, e := range entries {
 		if strings.HasPrefix(e.Key, HistoryPrefix) {
 			out = append(out, e.Key)
--- a/internal/dynconfig/state.go
+++ b/internal/dynconfig/state.go
@@ -73,7 +73,7 @@
 }
 
 // NewState returns the state that consists of these keys, read in one moment.
-func NewState(entries []wire.Entry) (*State, error) {
+func NewState(entries []wire.KeyValue) (*State, error) {
 	s := &State{records: map[string]Record{}}
 	for _, e := range entries {
 		if err := s.put(e.Key, e.Value, e.Version); err != nil {
@@ -173,7 +173,7 @@
 
 // ReadHistory joins the stored parts, the newest generation first. Parts of an apply that was
 // abandoned, of generations above the newest one, are left out.
-func ReadHistory(entries []wire.Entry, newest uint64) (out []History, err error) {
+func ReadHistory(entries []wire.KeyValue, newest uint64) (out []History, err error) {
 	for _, e := range entries {
 		var h History
 		if err := wire.Unmarshal(e.Value, &h); err != nil {
--- a/internal/emulator/balancer.go
+++ b/internal/emulator/balancer.go
@@ -102,7 +102,7 @@
 // ServeHTTP passes a request on; when a controller takes no connection another one
 // gets it, up to three.
 func (b *balancer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err != nil {
 		respond(w, http.StatusBadRequest, wire.Error{Error: "too large"})
 		return
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -23,17 +23,17 @@
 		q := r.URL.Query()
 		most, _ := strconv.Atoi(q.Get("Page"))
 		respond(w, http.StatusOK, f.page(q.Get("From"), min(max(1, most), maxListed)))
-	case r.URL.Path == wire.PathReturn:
-		var h wire.Hosts
-		if !read(r, &h) || len(h.Hosts) > maxReturned {
+	case r.URL.Path == wire.PathScaleIn:
+		var h wire.MachineIDs
+		if !read(r, &h) || len(h.IDs) > maxReturned {
 			respond(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 			return
 		}
-		f.Return(h.Hosts)
+		f.Return(h.IDs)
 		respond(w, http.StatusOK, struct{}{})
 	default:
-		var h wire.Hire
-		if !read(r, &h) || h.Request == "" || h.Count < 1 || h.Count > maxRented {
+		var h wire.ScaleOutRequest
+		if !read(r, &h) || h.RequestID == "" || h.Count < 1 || h.Count > maxRented {
 			respond(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 			return
 		}
@@ -44,16 +44,16 @@
 		case len(hosts) == 0:
 			respond(w, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
 		default:
-			respond(w, http.StatusOK, wire.Hosts{Hosts: hosts})
+			respond(w, http.StatusOK, wire.MachineIDs{IDs: hosts})
 		}
 	}
 }
 
 // rent answers a request; repeated, it has the answer that it had.
-func (f *Fleet) rent(h wire.Hire) (hosts []string, ok bool) {
+func (f *Fleet) rent(h wire.ScaleOutRequest) (hosts []string, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if had := f.hires[h.Request]; had != nil {
+	if had := f.hires[h.RequestID]; had != nil {
 		return had, true
 	}
 	i := slices.IndexFunc(f.catalog.Types, func(t wire.MachineType) bool { return t.Name == h.Type })
@@ -65,7 +65,7 @@
 		hosts = append(hosts, f.add(t, h.Zone, h.Spot).id)
 	}
 	if len(hosts) > 0 {
-		f.hires[h.Request] = hosts
+		f.hires[h.RequestID] = hosts
 	}
 	return hosts, true
 }
@@ -109,12 +109,12 @@
 func (f *Fleet) list() (out []wire.Machine) {
 	for _, id := range f.ids {
 		m := f.machines[id]
-		state := wire.HostBooting
+		state := wire.MachineBooting
 		switch {
 		case m.dead && f.now-m.died > 30*config.Second:
-			state = wire.HostFailed
+			state = wire.MachineFailed
 		case m.up:
-			state = wire.HostRunning
+			state = wire.MachineRunning
 		}
 		out = append(out, wire.Machine{ID: id, Addr: m.addr, Type: m.typ.Name, Zone: m.zone, Spot: m.spot, State: state, AgeS: float64(f.now-m.born) / 1e6})
 	}
@@ -122,10 +122,10 @@
 }
 
 // page answers from a list that lags.
-func (f *Fleet) page(from string, most int) wire.Machines {
+func (f *Fleet) page(from string, most int) wire.MachinePage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := wire.Machines{Hosts: []wire.Machine{}}
+	out := wire.MachinePage{Machines: []wire.Machine{}}
 	if len(f.lists) == 0 {
 		return out
 	}
@@ -133,11 +133,11 @@
 		if h.ID <= from {
 			continue
 		}
-		if len(out.Hosts) == most {
+		if len(out.Machines) == most {
 			out.More = true
 			break
 		}
-		out.Hosts = append(out.Hosts, h)
+		out.Machines = append(out.Machines, h)
 	}
 	return out
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -418,7 +418,7 @@
 	case g.started == 0:
 		for _, t := range g.ordered() {
 			if t.state == wire.TaskWaiting && f.now-t.since > wait {
-				t.exit(wire.CauseAlone)
+				t.exit(wire.CauseGangIncomplete)
 				delete(g.members, t)
 			}
 		}
@@ -438,7 +438,7 @@
 		for _, t := range g.ordered() {
 			m := g.members[t]
 			if t.state == wire.TaskRunning && !m.dead && f.now >= m.hung {
-				t.exit(wire.CausePeers)
+				t.exit(wire.CauseGangMemberLost)
 			}
 		}
 	}
@@ -468,7 +468,7 @@
 
 // checkpoint saves the progress that the checkpoints on the way have reached.
 func (f *Fleet) checkpoint(j *job, index int, progress Micros) {
-	if every := config.Micro(j.CheckpointEvery); every > 0 {
+	if every := config.Micro(j.CheckpointIntervalS); every > 0 {
 		f.save(j, index, progress/every*every)
 	}
 }
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -29,7 +29,7 @@
 	}
 	s := &stage{NewFleet(1, set, spec.Catalog(), 10, func(*Machine) string { return "" }), t}
 	for i := range machines {
-		if hosts, ok := s.rent(wire.Hire{Request: fmt.Sprint(i), Type: "small", Zone: spec.Zones[i%2], Spot: true, Count: 1}); !ok || len(hosts) != 1 {
+		if hosts, ok := s.rent(wire.ScaleOutRequest{RequestID: fmt.Sprint(i), Type: "small", Zone: spec.Zones[i%2], Spot: true, Count: 1}); !ok || len(hosts) != 1 {
 			t.Fatal("not rented")
 		}
 	}
@@ -42,7 +42,7 @@
 
 func sample(id, shape string, tasks int) wire.Job {
 	return wire.Job{ID: id, Team: "research", Shape: shape, Tasks: tasks, CPUs: 4, MemoryGB: 4, Image: "i", ImageGB: 2, Spot: true,
-		EstimateS: 100, CheckpointEvery: 10, SaveS: 1}
+		EstimateS: 100, CheckpointIntervalS: 10, CheckpointDurationS: 1}
 }
 
 func (s *stage) machine(i int) *Machine { return s.machines[fmt.Sprintf("n-%06d", i+1)] }
@@ -56,7 +56,7 @@
 				silent = silent || b == i
 			}
 			if m := s.machine(i); m != nil && !silent {
-				m.answered(&wire.ReportAnswer{Token: max(1, m.token)}, m.session, s.now)
+				m.answered(&wire.HeartbeatResponse{FencingToken: max(1, m.token)}, m.session, s.now)
 			}
 		}
 		s.Step(s.now + second/10)
@@ -64,7 +64,7 @@
 }
 
 func (s *stage) order(i int, op, task string, attempt uint64, grace float64) {
-	s.machine(i).execute(wire.Order{Op: op, Task: task, Attempt: attempt, GraceS: &grace})
+	s.machine(i).execute(wire.Command{Op: op, Task: task, Attempt: attempt, GraceS: &grace})
 }
 
 // state is what a machine reports of a task's latest attempt: its state, its cause,
@@ -137,17 +137,17 @@
 func TestLease(t *testing.T) {
 	s := newStage(t, 1, sample("j-1", wire.Array, 1))
 	m := s.machine(0)
-	m.answered(&wire.ReportAnswer{Token: 7, Orders: []wire.Order{{Op: wire.Launch, Task: "j-1/0", Attempt: 1}}}, 1, s.now)
+	m.answered(&wire.HeartbeatResponse{FencingToken: 7, Commands: []wire.Command{{Op: wire.Launch, Task: "j-1/0", Attempt: 1}}}, 1, s.now)
 	s.pass(3)
 	s.want(0, "j-1/0", wire.TaskRunning)
-	m.answered(&wire.ReportAnswer{Token: 6, Orders: []wire.Order{{Op: wire.Stop, Task: "j-1/0", Attempt: 1}}}, 1, s.now)
+	m.answered(&wire.HeartbeatResponse{FencingToken: 6, Commands: []wire.Command{{Op: wire.Stop, Task: "j-1/0", Attempt: 1}}}, 1, s.now)
 	s.want(0, "j-1/0", wire.TaskRunning)
 	s.pass(6, 0)
 	s.want(0, "j-1/0", "none")
 	if m.session != 2 || m.token != 7 {
 		t.Errorf("session %d, token %d", m.session, m.token)
 	}
-	m.answered(&wire.ReportAnswer{Token: 7, Orders: []wire.Order{{Op: wire.Launch, Task: "j-1/0", Attempt: 2}}}, 1, s.now)
+	m.answered(&wire.HeartbeatResponse{FencingToken: 7, Commands: []wire.Command{{Op: wire.Launch, Task: "j-1/0", Attempt: 2}}}, 1, s.now)
 	s.want(0, "j-1/0", "none") // an answer to the last session
 }
 
@@ -158,7 +158,7 @@
 	s.pass(5)
 	s.want(0, "j-1/0", wire.TaskWaiting)
 	s.pass(20)
-	s.want(0, "j-1/0", wire.TaskExited+" "+wire.CauseAlone)
+	s.want(0, "j-1/0", wire.TaskExited+" "+wire.CauseGangIncomplete)
 
 	launch(0, "j-1/0", 2)
 	launch(1, "j-1/1", 2)
@@ -167,7 +167,7 @@
 	s.pass(25)
 	s.die(s.machine(1)) // progress since the last checkpoint is lost
 	s.pass(4)
-	s.want(0, "j-1/0", wire.TaskExited+" "+wire.CausePeers)
+	s.want(0, "j-1/0", wire.TaskExited+" "+wire.CauseGangMemberLost)
 	if got := s.jobs["j-1"].saved[0]; got != 20*second {
 		t.Errorf("kept %d of the progress", got)
 	}
@@ -190,8 +190,8 @@
 	s.pass(3)
 	s.order(0, wire.Stop, "j-1/0", 4, 5) // the other one is not told in time
 	s.pass(5)
-	s.want(0, "j-1/0", wire.TaskExited+" "+wire.CausePeers)
-	s.want(2, "j-1/1", wire.TaskExited+" "+wire.CausePeers)
+	s.want(0, "j-1/0", wire.TaskExited+" "+wire.CauseGangMemberLost)
+	s.want(2, "j-1/1", wire.TaskExited+" "+wire.CauseGangMemberLost)
 
 	launch(0, "j-1/0", 5)
 	launch(2, "j-1/1", 5)
@@ -271,20 +271,20 @@
 // The cloud: a repeated request rents nothing, the list lags, a return ends machines.
 func TestCloud(t *testing.T) {
 	s := newStage(t, 0)
-	hire := wire.Hire{Request: "r", Type: "small", Zone: "a", Count: 8}
+	hire := wire.ScaleOutRequest{RequestID: "r", Type: "small", Zone: "a", Count: 8}
 	first, _ := s.rent(hire)
 	again, _ := s.rent(hire)
 	if len(first) != 8 || fmt.Sprint(first) != fmt.Sprint(again) {
 		t.Errorf("rented %v, then %v", first, again)
 	}
-	if rest, ok := s.rent(wire.Hire{Request: "q", Type: "small", Zone: "b", Count: 5}); !ok || len(rest) != 2 {
+	if rest, ok := s.rent(wire.ScaleOutRequest{RequestID: "q", Type: "small", Zone: "b", Count: 5}); !ok || len(rest) != 2 {
 		t.Errorf("of ten machines %d were left", len(rest))
 	}
-	if got := s.page("", 500); len(got.Hosts) != 0 {
+	if got := s.page("", 500); len(got.Machines) != 0 {
 		t.Errorf("listed at once: %v", got)
 	}
 	s.pass(5)
-	if got := s.page(first[0], 3); len(got.Hosts) != 3 || !got.More || got.Hosts[0].ID != first[1] || got.Hosts[0].State != wire.HostRunning {
+	if got := s.page(first[0], 3); len(got.Machines) != 3 || !got.More || got.Machines[0].ID != first[1] || got.Machines[0].State != wire.MachineRunning {
 		t.Errorf("listed %v", got)
 	}
 	s.Return([]string{first[0], "n-999999"})
--- a/internal/emulator/keep.go
+++ b/internal/emulator/keep.go
@@ -120,7 +120,7 @@
 			return nil
 		})
 		return errors.Join(err, tx.Bucket(bucketKeys).ForEach(func(key, b []byte) error {
-			var e wire.Entry
+			var e wire.KeyValue
 			err := wire.Unmarshal(b, &e)
 			s.keys[string(key)] = e
 			return err
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -140,7 +140,7 @@
 				m.begin(t)
 			}
 		case t.state == wire.TaskWaiting && (t.job.gang == nil || t.job.gang.members[t] == nil) && f.now-t.since > config.Micro(f.workers.GangWaitS):
-			t.exit(wire.CauseAlone) // of an attempt that is over
+			t.exit(wire.CauseGangIncomplete) // of an attempt that is over
 		case t.state == wire.TaskRunning && t.job.Shape != wire.Gang && f.Fails != nil && f.Fails(m, &t.job.Job, false):
 			t.fail()
 		case t.state == wire.TaskRunning && t.job.Shape == wire.Array:
@@ -239,7 +239,7 @@
 func (t *task) stop(graceS float64) {
 	f := t.m.f
 	j := t.job
-	saves := t.state == wire.TaskRunning && j.CheckpointEvery > 0 && j.Shape != wire.Service && graceS >= j.SaveS
+	saves := t.state == wire.TaskRunning && j.CheckpointIntervalS > 0 && j.Shape != wire.Service && graceS >= j.CheckpointDurationS
 	g := j.gang
 	switch {
 	case t.state == wire.TaskExited, t.state == wire.TaskSaving && graceS > 0:
@@ -251,12 +251,12 @@
 			break
 		}
 		g.told++
-		t.saveEnd = f.now + config.Micro(j.SaveS)
+		t.saveEnd = f.now + config.Micro(j.CheckpointDurationS)
 		t.set(wire.TaskSaving)
 		return
 	case saves:
 		f.save(t.job, t.index, t.from+Micros(float64(f.now-t.since)*t.m.speed))
-		t.saveEnd = f.now + config.Micro(j.SaveS)
+		t.saveEnd = f.now + config.Micro(j.CheckpointDurationS)
 		t.set(wire.TaskSaving)
 		return
 	}
@@ -276,7 +276,7 @@
 			return // waits for the others
 		}
 		if g == nil || g.told < j.Tasks {
-			t.exit(wire.CausePeers)
+			t.exit(wire.CauseGangMemberLost)
 			return
 		}
 		f.save(j, 0, g.progress(f.now))
@@ -287,50 +287,50 @@
 }
 
 // report is what the worker says now.
-func (m *Machine) report() wire.Report {
+func (m *Machine) report() wire.Heartbeat {
 	m.seq++
 	m.changed = false
-	r := wire.Report{Host: m.id, Addr: m.addr, Type: m.typ.Name, Zone: m.zone, Spot: m.spot,
-		Session: m.session, Seq: m.seq, Token: m.token, Tasks: []wire.TaskReport{}}
+	r := wire.Heartbeat{Host: m.id, Addr: m.addr, Type: m.typ.Name, Zone: m.zone, Spot: m.spot,
+		Incarnation: m.session, Sequence: m.seq, FencingToken: m.token, Tasks: []wire.TaskStatus{}}
 	if m.recall > 0 {
 		s := float64(m.recall-m.f.now) / 1e6
-		r.NoticeS = &s
+		r.PreemptionNoticeS = &s
 	}
 	for _, t := range m.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: t.name, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
 	}
 	return r
 }
 
 // answered takes the answer to a report of a session that was sent at a time.
-func (m *Machine) answered(a *wire.ReportAnswer, session uint64, sent Micros) {
-	if session != m.session || a.Token < m.token || a.Token == 0 {
+func (m *Machine) answered(a *wire.HeartbeatResponse, session uint64, sent Micros) {
+	if session != m.session || a.FencingToken < m.token || a.FencingToken == 0 {
 		return
 	}
-	if a.Token > m.token {
-		m.token, m.changed = a.Token, true
+	if a.FencingToken > m.token {
+		m.token, m.changed = a.FencingToken, true
 	}
 	m.renewed = max(m.renewed, sent)
-	for _, o := range a.Orders {
+	for _, o := range a.Commands {
 		m.execute(o)
 	}
 }
 
 // commanded carries out direct commands, unless they are an older leader's or for
 // another session.
-func (m *Machine) commanded(d *wire.DirectOrders) bool {
-	if d.Token < m.token || d.Session != m.session {
+func (m *Machine) commanded(d *wire.CommandBatch) bool {
+	if d.FencingToken < m.token || d.Incarnation != m.session {
 		return false
 	}
-	m.token = d.Token
-	for _, o := range d.Orders {
+	m.token = d.FencingToken
+	for _, o := range d.Commands {
 		m.execute(o)
 	}
 	return true
 }
 
 // execute carries out a command.
-func (m *Machine) execute(o wire.Order) {
+func (m *Machine) execute(o wire.Command) {
 	at := slices.IndexFunc(m.tasks, func(t *task) bool { return t.name == o.Task })
 	switch o.Op {
 	case wire.Launch:
@@ -367,7 +367,7 @@
 	return cpus, gpus, memory
 }
 
-func (m *Machine) launch(o wire.Order) {
+func (m *Machine) launch(o wire.Command) {
 	id, index, ok := wire.ParseTask(o.Task)
 	j := m.f.jobs[id]
 	t := &task{m: m, job: j, name: o.Task, index: int(index), attempt: o.Attempt, since: m.f.now, state: wire.TaskFetching}
@@ -379,7 +379,7 @@
 			return
 		}
 		if x.name == o.Task && x.state != wire.TaskExited {
-			t.state, t.cause = wire.TaskExited, wire.CauseBusy
+			t.state, t.cause = wire.TaskExited, wire.CauseImageInUse
 		}
 	}
 	cpus, gpus, memory := m.room()
--- a/internal/emulator/services.go
+++ b/internal/emulator/services.go
@@ -30,7 +30,7 @@
 	fleet    *Fleet
 	mu       sync.Mutex
 	revision uint64
-	keys     map[string]wire.Entry
+	keys     map[string]wire.KeyValue
 	leases   map[uint64]time.Time
 	ttl      map[uint64]time.Duration
 	lease    uint64
@@ -55,7 +55,7 @@
 
 // txn is a transaction as the service reads it.
 type txn struct {
-	If   []wire.Cond `msgpack:"When"`
+	If   []wire.Condition `msgpack:"When"`
 	Then []struct {
 		Put    string             `msgpack:"Write"`
 		Value  msgpack.RawMessage `msgpack:"Value"`
@@ -66,9 +66,9 @@
 
 // message is the transaction as it was sent.
 func (t *txn) message() wire.Txn {
-	m := wire.Txn{If: t.If}
+	m := wire.Txn{Conditions: t.If}
 	for _, c := range t.Then {
-		m.Then = append(m.Then, wire.Change{Put: c.Put, Value: c.Value, Lease: c.Lease, Delete: c.Delete})
+		m.Mutations = append(m.Mutations, wire.Mutation{Put: c.Put, Value: c.Value, Lease: c.Lease, Delete: c.Delete})
 	}
 	return m
 }
@@ -82,7 +82,7 @@
 
 // NewServices returns empty services.
 func NewServices(cat wire.Catalog) *Services {
-	return &Services{Catalog: cat, keys: map[string]wire.Entry{}, leases: map[uint64]time.Time{}, ttl: map[uint64]time.Duration{}, changed: make(chan struct{})}
+	return &Services{Catalog: cat, keys: map[string]wire.KeyValue{}, leases: map[uint64]time.Time{}, ttl: map[uint64]time.Duration{}, changed: make(chan struct{})}
 }
 
 // SetFleet gives the cloud its machines.
@@ -108,7 +108,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.keys[key] = wire.Entry{Key: key, Value: b, Version: s.revision}
+	s.keys[key] = wire.KeyValue{Key: key, Value: b, Version: s.revision}
 	s.dirty = append(s.dirty, key)
 	s.flush()
 }
@@ -218,7 +218,7 @@
 }
 
 // Entry returns a key as it is now.
-func (s *Services) Entry(key string) (wire.Entry, bool) {
+func (s *Services) Entry(key string) (wire.KeyValue, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.keys[key]
@@ -277,7 +277,7 @@
 // within says whether a request is within the limits.
 func (s *Services) within(path string) bool {
 	limit := s.Requests
-	if strings.HasPrefix(path, wire.PathRentals) || path == wire.PathReturn || path == wire.PathCatalog {
+	if strings.HasPrefix(path, wire.PathMachines) || path == wire.PathScaleIn || path == wire.PathCatalog {
 		limit = s.Cloud
 		s.meter.cloud++
 	} else {
@@ -304,16 +304,16 @@
 		respond(w, http.StatusTooManyRequests, wire.Error{Error: "too many requests"})
 	case p == wire.PathCatalog:
 		respond(w, 200, s.Catalog)
-	case s.fleet != nil && strings.HasPrefix(p, wire.PathRentals):
+	case s.fleet != nil && strings.HasPrefix(p, wire.PathMachines):
 		s.mu.Unlock()
 		defer s.mu.Lock()
 		s.fleet.serveCloud(w, r)
-	case p == wire.PathRentals && r.Method == http.MethodGet:
-		respond(w, 200, wire.Machines{})
-	case p == wire.PathRentals:
+	case p == wire.PathMachines && r.Method == http.MethodGet:
+		respond(w, 200, wire.MachinePage{})
+	case p == wire.PathMachines:
 		respond(w, 503, wire.Error{Error: "no capacity"})
-	case p == wire.PathReturn:
-		respond(w, 200, wire.Hosts{})
+	case p == wire.PathScaleIn:
+		respond(w, 200, wire.MachineIDs{})
 	case s.down && p == "/changes": // open watches stay open
 		s.mu.Unlock()
 		time.Sleep(50 * time.Millisecond)
@@ -350,7 +350,7 @@
 	case p == "/changes":
 		s.watch(w, r)
 	case p == "/kv":
-		out := wire.Entries{Revision: s.revision}
+		out := wire.KeyValuePage{Revision: s.revision}
 		for k, e := range s.keys {
 			if strings.HasPrefix(k, r.URL.Query().Get("Starts")) && k > r.URL.Query().Get("From") {
 				out.Items = append(out.Items, e)
@@ -370,7 +370,7 @@
 		if e, ok := s.keys[strings.TrimPrefix(p, "/kv/")]; ok {
 			respond(w, 200, e)
 		} else {
-			respond(w, 404, wire.TxnAnswer{Revision: s.revision})
+			respond(w, 404, wire.TxnResponse{Revision: s.revision})
 		}
 	default:
 		respond(w, 404, nil)
@@ -435,14 +435,14 @@
 }
 
 // apply executes a transaction. The lock is held.
-func (s *Services) apply(t *txn) (code int, a wire.TxnAnswer) {
+func (s *Services) apply(t *txn) (code int, a wire.TxnResponse) {
 	a.Revision = s.revision
 	for _, c := range t.If {
 		if s.keys[c.Key].Version != c.Version {
-			a.Failed = append(a.Failed, c.Key)
+			a.FailedKeys = append(a.FailedKeys, c.Key)
 		}
 	}
-	if len(a.Failed) > 0 {
+	if len(a.FailedKeys) > 0 {
 		return 409, a
 	}
 	for _, c := range t.Then {
@@ -458,7 +458,7 @@
 			s.drop(c.Delete)
 			continue
 		}
-		s.keys[c.Put] = wire.Entry{Key: c.Put, Value: c.Value, Version: s.revision, Lease: c.Lease}
+		s.keys[c.Put] = wire.KeyValue{Key: c.Put, Value: c.Value, Version: s.revision, Lease: c.Lease}
 		s.dirty = append(s.dirty, c.Put)
 		if s.stored != nil {
 			s.stored(c.Put, c.Value)
--- a/internal/emulator/simulated.go
+++ b/internal/emulator/simulated.go
@@ -17,7 +17,7 @@
 
 // Exchange lets each worker that is due report, and carries out the answer; report
 // says whether there is one.
-func (f *Fleet) Exchange(report func(*wire.Report) (wire.ReportAnswer, bool)) {
+func (f *Fleet) Exchange(report func(*wire.Heartbeat) (wire.HeartbeatResponse, bool)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	every := config.Micro(f.workers.ReportS)
@@ -30,13 +30,13 @@
 		m.next = f.now + Micros(float64(every)*(0.75+0.5*f.rnd.Float64()))
 		r := m.report()
 		if a, ok := report(&r); ok {
-			m.answered(&a, r.Session, f.now)
+			m.answered(&a, r.Incarnation, f.now)
 		}
 	}
 }
 
 // Command brings direct commands to the worker at an address.
-func (f *Fleet) Command(addr string, d *wire.DirectOrders) *wire.Report {
+func (f *Fleet) Command(addr string, d *wire.CommandBatch) *wire.Heartbeat {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	id, _, _ := strings.Cut(addr, ":")
@@ -52,13 +52,13 @@
 }
 
 // Rent asks the cloud for machines, and is nil if it has none.
-func (f *Fleet) Rent(h wire.Hire) []string {
+func (f *Fleet) Rent(h wire.ScaleOutRequest) []string {
 	hosts, _ := f.rent(h)
 	return hosts
 }
 
 // List is the cloud's list as it shows now.
-func (f *Fleet) List() []wire.Machine { return f.page("", math.MaxInt).Hosts }
+func (f *Fleet) List() []wire.Machine { return f.page("", math.MaxInt).Machines }
 
 // First is when the first task of a job started, 0 if none has.
 func (f *Fleet) First(id string) Micros {
@@ -124,14 +124,14 @@
 }
 
 // Report is what the worker says now.
-func (m *Machine) Report() wire.Report {
+func (m *Machine) Report() wire.Heartbeat {
 	m.f.mu.Lock()
 	defer m.f.mu.Unlock()
 	return m.report()
 }
 
 // Answered takes the answer to a report of a session that was sent at a time.
-func (m *Machine) Answered(a *wire.ReportAnswer, session uint64, sent Micros) {
+func (m *Machine) Answered(a *wire.HeartbeatResponse, session uint64, sent Micros) {
 	m.f.mu.Lock()
 	defer m.f.mu.Unlock()
 	m.answered(a, session, sent)
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		return false
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to.addr+wire.PathReport, bytes.NewReader(b))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to.addr+wire.PathHeartbeat, bytes.NewReader(b))
 	if err != nil {
 		return false
 	}
@@ -148,11 +148,11 @@
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	switch {
 	case err == nil && resp.StatusCode == http.StatusOK:
-		var a wire.ReportAnswer
+		var a wire.HeartbeatResponse
 		if wire.Unmarshal(body, &a) == nil {
 			if _, awake := w.alive(); awake {
 				f.mu.Lock()
-				w.m.answered(&a, r.Session, sent)
+				w.m.answered(&a, r.Incarnation, sent)
 				f.mu.Unlock()
 			}
 		}
@@ -195,9 +195,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	code := http.StatusOK
-	if strings.HasPrefix(req.URL.Path, wire.PathOrders) {
-		var d wire.DirectOrders
-		if !read(req, &d) || d.Token == 0 || d.Session == 0 {
+	if strings.HasPrefix(req.URL.Path, wire.PathCommands) {
+		var d wire.CommandBatch
+		if !read(req, &d) || d.FencingToken == 0 || d.Incarnation == 0 {
 			respond(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
 			return
 		}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -76,7 +76,7 @@
 			run := c.RunS[0] * math.Exp(c.RunS[1]*rnd.NormFloat64()-c.RunS[1]*c.RunS[1]/2)
 			j := wire.Job{Class: c.Name, Team: c.Team, Shape: c.Shape, Priority: c.Priority, Tasks: c.Tasks[0] + rnd.IntN(c.Tasks[1]-c.Tasks[0]+1),
 				CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB, OneZone: c.OneZone, Image: c.Name, ImageGB: c.ImageGB, Spot: true,
-				EstimateS: max(run, 0.2), CheckpointEvery: c.CheckpointEveryS, SaveS: c.SaveS}
+				EstimateS: max(run, 0.2), CheckpointIntervalS: c.CheckpointEveryS, CheckpointDurationS: c.SaveS}
 			if c.Images > 1 {
 				j.Image = fmt.Sprintf("%s-%d", c.Name, rnd.IntN(c.Images))
 			}
@@ -184,7 +184,7 @@
 		if (x.now-begin)%every < step {
 			s := x.fleet.Summary()
 			_, waiting := x.core.Waiting()
-			res.Samples = append(res.Samples, Sample{float64(x.now-begin) / 1e6, s.Used, s.Room, x.core.Stats.Evictions, s.Price, waiting})
+			res.Samples = append(res.Samples, Sample{float64(x.now-begin) / 1e6, s.Used, s.Room, x.core.Stats.Preemptions, s.Price, waiting})
 		}
 	}
 	for _, a := range all {
@@ -202,7 +202,7 @@
 	}
 	res.Jobs, res.Unfinished = len(all), left
 	res.Launches = x.core.Stats.Launches
-	res.Evictions, res.Checkpoints = x.core.Stats.Evictions, x.core.Stats.Checkpoints
+	res.Evictions, res.Checkpoints = x.core.Stats.Preemptions, x.core.Stats.Checkpoints
 	res.Price, res.Broken = sum.Price, x.fleet.Broken()
 	return res, nil
 }
@@ -211,52 +211,52 @@
 func (x *run) step() (ended int) {
 	x.fleet.Step(x.now)
 	m := x.meter
-	x.fleet.Exchange(func(r *wire.Report) (a wire.ReportAnswer, ok bool) {
-		m.measure(reporting, func() { a = x.core.Report(r, x.now) })
+	x.fleet.Exchange(func(r *wire.Heartbeat) (a wire.HeartbeatResponse, ok bool) {
+		m.measure(reporting, func() { a = x.core.Heartbeat(r, x.now) })
 		return a, true
 	})
 	m.measure(passing, func() {
 		if cm := x.core.Schedule(x.now); cm != nil {
-			x.core.Committed(cm, x.now)
+			x.core.CommitStored(cm, x.now)
 		}
 	})
-	for _, d := range x.core.Directs() {
-		x.fleet.Command(d.Addr, &d.Orders)
+	for _, d := range x.core.TakeDirectCommands() {
+		x.fleet.Command(d.Addr, &d.Batch)
 	}
-	for _, c := range x.core.Progress(1 << 20) {
+	for _, c := range x.core.ProgressToStore(1 << 20) {
 		x.core.ProgressStored(c)
 	}
-	for _, id := range x.core.Ends() {
+	for _, id := range x.core.TakeEnds() {
 		x.jobs[id].ended = x.now
 		x.fleet.Told(wire.JobStatus{ID: id, Status: wire.JobDone})
-		x.core.Ended(id, wire.JobDone, x.now)
+		x.core.JobEnded(id, wire.JobDone, x.now)
 		ended++
 	}
-	x.core.Forgotten()
+	x.core.TakeForgotten()
 	if x.now%config.Second >= step {
 		return ended
 	}
-	x.core.Survey(x.now, nil)
+	x.core.DetectFailures(x.now, nil)
 	var back []string
-	var hires []wire.Hire
+	var hires []wire.ScaleOutRequest
 	x.meter.measure(renting, func() {
-		if back = x.core.Returns(x.now, x.core.Blind(x.now)); len(back) > 0 {
+		if back = x.core.ScaleIn(x.now, x.core.Blind(x.now)); len(back) > 0 {
 			x.fleet.Return(back)
-			x.core.Gone(back, x.now)
+			x.core.MachinesReturned(back, x.now)
 		}
-		hires = x.core.Hires(x.now)
+		hires = x.core.ScaleOut(x.now)
 	})
 	for _, h := range hires {
 		x.hires++
-		h.Request = fmt.Sprint("r-", x.hires) // never used again: a repeated one rents nothing
+		h.RequestID = fmt.Sprint("r-", x.hires) // never used again: a repeated one rents nothing
 		if hosts := x.fleet.Rent(h); len(hosts) > 0 {
-			x.core.Hired(h, hosts, x.now)
+			x.core.ScaledOut(h, hosts, x.now)
 		} else {
-			x.core.HireFailed(h, true, x.now)
+			x.core.ScaleOutFailed(h, true, x.now)
 		}
 	}
 	if x.now%listTime < step {
-		x.core.Machines(x.fleet.List(), x.now)
+		x.core.MachinesListed(x.fleet.List(), x.now)
 	}
 	return ended
 }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -124,8 +124,8 @@
 }
 
 // Get reads a key.
-func (c *Client) Get(ctx context.Context, key string) (wire.Entry, bool, error) {
-	var e wire.Entry
+func (c *Client) Get(ctx context.Context, key string) (wire.KeyValue, bool, error) {
+	var e wire.KeyValue
 	err := c.call(ctx, http.MethodGet, "/kv/"+key, nil, &e)
 	if httpclient.Code(err) == http.StatusNotFound {
 		return e, false, nil
@@ -135,8 +135,8 @@
 
 // List reads all keys with a prefix. The revision is that of the first page, so
 // a watch from there misses nothing.
-func (c *Client) List(ctx context.Context, prefix string) ([]wire.Entry, uint64, error) {
-	var all []wire.Entry
+func (c *Client) List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error) {
+	var all []wire.KeyValue
 	var first uint64
 	from := ""
 	for {
@@ -156,24 +156,24 @@
 }
 
 // Page reads up to most keys with a prefix, of at most 1000, after the one given.
-func (c *Client) Page(ctx context.Context, prefix, after string, most int) (wire.Entries, error) {
+func (c *Client) Page(ctx context.Context, prefix, after string, most int) (wire.KeyValuePage, error) {
 	q := url.Values{"Starts": {prefix}, "Page": {fmt.Sprint(most)}}
 	if after != "" {
 		q.Set("From", after)
 	}
-	var page wire.Entries
+	var page wire.KeyValuePage
 	err := c.call(ctx, http.MethodGet, "/kv?"+q.Encode(), nil, &page)
 	return page, err
 }
 
-// Multi runs a transaction. On ErrConflict the answer names the failed keys.
-func (c *Client) Multi(ctx context.Context, txn wire.Txn) (wire.TxnAnswer, error) {
-	var a wire.TxnAnswer
-	if txn.If == nil {
-		txn.If = []wire.Cond{}
+// Txn runs a transaction. On ErrConflict the answer names the failed keys.
+func (c *Client) Txn(ctx context.Context, txn wire.Txn) (wire.TxnResponse, error) {
+	var a wire.TxnResponse
+	if txn.Conditions == nil {
+		txn.Conditions = []wire.Condition{}
 	}
 	p := c.reads
-	if n := len(txn.Then); n > 0 {
+	if n := len(txn.Mutations); n > 0 {
 		p = c.writes
 		if err := p.wait(ctx, n, false); err != nil {
 			return a, fmt.Errorf("%w: %v", ErrRefused, err)
--- a/internal/kvstore/store.go
+++ b/internal/kvstore/store.go
@@ -10,9 +10,9 @@
 // Store is what most of the program needs of the state service; *Client has it, and so
 // have the stand-ins of tests.
 type Store interface {
-	Get(ctx context.Context, key string) (wire.Entry, bool, error)
-	Page(ctx context.Context, prefix, after string, most int) (wire.Entries, error)
-	Multi(ctx context.Context, txn wire.Txn) (wire.TxnAnswer, error)
+	Get(ctx context.Context, key string) (wire.KeyValue, bool, error)
+	Page(ctx context.Context, prefix, after string, most int) (wire.KeyValuePage, error)
+	Txn(ctx context.Context, txn wire.Txn) (wire.TxnResponse, error)
 }
 
 var _ Store = (*Client)(nil)
@@ -27,13 +27,13 @@
 		keys = keys[len(part):]
 		var txn wire.Txn
 		for _, k := range part {
-			txn.If = append(txn.If, wire.Cond{Key: k})
+			txn.Conditions = append(txn.Conditions, wire.Condition{Key: k})
 		}
-		a, err := s.Multi(ctx, txn)
+		a, err := s.Txn(ctx, txn)
 		if err != nil && !errors.Is(err, ErrConflict) {
 			return nil, err
 		}
-		for _, k := range a.Failed {
+		for _, k := range a.FailedKeys {
 			there[k] = true
 		}
 	}
--- a/internal/peer/config.go
+++ b/internal/peer/config.go
@@ -7,8 +7,8 @@
 	"dalefront/internal/dynconfig"
 )
 
-// ConfigApply asks a controller to change the configuration.
-type ConfigApply struct {
+// ConfigApplyRequest asks a controller to change the configuration.
+type ConfigApplyRequest struct {
 	ID           string             `msgpack:"i"` // names the apply; repeated, it takes effect once
 	By           string             `msgpack:"b"`
 	Changes      []dynconfig.Change `msgpack:"c"`
@@ -28,32 +28,32 @@
 	ConfigUnknown   = "unknown"   // it may have been applied, or may yet be
 )
 
-// ConfigApplyAnswer says what became of it.
-type ConfigApplyAnswer struct {
+// ConfigApplyResponse says what became of it.
+type ConfigApplyResponse struct {
 	Outcome    string                    `msgpack:"o"`
 	Generation uint64                    `msgpack:"g"` // that is in force because of it, or would be
 	Changes    []dynconfig.HistoryChange `msgpack:"c"`
-	Why        string                    `msgpack:"w,omitempty"`
+	Reason     string                    `msgpack:"w,omitempty"`
 }
 
-// ConfigRead asks for the configuration as the state service has it.
-type ConfigRead struct {
+// ConfigReadRequest asks for the configuration as the state service has it.
+type ConfigReadRequest struct {
 	History bool `msgpack:"h,omitempty"` // of the generations that are kept, too
 }
 
-// ConfigReadAnswer is the configuration in force.
-type ConfigReadAnswer struct {
+// ConfigReadResponse is the configuration in force.
+type ConfigReadResponse struct {
 	Generation uint64               `msgpack:"g"`
 	Documents  []dynconfig.Document `msgpack:"d"`
 	History    []dynconfig.History  `msgpack:"h,omitempty"` // the newest first
-	Why        string               `msgpack:"w,omitempty"` // why it can't be read
+	Reason     string               `msgpack:"w,omitempty"` // why it can't be read
 }
 
-// ConfigStatus asks for what a controller decides by.
-type ConfigStatus struct{}
+// ConfigStatusRequest asks for what a controller decides by.
+type ConfigStatusRequest struct{}
 
-// ConfigStatusAnswer is the generation that a controller decides by.
-type ConfigStatusAnswer struct {
+// ConfigStatusResponse is the generation that a controller decides by.
+type ConfigStatusResponse struct {
 	Label      string   `msgpack:"l"`
 	Known      bool     `msgpack:"k"` // it has read the configuration since it was started
 	Generation uint64   `msgpack:"g"`
@@ -70,16 +70,16 @@
 )
 
 // ConfigApply asks for a change of configuration.
-func (c *Client) ConfigApply(ctx context.Context, q *ConfigApply) (*ConfigApplyAnswer, error) {
-	return call[ConfigApplyAnswer](c, applyAnswerLimit, ctx, "ConfigApply", q)
+func (c *Client) ConfigApply(ctx context.Context, q *ConfigApplyRequest) (*ConfigApplyResponse, error) {
+	return call[ConfigApplyResponse](c, applyAnswerLimit, ctx, "ConfigApply", q)
 }
 
 // ConfigRead asks for the stored configuration.
-func (c *Client) ConfigRead(ctx context.Context, q *ConfigRead) (*ConfigReadAnswer, error) {
-	return call[ConfigReadAnswer](c, configReadLimit, ctx, "ConfigRead", q)
+func (c *Client) ConfigRead(ctx context.Context, q *ConfigReadRequest) (*ConfigReadResponse, error) {
+	return call[ConfigReadResponse](c, configReadLimit, ctx, "ConfigRead", q)
 }
 
 // ConfigStatus asks for what the controller decides by.
-func (c *Client) ConfigStatus(ctx context.Context) (*ConfigStatusAnswer, error) {
-	return call[ConfigStatusAnswer](c, configStatLimit, ctx, "ConfigStatus", &ConfigStatus{})
+func (c *Client) ConfigStatus(ctx context.Context) (*ConfigStatusResponse, error) {
+	return call[ConfigStatusResponse](c, configStatLimit, ctx, "ConfigStatus", &ConfigStatusRequest{})
 }
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -13,20 +13,20 @@
 // it, so that two versions understand each other while a site is upgraded.
 func TestMessagesStayAsTheyAre(t *testing.T) {
 	golden.Messages(t, "messages.golden", []golden.Message{
-		{Name: "hello", Zero: Hello{}},
-		{Name: "heard", Zero: Heard{}},
-		{Name: "relay", Zero: Relay{}},
-		{Name: "answer to a relay", Zero: RelayAnswer{}},
-		{Name: "counts", Zero: Counts{}},
-		{Name: "answer to counts", Zero: CountsAnswer{}},
-		{Name: "handover", Zero: HandOver{}},
-		{Name: "answer to a handover", Zero: HandOverAnswer{}},
-		{Name: "apply", Zero: ConfigApply{}},
-		{Name: "answer to an apply", Zero: ConfigApplyAnswer{}},
-		{Name: "read", Zero: ConfigRead{}},
-		{Name: "answer to a read", Zero: ConfigReadAnswer{}},
-		{Name: "status", Zero: ConfigStatus{}},
-		{Name: "answer to status", Zero: ConfigStatusAnswer{}},
+		{Name: "hello", Zero: Heartbeat{}},
+		{Name: "heard", Zero: Contact{}},
+		{Name: "relay", Zero: RelayRequest{}},
+		{Name: "answer to a relay", Zero: RelayResponse{}},
+		{Name: "counts", Zero: CountsRequest{}},
+		{Name: "answer to counts", Zero: CountsResponse{}},
+		{Name: "handover", Zero: TransferRequest{}},
+		{Name: "answer to a handover", Zero: TransferResponse{}},
+		{Name: "apply", Zero: ConfigApplyRequest{}},
+		{Name: "answer to an apply", Zero: ConfigApplyResponse{}},
+		{Name: "read", Zero: ConfigReadRequest{}},
+		{Name: "answer to a read", Zero: ConfigReadResponse{}},
+		{Name: "status", Zero: ConfigStatusRequest{}},
+		{Name: "answer to status", Zero: ConfigStatusResponse{}},
 	})
 }
 
--- a/internal/peer/handover.go
+++ b/internal/peer/handover.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// HandOver asks a controller to hand its term over, if it is the leader under the token.
-type HandOver struct {
+// TransferRequest asks a controller to hand its term over, if it is the leader under the token.
+type TransferRequest struct {
 	Token uint64 `msgpack:"t"`
 }
 
-// HandOverAnswer says whether it does.
-type HandOverAnswer struct {
-	Did bool `msgpack:"d"`
+// TransferResponse says whether it does.
+type TransferResponse struct {
+	Transferred bool `msgpack:"d"`
 }
 
-// HandOver asks a controller to hand its term over.
-func (c *Client) HandOver(ctx context.Context, token uint64) (bool, error) {
-	a, err := call[HandOverAnswer](c, 2*time.Second, ctx, "HandOver", &HandOver{Token: token})
-	return err == nil && a.Did, err
+// TransferLeadership asks a controller to hand its term over.
+func (c *Client) TransferLeadership(ctx context.Context, token uint64) (bool, error) {
+	a, err := call[TransferResponse](c, 2*time.Second, ctx, "HandOver", &TransferRequest{Token: token})
+	return err == nil && a.Transferred, err
 }
 
 // Close ends the connection.
@@ -56,15 +56,15 @@
 		clients = append(clients, c)
 	}
 	// acting is the one that acts under the highest token, and how many answer.
-	acting := func() (c *Client, h *Hello, answer int) {
+	acting := func() (c *Client, h *Heartbeat, answer int) {
 		for _, x := range clients {
-			x.Again()
-			a, err := x.Hello(ctx, &Hello{})
+			x.ResetBackoff()
+			a, err := x.Heartbeat(ctx, &Heartbeat{})
 			if err != nil {
 				continue
 			}
 			answer++
-			if a.Acts && (h == nil || a.Token > h.Token) {
+			if a.Leading && (h == nil || a.Token > h.Token) {
 				c, h = x, a
 			}
 		}
@@ -78,7 +78,7 @@
 		return Change{}, fmt.Errorf("%w: %s would take the term again", ErrAlone, was.From)
 	}
 	began := time.Now()
-	did, err := old.HandOver(ctx, was.Token)
+	did, err := old.TransferLeadership(ctx, was.Token)
 	if err != nil {
 		return Change{}, fmt.Errorf("%s: %w", was.From, err)
 	}
--- a/internal/peer/limits_test.go
+++ b/internal/peer/limits_test.go
@@ -15,20 +15,20 @@
 // answering answers with what it was given.
 type answering struct {
 	Server
-	read  *ConfigReadAnswer
-	hello *Hello
-	got   *ConfigApply
+	read  *ConfigReadResponse
+	hello *Heartbeat
+	got   *ConfigApplyRequest
 }
 
-func (a *answering) PeerConfigRead(context.Context, *ConfigRead) (*ConfigReadAnswer, error) {
+func (a *answering) PeerConfigRead(context.Context, *ConfigReadRequest) (*ConfigReadResponse, error) {
 	return a.read, nil
 }
 
-func (a *answering) PeerHello(context.Context, *Hello) (*Hello, error) { return a.hello, nil }
+func (a *answering) PeerHello(context.Context, *Heartbeat) (*Heartbeat, error) { return a.hello, nil }
 
-func (a *answering) PeerConfigApply(_ context.Context, q *ConfigApply) (*ConfigApplyAnswer, error) {
+func (a *answering) PeerConfigApply(_ context.Context, q *ConfigApplyRequest) (*ConfigApplyResponse, error) {
 	a.got = q
-	return &ConfigApplyAnswer{Outcome: ConfigApplied}, nil
+	return &ConfigApplyResponse{Outcome: ConfigApplied}, nil
 }
 
 // connect serves s and returns a client of it.
@@ -70,7 +70,7 @@
 	c := connect(t, s)
 	changes := cordons(t, dynconfig.MaxDocuments)
 	t.Run("apply", func(t *testing.T) {
-		if _, err := c.ConfigApply(t.Context(), &ConfigApply{ID: "a", Changes: changes}); err != nil {
+		if _, err := c.ConfigApply(t.Context(), &ConfigApplyRequest{ID: "a", Changes: changes}); err != nil {
 			t.Fatal(err)
 		}
 		if len(s.got.Changes) != len(changes) {
@@ -78,7 +78,7 @@
 		}
 	})
 	t.Run("history", func(t *testing.T) {
-		s.read = &ConfigReadAnswer{}
+		s.read = &ConfigReadResponse{}
 		for _, change := range changes {
 			s.read.Documents = append(s.read.Documents, change.Document)
 		}
@@ -94,7 +94,7 @@
 		if err != nil || len(b) < 4<<20 {
 			t.Fatalf("%d bytes, no more than one message has without a limit of ours: %v", len(b), err)
 		}
-		a, err := c.ConfigRead(t.Context(), &ConfigRead{History: true})
+		a, err := c.ConfigRead(t.Context(), &ConfigReadRequest{History: true})
 		if err != nil {
 			t.Fatalf("%d bytes: %v", len(b), err)
 		}
@@ -103,13 +103,13 @@
 		}
 	})
 	t.Run("heard", func(t *testing.T) {
-		s.hello = &Hello{View: &standby.View{}}
+		s.hello = &Heartbeat{StandbyView: &standby.View{}}
 		for i := range MostHeard {
-			s.hello.Heard = append(s.hello.Heard, Heard{Host: fmt.Sprintf("n-%038d", i), Ago: 1 << 30})
+			s.hello.Contacts = append(s.hello.Contacts, Contact{Host: fmt.Sprintf("n-%038d", i), AgeMicros: 1 << 30})
 		}
-		a, err := c.Hello(t.Context(), &Hello{Ask: true})
-		if err != nil || len(a.Heard) != MostHeard {
-			t.Fatalf("%d of %d workers arrived: %v", len(a.Heard), MostHeard, err)
+		a, err := c.Heartbeat(t.Context(), &Heartbeat{WantContacts: true})
+		if err != nil || len(a.Contacts) != MostHeard {
+			t.Fatalf("%d of %d workers arrived: %v", len(a.Contacts), MostHeard, err)
 		}
 		if b, _ := wire.Marshal(s.hello); len(b) > maxRequest {
 			t.Errorf("%d bytes, more than an earlier version's limit of a request", len(b))
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -24,37 +24,37 @@
 
 func init() { encoding.RegisterCodec(codec{}) }
 
-// Hello tells a peer what this node knows about the term. Peers may believe it
+// Heartbeat tells a peer what this node knows about the term. Peers may believe it
 // only where a late or wrong answer is harmless: a higher token always wins.
-type Hello struct {
-	From   string  `msgpack:"f"`
-	Leader string  `msgpack:"l"`
-	Token  uint64  `msgpack:"t"`
-	Ask    bool    `msgpack:"a,omitempty"` // for Heard
-	Heard  []Heard `msgpack:"h,omitempty"`
+type Heartbeat struct {
+	From         string    `msgpack:"f"`
+	Leader       string    `msgpack:"l"`
+	Token        uint64    `msgpack:"t"`
+	WantContacts bool      `msgpack:"a,omitempty"` // for Heard
+	Contacts     []Contact `msgpack:"h,omitempty"`
 
 	// Peers of an earlier version leave these out.
-	Acts  bool   `msgpack:"x,omitempty"` // the sender acts as leader under the token
-	Born  uint64 `msgpack:"b,omitempty"` // of the sender's process: another one each time it is started
-	Ends  int    `msgpack:"e,omitempty"` // in an answer: how often the asking node was started anew lately
-	Grant uint64 `msgpack:"g,omitempty"` // the token of a grant that the sender holds
+	Leading        bool   `msgpack:"x,omitempty"` // the sender acts as leader under the token
+	ProcessID      uint64 `msgpack:"b,omitempty"` // of the sender's process: another one each time it is started
+	RecentRestarts int    `msgpack:"e,omitempty"` // in an answer: how often the asking node was started anew lately
+	RenewalToken   uint64 `msgpack:"g,omitempty"` // the token of a grant that the sender holds
 
-	View  *standby.View `msgpack:"v,omitempty"` // who stands by, as the leader or whoever heard it says
-	Unfit bool          `msgpack:"u,omitempty"` // the sender could not follow lately
+	StandbyView  *standby.View `msgpack:"v,omitempty"` // who stands by, as the leader or whoever heard it says
+	CannotFollow bool          `msgpack:"u,omitempty"` // the sender could not follow lately
 
-	Configures bool   `msgpack:"cf,omitempty"` // the sender knows configuration that changes at run time
-	Generation uint64 `msgpack:"cg,omitempty"` // of the configuration that the sender decides by
+	SupportsConfig bool   `msgpack:"cf,omitempty"` // the sender knows configuration that changes at run time
+	Generation     uint64 `msgpack:"cg,omitempty"` // of the configuration that the sender decides by
 
 	// A question whether the receiver reaches a process of another node, and its answer.
-	Probe     string `msgpack:"p,omitempty"`
-	ProbeBorn uint64 `msgpack:"pb,omitempty"`
-	Reached   bool   `msgpack:"pr,omitempty"`
+	Probe          string `msgpack:"p,omitempty"`
+	ProbeProcessID uint64 `msgpack:"pb,omitempty"`
+	Reached        bool   `msgpack:"pr,omitempty"`
 }
 
-// Heard says for how many microseconds a controller has not heard a worker.
-type Heard struct {
-	Host string `msgpack:"h"`
-	Ago  int64  `msgpack:"a"`
+// Contact says for how many microseconds a controller has not heard a worker.
+type Contact struct {
+	Host      string `msgpack:"h"`
+	AgeMicros int64  `msgpack:"a"`
 }
 
 const (
@@ -75,36 +75,36 @@
 // stays below the limit of a message.
 const MostHeard = 16_384
 
-// Relay carries a worker's report to the leader.
-type Relay struct {
-	Report wire.Report `msgpack:"r"`
+// RelayRequest carries a worker's report to the leader.
+type RelayRequest struct {
+	Report wire.Heartbeat `msgpack:"r"`
 }
 
-// RelayAnswer is the leader's answer; Status is that of HTTP.
-type RelayAnswer struct {
-	Status int               `msgpack:"s"`
-	Answer wire.ReportAnswer `msgpack:"a"`
+// RelayResponse is the leader's answer; Status is that of HTTP.
+type RelayResponse struct {
+	Status int                    `msgpack:"s"`
+	Answer wire.HeartbeatResponse `msgpack:"a"`
 }
 
-// Counts asks for jobs' display counts.
-type Counts struct {
-	IDs []string `msgpack:"i"`
+// CountsRequest asks for jobs' display counts.
+type CountsRequest struct {
+	JobIDs []string `msgpack:"i"`
 }
 
-// CountsAnswer holds them for the jobs that the leader knows.
-type CountsAnswer struct {
+// CountsResponse holds them for the jobs that the leader knows.
+type CountsResponse struct {
 	Jobs []wire.JobStatus `msgpack:"j"`
 }
 
 // Server is implemented by the node.
 type Server interface {
-	PeerHello(context.Context, *Hello) (*Hello, error)
-	PeerRelay(context.Context, *Relay) (*RelayAnswer, error)
-	PeerCounts(context.Context, *Counts) (*CountsAnswer, error)
-	PeerHandOver(context.Context, *HandOver) (*HandOverAnswer, error)
-	PeerConfigApply(context.Context, *ConfigApply) (*ConfigApplyAnswer, error)
-	PeerConfigRead(context.Context, *ConfigRead) (*ConfigReadAnswer, error)
-	PeerConfigStatus(context.Context, *ConfigStatus) (*ConfigStatusAnswer, error)
+	PeerHeartbeat(context.Context, *Heartbeat) (*Heartbeat, error)
+	PeerRelay(context.Context, *RelayRequest) (*RelayResponse, error)
+	PeerCounts(context.Context, *CountsRequest) (*CountsResponse, error)
+	PeerTransferLeadership(context.Context, *TransferRequest) (*TransferResponse, error)
+	PeerConfigApply(context.Context, *ConfigApplyRequest) (*ConfigApplyResponse, error)
+	PeerConfigRead(context.Context, *ConfigReadRequest) (*ConfigReadResponse, error)
+	PeerConfigStatus(context.Context, *ConfigStatusRequest) (*ConfigStatusResponse, error)
 }
 
 const service = "dalefront.Peer"
@@ -123,10 +123,10 @@
 	ServiceName: service,
 	HandlerType: (*Server)(nil),
 	Methods: []grpc.MethodDesc{
-		method("Hello", Server.PeerHello),
+		method("Hello", Server.PeerHeartbeat),
 		method("Relay", Server.PeerRelay),
 		method("Counts", Server.PeerCounts),
-		method("HandOver", Server.PeerHandOver),
+		method("HandOver", Server.PeerTransferLeadership),
 		method("ConfigApply", Server.PeerConfigApply),
 		method("ConfigRead", Server.PeerConfigRead),
 		method("ConfigStatus", Server.PeerConfigStatus),
@@ -169,28 +169,28 @@
 	return out, c.conn.Invoke(ctx, "/"+service+"/"+name, in, out)
 }
 
-// Hello exchanges what is known about the term.
-func (c *Client) Hello(ctx context.Context, h *Hello) (*Hello, error) {
-	return call[Hello](c, 800*time.Millisecond, ctx, "Hello", h)
+// Heartbeat exchanges what is known about the term.
+func (c *Client) Heartbeat(ctx context.Context, h *Heartbeat) (*Heartbeat, error) {
+	return call[Heartbeat](c, 800*time.Millisecond, ctx, "Hello", h)
 }
 
 // Probe is a hello that wants an answer at once: whether a process is there.
-func (c *Client) Probe(ctx context.Context, h *Hello) (*Hello, error) {
-	return call[Hello](c, 150*time.Millisecond, ctx, "Hello", h)
+func (c *Client) Probe(ctx context.Context, h *Heartbeat) (*Heartbeat, error) {
+	return call[Heartbeat](c, 150*time.Millisecond, ctx, "Hello", h)
 }
 
 // Connected says whether there is a connection that works, as far as known.
 func (c *Client) Connected() bool { return c.conn.GetState() == connectivity.Ready }
 
-// Again lets the next call try to connect at once, whatever failed before.
-func (c *Client) Again() { c.conn.ResetConnectBackoff() }
+// ResetBackoff lets the next call try to connect at once, whatever failed before.
+func (c *Client) ResetBackoff() { c.conn.ResetConnectBackoff() }
 
 // Relay hands a report to the leader.
-func (c *Client) Relay(ctx context.Context, r *Relay) (*RelayAnswer, error) {
-	return call[RelayAnswer](c, 1500*time.Millisecond, ctx, "Relay", r)
+func (c *Client) Relay(ctx context.Context, r *RelayRequest) (*RelayResponse, error) {
+	return call[RelayResponse](c, 1500*time.Millisecond, ctx, "Relay", r)
 }
 
 // Counts asks for display counts.
-func (c *Client) Counts(ctx context.Context, ids []string) (*CountsAnswer, error) {
-	return call[CountsAnswer](c, 400*time.Millisecond, ctx, "Counts", &Counts{IDs: ids})
+func (c *Client) Counts(ctx context.Context, ids []string) (*CountsResponse, error) {
+	return call[CountsResponse](c, 400*time.Millisecond, ctx, "Counts", &CountsRequest{JobIDs: ids})
 }
--- a/internal/scaletest/config.go
+++ b/internal/scaletest/config.go
@@ -89,7 +89,7 @@
 	}
 	ctx, cancel := context.WithTimeout(c.r.ctx, time.Minute)
 	defer cancel()
-	q := &peer.ConfigApply{ID: fmt.Sprintf("scale-%d-%d", c.r.gen.prefix, i), By: "scale run", Changes: []dynconfig.Change{{Document: d}}}
+	q := &peer.ConfigApplyRequest{ID: fmt.Sprintf("scale-%d-%d", c.r.gen.prefix, i), By: "scale run", Changes: []dynconfig.Change{{Document: d}}}
 	begun := time.Now()
 	for k := range c.clients {
 		a, err := c.clients[(i+k)%len(c.clients)].ConfigApply(ctx, q)
--- a/internal/scaletest/generator.go
+++ b/internal/scaletest/generator.go
@@ -246,7 +246,7 @@
 func (g *generator) resident(tasks int) wire.Job {
 	due := 10 * residentS // work of low priority without a deadline is no reason to rent
 	j := g.newJob(classResident, wire.Low, tasks, residentS)
-	j.CheckpointEvery, j.SaveS, j.DeadlineS = 30, 1, &due
+	j.CheckpointIntervalS, j.CheckpointDurationS, j.DeadlineS = 30, 1, &due
 	return j
 }
 
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -201,17 +201,17 @@
 // codecTime is how long it takes to encode a report with so many tasks and to decode an
 // answer with one launch and one clear.
 func codecTime(tasks int) time.Duration {
-	r := wire.Report{Host: "n-000001", Addr: "127.0.0.1:30000", Type: plainType, Zone: "zone-a", Session: 1, Seq: 1000, Token: 100_000}
+	r := wire.Heartbeat{Host: "n-000001", Addr: "127.0.0.1:30000", Type: plainType, Zone: "zone-a", Incarnation: 1, Sequence: 1000, FencingToken: 100_000}
 	for i := range tasks {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskName("j-17646000000000001", int32(i)), Attempt: 1 << 40, State: wire.TaskRunning})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName("j-17646000000000001", int32(i)), Attempt: 1 << 40, State: wire.TaskRunning})
 	}
-	answer, _ := wire.Marshal(wire.ReportAnswer{Token: 100_000, Orders: []wire.Order{
+	answer, _ := wire.Marshal(wire.HeartbeatResponse{FencingToken: 100_000, Commands: []wire.Command{
 		{Op: wire.Launch, Task: "j-17646000000000001/1", Attempt: 1 << 40}, {Op: wire.Clear, Task: "j-17646000000000001/2", Attempt: 1 << 40}}})
 	const rounds = 2000
 	begun := time.Now()
 	for range rounds {
 		_, _ = wire.Marshal(r)
-		var a wire.ReportAnswer
+		var a wire.HeartbeatResponse
 		_ = wire.Unmarshal(answer, &a)
 	}
 	return time.Since(begun) / rounds
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -172,7 +172,7 @@
 	r.meter.take()
 	r.report.Types = map[string]int{}
 	for _, m := range r.site.Fleet.List() {
-		if m.State == wire.HostRunning {
+		if m.State == wire.MachineRunning {
 			r.report.Types[m.Type]++
 		}
 	}
@@ -284,7 +284,7 @@
 		if kind == "die" && zone == "" {
 			zone = m.Zone
 		}
-		if m.State == wire.HostRunning && (zone == "" || m.Zone == zone) {
+		if m.State == wire.MachineRunning && (zone == "" || m.Zone == zone) {
 			names = append(names, m.ID)
 		}
 	}
--- a/internal/sched/admit.go
+++ b/internal/sched/admit.go
@@ -13,7 +13,7 @@
 // rank is a priority's rank. First come, first served knows one only, and not the lowest,
 // for which no machines would be rented at first.
 func (c *Core) rank(priority string) int {
-	if c.byArrival {
+	if c.firstComeFirstServed {
 		return Rank(wire.Normal)
 	}
 	return Rank(priority)
@@ -40,7 +40,7 @@
 			return false
 		}
 	}
-	return j.CPUs <= t.CPUs+eps && j.GPUs <= t.GPUs+eps && j.MemoryGB <= t.MemoryGB+eps
+	return j.CPUs <= t.CPUs+epsilon && j.GPUs <= t.GPUs+epsilon && j.MemoryGB <= t.MemoryGB+epsilon
 }
 
 // Admit says why a well-formed job can never run, or returns nil.
@@ -75,7 +75,7 @@
 		}
 	}
 	t := team{Team: *tm}
-	if !t.allows(n*j.CPUs, n*j.GPUs) {
+	if !t.withinLimit(n*j.CPUs, n*j.GPUs) {
 		return fmt.Errorf("more than the limit of team %q", j.Team)
 	}
 	return nil
@@ -96,24 +96,24 @@
 	words := (spec.Tasks + 63) / 64
 	j := &job{
 		id: spec.ID, spec: spec, rank: c.rank(spec.Priority), arrival: min(arrival, now), team: tm, class: cl,
-		done: make([]uint64, words), storedDone: make([]uint64, words), dirty: map[int]bool{},
-		placements: map[*placement]struct{}{}, count: map[int32]int{}, waitSince: now,
+		completed: make([]uint64, words), durableCompleted: make([]uint64, words), dirtyChunks: map[int]bool{},
+		placements: map[*placement]struct{}{}, placementsByTask: map[int32]int{}, waitingSince: now,
 	}
-	j.due = j.arrival + 600*second
-	if len(cl.finishes) > 0 {
-		j.due = j.arrival + cl.finishes[0]
+	j.dueAt = j.arrival + 600*second
+	if len(cl.completionObjectives) > 0 {
+		j.dueAt = j.arrival + cl.completionObjectives[0]
 	}
 	if spec.DeadlineS != nil {
-		j.due = j.arrival + config.Micro(*spec.DeadlineS)
+		j.dueAt = j.arrival + config.Micro(*spec.DeadlineS)
 	}
 	c.jobs[spec.ID] = j
-	j.large = j.class.sizes.take(j.spec.Tasks)
-	j.both(func(s *served) { s.submitted++ })
-	c.changed = true
-	cl.sample = j
-	if now-j.arrival < rateMemory {
-		cl.arrive(now, float64(spec.Tasks))
-		cl.last = max(cl.last, j.arrival)
+	j.isLarge = j.class.recentSizes.addIsLarge(j.spec.Tasks)
+	j.eachService(func(s *serviceShare) { s.submitted++ })
+	c.passNeeded = true
+	cl.sampleJob = j
+	if now-j.arrival < arrivalDecayTime {
+		cl.recordArrival(now, float64(spec.Tasks))
+		cl.lastArrival = max(cl.lastArrival, j.arrival)
 	}
 }
 
@@ -123,21 +123,21 @@
 	if j == nil {
 		return
 	}
-	j.setChunk(chunk, text)
-	j.doneCount = 0
+	j.mergeChunk(chunk, text)
+	j.completedCount = 0
 	for t := int32(0); t < int32(j.spec.Tasks); t++ {
-		if j.isDone(t) {
-			j.doneCount++
+		if j.isCompleted(t) {
+			j.completedCount++
 		}
 	}
-	copy(j.storedDone, j.done)
+	copy(j.durableCompleted, j.completed)
 	c.checkComplete(j)
 }
 
 func (c *Core) checkComplete(j *job) {
-	if j.spec.Shape != wire.Service && j.doneCount == j.spec.Tasks && !j.over() {
-		j.finishing = true
-		c.ends = append(c.ends, j.id)
+	if j.spec.Shape != wire.Service && j.completedCount == j.spec.Tasks && !j.isOver() {
+		j.completing = true
+		c.pendingEnds = append(c.pendingEnds, j.id)
 	}
 }
 
@@ -146,179 +146,179 @@
 		return
 	}
 	first, last := t, t
-	if j.gang() { // the tasks of a gang complete together
+	if j.isGang() { // the tasks of a gang complete together
 		first, last = 0, int32(j.spec.Tasks)-1
 	}
 	for k := first; k <= last; k++ {
-		if !j.isDone(k) {
-			j.done[k>>6] |= 1 << (k & 63)
-			j.doneCount++
-			j.dirty[int(k)/ChunkTasks] = true
+		if !j.isCompleted(k) {
+			j.completed[k>>6] |= 1 << (k & 63)
+			j.completedCount++
+			j.dirtyChunks[int(k)/ChunkTasks] = true
 		}
 	}
 	c.checkComplete(j)
 }
 
-// Ends returns the jobs whose last task has completed since the last call; the
+// TakeEnds returns the jobs whose last task has completed since the last call; the
 // caller stores their end and calls Ended with whatever end is stored.
-func (c *Core) Ends() []string {
-	e := c.ends
-	c.ends = nil
+func (c *Core) TakeEnds() []string {
+	e := c.pendingEnds
+	c.pendingEnds = nil
 	return e
 }
 
 // RetryEnd asks for the end of a job again, after its storing failed.
 func (c *Core) RetryEnd(id string) {
-	if j := c.jobs[id]; j != nil && j.finishing && j.ended == "" {
-		c.ends = append(c.ends, id)
+	if j := c.jobs[id]; j != nil && j.completing && j.finalStatus == "" {
+		c.pendingEnds = append(c.pendingEnds, id)
 	}
 }
 
-// Ended takes a stored end: done or cancelled, final from then on.
-func (c *Core) Ended(id, status string, now Micros) {
+// JobEnded takes a stored end: done or cancelled, final from then on.
+func (c *Core) JobEnded(id, status string, now Micros) {
 	c.now = now
 	j := c.jobs[id]
-	if j == nil || j.ended != "" {
+	if j == nil || j.finalStatus != "" {
 		return
 	}
-	j.ended = status
-	c.over(j, status == wire.JobDone)
+	j.finalStatus = status
+	c.recordEnd(j, status == wire.JobDone)
 	c.log("job over", "job", id, "class", j.spec.Class, "team", j.spec.Team, "status", status, "tasks", j.spec.Tasks,
-		"age_us", now-j.arrival, "guaranteed", j.guaranteed, "placed_us", max(0, j.placedAt-j.arrival), "first_start_us", max(0, j.first-j.arrival), "late_us", max(0, now-j.due),
-		"estimate_us", j.estimate(), "evictions", j.evictions)
-	j.dirty = map[int]bool{}
-	for _, p := range j.ordered() {
-		c.stop(p, false)
+		"age_us", now-j.arrival, "guaranteed", j.initiallyWithinGuarantee, "placed_us", max(0, j.fullyPlacedAt-j.arrival), "first_start_us", max(0, j.firstStartedAt-j.arrival), "late_us", max(0, now-j.dueAt),
+		"estimate_us", j.expectedRunTime(), "evictions", j.preemptions)
+	j.dirtyChunks = map[int]bool{}
+	for _, p := range j.sortedPlacements() {
+		c.stopPlacement(p, false)
 	}
-	c.tryForget(j)
+	c.forgetIfGone(j)
 }
 
-// stop marks a placement to be stopped and sends the stop at once. A launch
+// stopPlacement marks a placement to be stopped and sends the stop at once. A launch
 // that was never stored or sent simply isn't sent any more. As in the paper's
 // resource manager, checkpoints of a machine queue, one at a time; kills don't
 // wait, and neither do gangs, whose tasks must be told together.
-func (c *Core) stop(p *placement, checkpoint bool) {
-	if p.stop && (checkpoint || !p.checkpoint) {
+func (c *Core) stopPlacement(p *placement, checkpoint bool) {
+	if p.stopping && (checkpoint || !p.checkpointing) {
 		return
 	}
-	if !p.stop {
-		p.job.team.leavingCPUs += p.job.spec.CPUs
-		p.job.team.leavingGPUs += p.job.spec.GPUs
+	if !p.stopping {
+		p.job.team.releasingCPUs += p.job.spec.CPUs
+		p.job.team.releasingGPUs += p.job.spec.GPUs
 	}
-	p.stop, p.checkpoint = true, checkpoint
-	p.queued = checkpoint && !p.job.gang() && p.m.saving(p)
-	if !p.queued {
-		c.tell(p)
+	p.stopping, p.checkpointing = true, checkpoint
+	p.checkpointQueued = checkpoint && !p.job.isGang() && p.machine.hasCheckpointInProgress(p)
+	if !p.checkpointQueued {
+		c.sendStop(p)
 	}
 }
 
-// tell sends a stop straight to the worker; reports' answers repeat it.
-func (c *Core) tell(p *placement) {
-	p.stopSent = c.now
-	if p.seen && p.m.confirmed && p.m.addr != "" {
-		c.direct = append(c.direct, Direct{p.m.addr, wire.DirectOrders{Token: c.token, Session: p.m.session, Orders: []wire.Order{p.order()}}})
+// sendStop sends a stop straight to the worker; reports' answers repeat it.
+func (c *Core) sendStop(p *placement) {
+	p.stopSentAt = c.now
+	if p.observed && p.machine.confirmed && p.machine.addr != "" {
+		c.directCommands = append(c.directCommands, DirectCommand{p.machine.addr, wire.CommandBatch{FencingToken: c.token, Incarnation: p.machine.incarnation, Commands: []wire.Command{p.stopCommand()}}})
 	}
 }
 
-// saving says whether another checkpoint is under way on the machine.
-func (m *machine) saving(but *placement) bool {
+// hasCheckpointInProgress says whether another checkpoint is under way on the machine.
+func (m *machine) hasCheckpointInProgress(but *placement) bool {
 	busy := false
-	m.each(func(p *placement) {
-		busy = busy || (p != but && p.stop && p.checkpoint && !p.queued && !p.job.gang())
+	m.eachPlacement(func(p *placement) {
+		busy = busy || (p != but && p.stopping && p.checkpointing && !p.checkpointQueued && !p.job.isGang())
 	})
 	return busy
 }
 
-// nextCheckpoint starts the queued checkpoint that has waited longest.
-func (c *Core) nextCheckpoint(m *machine) {
+// startQueuedCheckpoint starts the queued checkpoint that has waited longest.
+func (c *Core) startQueuedCheckpoint(m *machine) {
 	var next *placement
-	m.each(func(p *placement) {
-		if p.queued && (next == nil || p.attempt < next.attempt || (p.attempt == next.attempt && p.task < next.task)) {
+	m.eachPlacement(func(p *placement) {
+		if p.checkpointQueued && (next == nil || p.attempt < next.attempt || (p.attempt == next.attempt && p.taskIndex < next.taskIndex)) {
 			next = p
 		}
 	})
-	if next != nil && !m.saving(next) {
-		next.queued = false
-		c.tell(next)
+	if next != nil && !m.hasCheckpointInProgress(next) {
+		next.checkpointQueued = false
+		c.sendStop(next)
 	}
 }
 
-// Directs returns the commands to be sent straight to workers.
-func (c *Core) Directs() []Direct {
-	d := c.direct
-	c.direct = nil
+// TakeDirectCommands returns the commands to be sent straight to workers.
+func (c *Core) TakeDirectCommands() []DirectCommand {
+	d := c.directCommands
+	c.directCommands = nil
 	return d
 }
 
-// tryForget drops an ended job once nothing of it can be on any machine. Its
+// forgetIfGone drops an ended job once nothing of it can be on any machine. Its
 // records may then be deleted: its end stays.
-func (c *Core) tryForget(j *job) {
-	if j.ended != "" && len(j.placements) == 0 && c.jobs[j.id] == j {
+func (c *Core) forgetIfGone(j *job) {
+	if j.finalStatus != "" && len(j.placements) == 0 && c.jobs[j.id] == j {
 		delete(c.jobs, j.id)
-		c.forget = append(c.forget, Forgotten{j.id, j.ended})
-		if j.class.sample == j {
+		c.forgotten = append(c.forgotten, ForgottenJob{j.id, j.finalStatus})
+		if j.class.sampleJob == j {
 			// keep the shape, not the task state
-			j.class.sample = &job{id: j.id, spec: j.spec, rank: j.rank, team: j.team, class: j.class}
+			j.class.sampleJob = &job{id: j.id, spec: j.spec, rank: j.rank, team: j.team, class: j.class}
 		}
 	}
 }
 
-// Forgotten is a job that has ended and of which nothing is left on any machine.
-type Forgotten struct{ Job, Status string }
+// ForgottenJob is a job that has ended and of which nothing is left on any machine.
+type ForgottenJob struct{ Job, Status string }
 
-// Forgotten returns the jobs whose working records may be deleted.
-func (c *Core) Forgotten() []Forgotten {
-	f := c.forget
-	c.forget = nil
+// TakeForgotten returns the jobs whose working records may be deleted.
+func (c *Core) TakeForgotten() []ForgottenJob {
+	f := c.forgotten
+	c.forgotten = nil
 	return f
 }
 
-// Chunk is a piece of progress to be stored.
-type Chunk struct {
+// ProgressChunk is a piece of progress to be stored.
+type ProgressChunk struct {
 	Job   string
 	Index int
 	Text  string
 }
 
-// Progress returns up to limit chunks that are not stored yet.
-func (c *Core) Progress(limit int) []Chunk {
-	var out []Chunk
+// ProgressToStore returns up to limit chunks that are not stored yet.
+func (c *Core) ProgressToStore(limit int) []ProgressChunk {
+	var out []ProgressChunk
 	// In turn: with a fixed order the first jobs would keep the last ones from ever being
 	// stored.
-	js := c.inOrder(func(j *job) bool { return !j.over() && len(j.dirty) > 0 })
-	at, _ := slices.BinarySearchFunc(js, c.progressed+"\x00", func(j *job, id string) int { return cmp.Compare(j.id, id) })
+	js := c.jobsByID(func(j *job) bool { return !j.isOver() && len(j.dirtyChunks) > 0 })
+	at, _ := slices.BinarySearchFunc(js, c.lastProgressJob+"\x00", func(j *job, id string) int { return cmp.Compare(j.id, id) })
 	for _, j := range append(js[at:len(js):len(js)], js[:at]...) {
-		c.progressed = j.id
-		for _, i := range slices.Sorted(maps.Keys(j.dirty)) {
+		c.lastProgressJob = j.id
+		for _, i := range slices.Sorted(maps.Keys(j.dirtyChunks)) {
 			if len(out) == limit {
 				return out
 			}
-			out = append(out, Chunk{j.id, i, j.chunk(i)})
+			out = append(out, ProgressChunk{j.id, i, j.encodeChunk(i)})
 		}
 	}
 	return out
 }
 
 // ProgressStored says that a chunk is durable, so its tasks may be cleared.
-func (c *Core) ProgressStored(ch Chunk) {
+func (c *Core) ProgressStored(ch ProgressChunk) {
 	j := c.jobs[ch.Job]
 	if j == nil {
 		return
 	}
-	if j.chunk(ch.Index) == ch.Text {
-		delete(j.dirty, ch.Index)
+	if j.encodeChunk(ch.Index) == ch.Text {
+		delete(j.dirtyChunks, ch.Index)
 	}
-	stored := &job{done: make([]uint64, len(j.done))}
-	stored.setChunk(ch.Index, ch.Text)
-	for i, w := range stored.done {
-		j.storedDone[i] |= w
+	stored := &job{completed: make([]uint64, len(j.completed))}
+	stored.mergeChunk(ch.Index, ch.Text)
+	for i, w := range stored.completed {
+		j.durableCompleted[i] |= w
 	}
 }
 
-// Active says whether the core knows a job that has not ended.
-func (c *Core) Active(id string) bool {
+// IsActive says whether the core knows a job that has not ended.
+func (c *Core) IsActive(id string) bool {
 	j := c.jobs[id]
-	return j != nil && j.ended == ""
+	return j != nil && j.finalStatus == ""
 }
 
 // Counts returns a job's display counts and whether the core knows the job.
@@ -336,5 +336,5 @@
 	if running > 0 {
 		status = wire.JobRunning
 	}
-	return status, j.doneCount, running, true
+	return status, j.completedCount, running, true
 }
--- a/internal/sched/batch.go
+++ b/internal/sched/batch.go
@@ -7,7 +7,7 @@
 
 // Sizes count in the longer text form, estimated from above.
 func hostBytes(m *machine) int {
-	return 80 + len(m.host) + len(m.addr) + len(m.kind.Name) + len(m.zone)
+	return 80 + len(m.host) + len(m.addr) + len(m.machineType.Name) + len(m.zone)
 }
 
 const (
@@ -53,7 +53,7 @@
 }
 
 func (c *Core) newBatch() *batch {
-	st := &c.set.Deployment.State
+	st := &c.settings.Deployment.State
 	value := int(st.ValueKB * 1024 * 0.75)
 	entries := max(1, min(st.TxnOps/2, maxTxnBytes/(value+entryBytes)))
 	return &batch{c: c, machines: map[*machine]bool{}, jobs: map[*job]bool{}, limits: batchLimits{
@@ -89,14 +89,14 @@
 // launchBytes is what a single launch takes of an entry, its machine included.
 func launchBytes(m *machine) int { return hostBytes(m) + runBytes + taskBytes }
 
-// takeMachine notes that the batch names the machine.
-func (b *batch) takeMachine(m *machine) {
+// reserveMachine notes that the batch names the machine.
+func (b *batch) reserveMachine(m *machine) {
 	b.machines[m] = true
 	b.widest = max(b.widest, launchBytes(m))
 }
 
-// takeJob notes that the batch launches tasks of the job.
-func (b *batch) takeJob(j *job) {
+// reserveJob notes that the batch launches tasks of the job.
+func (b *batch) reserveJob(j *job) {
 	if !b.jobs[j] {
 		b.jobs[j] = true
 		b.conditions += jobConditions(j)
@@ -106,19 +106,19 @@
 // jobConditions estimates the bytes of the two conditions on a job.
 func jobConditions(j *job) int { return 2 * (conditionBytes + len(j.id)) }
 
-// alone says whether what takes hosts bytes of machines, and so many runs and tasks, fits
+// fitsAlone says whether what takes hosts bytes of machines, and so many runs and tasks, fits
 // a batch of its own.
-func (b *batch) alone(hosts, runs, k int) bool {
+func (b *batch) fitsAlone(hosts, runs, k int) bool {
 	return hosts+runs*runBytes+k*taskBytes <= b.limits.total
 }
 
-// takes says whether the batch has room for k more tasks of the job on machines
+// fits says whether the batch has room for k more tasks of the job on machines
 // that take hosts bytes of their own.
-func (b *batch) takes(j *job, hosts, runs, k int) bool {
-	return !b.large && (b.jobs[j] || b.takesJob(j)) && b.alone(b.bytes+hosts, runs, k)
+func (b *batch) fits(j *job, hosts, runs, k int) bool {
+	return !b.large && (b.jobs[j] || b.fitsJob(j)) && b.fitsAlone(b.bytes+hosts, runs, k)
 }
 
-func (b *batch) takesJob(j *job) bool {
+func (b *batch) fitsJob(j *job) bool {
 	return len(b.jobs) < b.limits.jobs && (len(b.jobs) == 0 || b.conditions+jobConditions(j) <= b.limits.conditions)
 }
 
@@ -132,49 +132,49 @@
 // add takes tasks of one job on one machine.
 func (b *batch) add(ps ...*placement) {
 	p := ps[0]
-	b.bytes += b.cost(p.m) + runBytes + len(ps)*taskBytes
-	b.takeJob(p.job)
-	b.takeMachine(p.m)
+	b.bytes += b.cost(p.machine) + runBytes + len(ps)*taskBytes
+	b.reserveJob(p.job)
+	b.reserveMachine(p.machine)
 	b.placements = append(b.placements, ps...)
-	if p.m.reserved == p.job {
-		p.m.reserved = nil
+	if p.machine.reservedFor == p.job {
+		p.machine.reservedFor = nil
 	}
 }
 
-// tidyLedger lets the batch delete entries that are spent and take over what is
+// compactLedger lets the batch delete entries that are spent and take over what is
 // left of those that name returned machines: a later leader would otherwise
 // wait for machines that are gone.
-func (c *Core) tidyLedger(b *batch) {
-	due := len(b.placements) > 0 || len(c.strays) > 0 || c.now-c.kept >= second
+func (c *Core) compactLedger(b *batch) {
+	due := len(b.placements) > 0 || len(c.unrecorded) > 0 || c.now-c.ledgerCompactedAt >= second
 	if !due {
 		return
 	}
-	c.kept = c.now
-	left := c.strays[:0]
-	for _, p := range c.strays {
+	c.ledgerCompactedAt = c.now
+	left := c.unrecorded[:0]
+	for _, p := range c.unrecorded {
 		switch _, ok := p.job.placements[p]; {
 		case !ok || p.entry != nil:
-		case b.bytes+b.cost(p.m)+runBytes+taskBytes > b.limits.total:
+		case b.bytes+b.cost(p.machine)+runBytes+taskBytes > b.limits.total:
 			left = append(left, p)
 		default:
-			b.bytes += b.cost(p.m) + runBytes + taskBytes
-			b.takeMachine(p.m)
+			b.bytes += b.cost(p.machine) + runBytes + taskBytes
+			b.reserveMachine(p.machine)
 			b.moved = append(b.moved, p)
 		}
 	}
-	c.strays = left
+	c.unrecorded = left
 	most := maxDrops
 	if len(b.placements) > 0 {
 		most = maxDropsAlong
 	}
-	for len(c.spent) > 0 && len(b.drop) < most && b.mayDrop() {
-		e := c.spent[0]
-		c.spent = c.spent[1:]
+	for len(c.emptyEntries) > 0 && len(b.drop) < most && b.mayDrop() {
+		e := c.emptyEntries[0]
+		c.emptyEntries = c.emptyEntries[1:]
 		e.leaving = true
 		b.drop = append(b.drop, e.name)
 	}
-	names := make([]string, 0, len(c.fragile))
-	for n := range c.fragile {
+	names := make([]string, 0, len(c.entriesOfReturned))
+	for n := range c.entriesOfReturned {
 		names = append(names, n)
 	}
 	if len(names) == 0 && len(c.entries) > c.maxLedger() {
@@ -186,7 +186,7 @@
 	for _, n := range names {
 		e := c.entries[n]
 		if e == nil || e.leaving || len(e.live) == 0 {
-			delete(c.fragile, n)
+			delete(c.entriesOfReturned, n)
 			continue
 		}
 		if len(b.drop) >= most {
@@ -195,7 +195,7 @@
 		if !b.moves(e) {
 			continue
 		}
-		delete(c.fragile, n)
+		delete(c.entriesOfReturned, n)
 		e.leaving, e.moving = true, true
 		b.drop = append(b.drop, n)
 	}
@@ -203,25 +203,25 @@
 
 // moves takes over the live launches of an entry that is to be deleted, if there is room
 // for them and for its deletion.
-func (b *batch) moves(e *entry) bool {
+func (b *batch) moves(e *ledgerEntry) bool {
 	bytes, widest := b.bytes, b.widest
 	b.bytes += e.size(b)
 	for p := range e.live {
-		b.widest = max(b.widest, launchBytes(p.m))
+		b.widest = max(b.widest, launchBytes(p.machine))
 	}
 	if b.bytes > b.limits.total || !b.mayDrop() {
 		b.bytes, b.widest = bytes, widest
 		return false
 	}
 	for p := range e.live {
-		b.takeMachine(p.m)
+		b.reserveMachine(p.machine)
 		b.moved = append(b.moved, p)
 	}
 	return true
 }
 
 // size estimates what it takes to move the entry's live launches into the batch.
-func (e *entry) size(b *batch) int {
+func (e *ledgerEntry) size(b *batch) int {
 	type run struct {
 		m       *machine
 		j       *job
@@ -229,11 +229,11 @@
 	}
 	hosts, runs, n := map[*machine]bool{}, map[run]bool{}, 0
 	for p := range e.live {
-		if !hosts[p.m] {
-			hosts[p.m] = true
-			n += b.cost(p.m)
+		if !hosts[p.machine] {
+			hosts[p.machine] = true
+			n += b.cost(p.machine)
 		}
-		if k := (run{p.m, p.job, p.attempt}); !runs[k] {
+		if k := (run{p.machine, p.job, p.attempt}); !runs[k] {
 			runs[k] = true
 			n += runBytes
 		}
@@ -251,10 +251,10 @@
 )
 
 // maxLedger is how many entries the ledger holds before small ones are merged.
-func (c *Core) maxLedger() int { return max(maxEntries, len(c.order)/machinesPerEntry) }
+func (c *Core) maxLedger() int { return max(maxEntries, len(c.machinesByName)/machinesPerEntry) }
 
-// close makes the batch a commit, or returns nil if there is nothing to store.
-func (c *Core) close(b *batch) *Commit {
+// finishBatch makes the batch a commit, or returns nil if there is nothing to store.
+func (c *Core) finishBatch(b *batch) *Commit {
 	if len(b.placements)+len(b.moved)+len(b.drop) == 0 {
 		return nil
 	}
@@ -274,7 +274,7 @@
 		}
 		for _, part := range cm.parts {
 			c.seq++
-			cm.Entries = append(cm.Entries, NamedEntry{fmt.Sprintf("%016x.%08x", c.token, c.seq), entryOf(part)})
+			cm.Entries = append(cm.Entries, NamedLedgerEntry{fmt.Sprintf("%016x.%08x", c.token, c.seq), newLedgerEntry(part)})
 		}
 		if parts = parts[len(cm.parts):]; len(parts) == 0 {
 			break
@@ -284,7 +284,7 @@
 	if first.next != nil {
 		c.log("launches in several transactions", "job", ids[0], "tasks", len(b.placements), "machines", len(b.machines))
 	}
-	c.commit = first
+	c.inFlight = first
 	return first
 }
 
@@ -293,24 +293,24 @@
 	sort.Slice(ps, func(a, b int) bool {
 		x, y := ps[a], ps[b]
 		switch {
-		case x.m.host != y.m.host:
-			return x.m.host < y.m.host
+		case x.machine.host != y.machine.host:
+			return x.machine.host < y.machine.host
 		case x.job.id != y.job.id:
 			return x.job.id < y.job.id
 		}
-		return x.task < y.task
+		return x.taskIndex < y.taskIndex
 	})
 	first, size := 0, 0
 	for i, p := range ps {
 		n := taskBytes
-		if i == first || p.m != ps[i-1].m {
-			n += hostBytes(p.m) + runBytes
+		if i == first || p.machine != ps[i-1].machine {
+			n += hostBytes(p.machine) + runBytes
 		} else if p.job != ps[i-1].job || p.attempt != ps[i-1].attempt {
 			n += runBytes
 		}
 		if size+n > most && i > first {
 			parts = append(parts, ps[first:i])
-			first, size, n = i, 0, launchBytes(p.m)
+			first, size, n = i, 0, launchBytes(p.machine)
 		}
 		size += n
 	}
--- a/internal/sched/boots.go
+++ b/internal/sched/bootestimate.go
@@ -47,25 +47,25 @@
 	return out
 }()
 
-// bootEnded takes the outcome of a machine whose boot was watched from its request on.
-func (c *Core) bootEnded(m *machine, up bool) {
+// recordBootOutcome takes the outcome of a machine whose boot was watched from its request on.
+func (c *Core) recordBootOutcome(m *machine, up bool) {
 	if !m.booting {
 		return
 	}
 	m.booting = false
-	boot := config.Micro(m.kind.BootS)
+	boot := config.Micro(m.machineType.BootS)
 	if boot <= 0 {
 		return
 	}
-	all := append(c.boots[m.kind.Name], bootOutcome{float64(c.now-m.born) / float64(boot), up, c.now})
-	c.boots[m.kind.Name] = all[max(0, len(all)-mostBoots):]
+	all := append(c.bootOutcomes[m.machineType.Name], bootOutcome{float64(c.now-m.rentedAt) / float64(boot), up, c.now})
+	c.bootOutcomes[m.machineType.Name] = all[max(0, len(all)-mostBoots):]
 }
 
-// survival is the share of machines that still boot at an age: a falling staircase.
-type survival []struct{ age, left float64 }
+// survivalCurve is the share of machines that still boot at an age: a falling staircase.
+type survivalCurve []struct{ age, left float64 }
 
 // at is the share that still boots at an age.
-func (s survival) at(age float64) float64 {
+func (s survivalCurve) at(age float64) float64 {
 	left := 1.0
 	for _, x := range s {
 		if x.age > age {
@@ -76,9 +76,9 @@
 	return left
 }
 
-// upFor is for how many boot times of the next ones a machine of the age may be expected
+// upWithin is for how many boot times of the next ones a machine of the age may be expected
 // to be up.
-func (s survival) upFor(age, horizon float64) float64 {
+func (s survivalCurve) upWithin(age, horizon float64) float64 {
 	from := s.at(age)
 	if from <= 0 {
 		return 0
@@ -98,30 +98,30 @@
 	return sum + (age+horizon-last)*(1-left/from)
 }
 
-// bootsOf estimates how long machines of each type with some that should be up by now take
+// bootCurves estimates how long machines of each type with some that should be up by now take
 // to come up.
-func (c *Core) bootsOf() map[string]survival {
+func (c *Core) bootCurves() map[string]survivalCurve {
 	ages := map[string][]float64{}
 	late := map[string]bool{}
-	for _, m := range c.order {
-		if m.booting && !m.up && !m.failed && m.kind.BootS > 0 {
-			age := float64(c.now-m.born) / float64(config.Micro(m.kind.BootS))
-			ages[m.kind.Name] = append(ages[m.kind.Name], age)
-			late[m.kind.Name] = late[m.kind.Name] || age > leastBoot
+	for _, m := range c.machinesByName {
+		if m.booting && !m.registered && !m.failed && m.machineType.BootS > 0 {
+			age := float64(c.now-m.rentedAt) / float64(config.Micro(m.machineType.BootS))
+			ages[m.machineType.Name] = append(ages[m.machineType.Name], age)
+			late[m.machineType.Name] = late[m.machineType.Name] || age > leastBoot
 		}
 	}
-	out := map[string]survival{}
+	out := map[string]survivalCurve{}
 	for name := range late {
 		if late[name] {
-			out[name] = estimateBoots(c.boots[name], ages[name], c.now)
+			out[name] = estimateBootCurve(c.bootOutcomes[name], ages[name], c.now)
 		}
 	}
 	return out
 }
 
-// estimateBoots is the estimate from outcomes, the ages of machines that still boot, and
+// estimateBootCurve is the estimate from outcomes, the ages of machines that still boot, and
 // what is usual.
-func estimateBoots(outcomes []bootOutcome, booting []float64, now Micros) survival {
+func estimateBootCurve(outcomes []bootOutcome, booting []float64, now Micros) survivalCurve {
 	type seen struct {
 		age, weight float64
 		up          bool
@@ -143,7 +143,7 @@
 	for _, o := range all {
 		risk += o.weight
 	}
-	var s survival
+	var s survivalCurve
 	left := 1.0
 	for _, o := range all {
 		if o.up && risk > 1e-9 {
@@ -155,13 +155,13 @@
 	return s
 }
 
-// hopeless says whether a machine that still boots is given up: a fresh one in its place
+// unlikelyToBoot says whether a machine that still boots is given up: a fresh one in its place
 // may be expected to be up for longer, of the next few boot times.
-func (c *Core) hopeless(m *machine, boots map[string]survival) bool {
-	s, known := boots[m.kind.Name]
-	if !known || !m.booting || m.up || m.running > 0 || c.domains.IsCut(m.zone) {
+func (c *Core) unlikelyToBoot(m *machine, boots map[string]survivalCurve) bool {
+	s, known := boots[m.machineType.Name]
+	if !known || !m.booting || m.registered || m.lastListedRunning > 0 || c.detector.IsCut(m.zone) {
 		return false // what the cloud shows running boots no more, and in a cut zone nothing is heard
 	}
-	age := float64(c.now-m.born) / float64(config.Micro(m.kind.BootS))
-	return age > leastBoot && freshGain*s.upFor(age, bootHorizon) < s.upFor(0, bootHorizon)
+	age := float64(c.now-m.rentedAt) / float64(config.Micro(m.machineType.BootS))
+	return age > leastBoot && freshGain*s.upWithin(age, bootHorizon) < s.upWithin(0, bootHorizon)
 }
--- a/internal/sched/boots_test.go
+++ b/internal/sched/bootestimate_test.go
@@ -29,7 +29,7 @@
 			hosts = append(hosts, h)
 			will[h] = boot{b.now + Micros(min(draw(r, at), 1e6)*20*1e6)}
 		}
-		b.Hired(wire.Hire{Type: "s", Zone: "x", Count: n}, hosts, b.now)
+		b.ScaledOut(wire.ScaleOutRequest{Type: "s", Zone: "x", Count: n}, hosts, b.now)
 	}
 	hire(100, 0)
 	for at := range seconds {
@@ -40,22 +40,22 @@
 			if m == nil {
 				continue
 			}
-			m.listed, b.listedAt = b.now, b.now
+			m.lastListedAt, b.listedAt = b.now, b.now
 			if will[h].at <= b.now {
 				up++
 				b.report(h, "s", "x", 1)
 			}
 		}
 		var back, idle []string
-		for _, h := range b.Returns(b.now, false) {
-			if b.machines[h].up {
+		for _, h := range b.ScaleIn(b.now, false) {
+			if b.machines[h].registered {
 				idle = append(idle, h) // that is no matter here
 			} else {
 				back = append(back, h)
 			}
 		}
-		b.ReturnFailed(idle, b.now)
-		b.Gone(back, b.now)
+		b.ScaleInFailed(idle, b.now)
+		b.MachinesReturned(back, b.now)
 		for _, h := range back {
 			given++
 			if will[h].at < b.now+40*second {
--- a/internal/sched/churn_bench_test.go
+++ b/internal/sched/churn_bench_test.go
@@ -17,8 +17,8 @@
 		teams = append(teams, config.Team{Name: fmt.Sprint("t", i), CPUs: 800, CPUsMax: 3200})
 	}
 	b := newBed(bm, teams...)
-	b.set.Deployment.State.TxnOps = 24
-	b.set.Deployment.Workers.ReportS, b.set.Deployment.Workers.LeaseS = 4, 20
+	b.settings.Deployment.State.TxnOps = 24
+	b.settings.Deployment.Workers.ReportS, b.settings.Deployment.Workers.LeaseS = 4, 20
 	b.lease = 20 * second
 	cat := wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: cores, MemoryGB: 2 * cores, FetchGBPS: 2, Price: 1, SpotPrice: 0.4, BootS: 1, Zones: []string{"x", "y"}}}}
 	b.SetCatalog(cat)
@@ -32,25 +32,25 @@
 	for left := residents; left > 0; left -= 1000 {
 		id++
 		j := job(id, id, "resident", wire.Low, min(left, 1000), 1e6)
-		j.CheckpointEvery, j.SaveS = 30, 1
+		j.CheckpointIntervalS, j.CheckpointDurationS = 30, 1
 		b.AddJob(j, b.now, b.now)
 	}
 	state := map[string]map[*placement]Micros{} // when each task began, by host
 	tick := func() {
 		b.now += second / 10
 		if cm := b.Schedule(b.now); cm != nil {
-			b.Committed(cm, b.now)
+			b.CommitStored(cm, b.now)
 		}
-		b.Directs()
-		b.Ends()
+		b.TakeDirectCommands()
+		b.TakeEnds()
 	}
 	for range 600 {
 		tick()
 		if _, waiting := b.Waiting(); waiting == 0 {
 			break
 		}
-		for _, m := range b.order {
-			m.lastHello = b.now
+		for _, m := range b.machinesByName {
+			m.lastHeartbeat = b.now
 		}
 	}
 	n := 0
@@ -61,20 +61,20 @@
 			b.AddJob(job(id, id, "batch", wire.Normal, starts, 5), b.now, b.now)
 		}
 		for i := range machines / 15 { // reports
-			m := b.order[(n*machines/15+i)%machines]
+			m := b.machinesByName[(n*machines/15+i)%machines]
 			at := state[m.host]
 			if at == nil {
 				at = map[*placement]Micros{}
 				state[m.host] = at
 			}
-			var tasks []wire.TaskReport
-			m.each(func(p *placement) {
+			var tasks []wire.TaskStatus
+			m.eachPlacement(func(p *placement) {
 				if at[p] == 0 {
 					at[p] = b.now
 				}
-				r := wire.TaskReport{Task: wire.TaskName(p.job.id, p.task), Attempt: p.attempt, State: wire.TaskRunning}
-				if p.stop {
-					r.State, r.Cause, r.Saved = wire.TaskExited, wire.CauseStopped, p.checkpoint
+				r := wire.TaskStatus{Task: wire.TaskName(p.job.id, p.taskIndex), Attempt: p.attempt, State: wire.TaskRunning}
+				if p.stopping {
+					r.State, r.Cause, r.Saved = wire.TaskExited, wire.CauseStopped, p.checkpointing
 				} else if p.job.spec.Class == "batch" && b.now-at[p] > 5*second {
 					r.State, r.Cause = wire.TaskExited, wire.CauseDone
 				}
@@ -87,5 +87,5 @@
 	_, waiting := b.Waiting()
 	bm.ReportMetric(float64(waiting), "waiting")
 	bm.ReportMetric(float64(b.Stats.Launches), "launches")
-	bm.ReportMetric(float64(b.Stats.Evictions), "evictions")
+	bm.ReportMetric(float64(b.Stats.Preemptions), "evictions")
 }
--- a/internal/sched/configure_test.go
+++ b/internal/sched/configure_test.go
@@ -40,11 +40,11 @@
 	for range 10 {
 		b.now += second
 		a := b.report("n-1", "s", "x", 1, b.running("n-1")...)
-		if cm := b.schedule(); cm != nil || len(a.Orders) > 0 || len(b.Directs()) > 0 {
-			t.Fatalf("with a lower limit: %+v, orders %+v", cm, a.Orders)
+		if cm := b.schedule(); cm != nil || len(a.Commands) > 0 || len(b.TakeDirectCommands()) > 0 {
+			t.Fatalf("with a lower limit: %+v, orders %+v", cm, a.Commands)
 		}
 	}
-	if w := b.Waits(1); len(w) != 1 || w[0].Job != "j-2" || w[0].Why != "its team's limit" {
+	if w := b.WaitingJobs(1); len(w) != 1 || w[0].Job != "j-2" || w[0].Reason != "its team's limit" {
 		t.Errorf("it waits for %+v", w)
 	}
 	if s, _, _, known := b.Counts("j-2"); !known || s != wire.JobQueued {
@@ -67,16 +67,16 @@
 	b.configure(40, cordon(dynconfig.Cordon{Zone: "x", Until: until}))
 	b.AddJob(spec("j-2", "a", wire.Normal, 2, 1), b.now, b.now)
 	b.report("n-1", "s", "x", 1, b.running("n-1")...)
-	if cm := b.schedule(); cm != nil || len(b.Directs()) > 0 {
+	if cm := b.schedule(); cm != nil || len(b.TakeDirectCommands()) > 0 {
 		t.Fatalf("beside a cordon: %+v", cm)
 	}
-	if w := b.Waits(1); len(w) != 1 || w[0].Why != "no room outside the cordon c" {
+	if w := b.WaitingJobs(1); len(w) != 1 || w[0].Reason != "no room outside the cordon c" {
 		t.Errorf("it waits for %+v", w)
 	}
 	b.now += 5 * second
-	b.Machines(nil, b.now)
+	b.MachinesListed(nil, b.now)
 	b.report("n-1", "s", "x", 1, b.running("n-1")...)
-	hires := b.Hires(b.now)
+	hires := b.ScaleOut(b.now)
 	if len(hires) == 0 {
 		t.Error("nothing is rented elsewhere")
 	}
@@ -88,8 +88,8 @@
 	b.configure(41, cordon(dynconfig.Cordon{Machine: "n-1", Drain: true, Until: until}))
 	b.schedule()
 	stops := 0
-	for _, d := range b.Directs() {
-		for _, o := range d.Orders.Orders {
+	for _, d := range b.TakeDirectCommands() {
+		for _, o := range d.Batch.Commands {
 			if o.Op == wire.Stop {
 				stops++
 			}
@@ -125,19 +125,19 @@
 	if first == nil || first.next == nil || first.Generation != 40 {
 		t.Fatal("the gang does not take several transactions of the generation")
 	}
-	b.Committed(first, b.now)
+	b.CommitStored(first, b.now)
 	b.configure(41, cordon(dynconfig.Cordon{Zone: "x"}))
 	second := b.Schedule(b.now)
 	if second == nil || second.Generation != 40 {
 		t.Fatal("the second part is missing or carries another generation")
 	}
-	b.Refused(second, b.now)
+	b.CommitRejected(second, b.now)
 	if cm := b.schedule(); cm != nil {
 		t.Errorf("the gang starts in the cordoned zone: %d launches", cm.Launches())
 	}
 	for _, m := range b.machines {
-		if m.n > 0 {
-			t.Fatalf("%s still has %d launches of the refused gang", m.host, m.n)
+		if m.placementCount > 0 {
+			t.Fatalf("%s still has %d launches of the refused gang", m.host, m.placementCount)
 		}
 	}
 }
--- a/internal/sched/dump.go
+++ b/internal/sched/debugdump.go
@@ -12,34 +12,34 @@
 // waits or is idle).
 func (c *Core) Dump() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "token %d, write %g\n", c.token, c.bwWrite)
-	for _, j := range c.inOrder(func(*job) bool { return true }) {
+	fmt.Fprintf(&b, "token %d, write %g\n", c.token, c.writeGBPerS)
+	for _, j := range c.jobsByID(func(*job) bool { return true }) {
 		fmt.Fprintf(&b, "job %s %+v arrived %d due %d done %d %v stored %v dirty %v retry %v cursor %d attempt %d started %v broken %v finishing %v ended %q\n",
-			j.id, specText(j), j.arrival, j.due, j.doneCount, j.done, j.storedDone, slices.Sorted(maps.Keys(j.dirty)), j.retry, j.cursor, j.attempt, j.started, j.broken, j.finishing, j.ended)
-		for _, p := range j.ordered() {
+			j.id, specText(j), j.arrival, j.dueAt, j.completedCount, j.completed, j.durableCompleted, slices.Sorted(maps.Keys(j.dirtyChunks)), j.retryQueue, j.nextUntried, j.gangAttempt, j.gangStarted, j.gangBroken, j.completing, j.finalStatus)
+		for _, p := range j.sortedPlacements() {
 			entry := ""
 			if p.entry != nil {
 				entry = p.entry.name
 			}
 			fmt.Fprintf(&b, "  task %d attempt %d on %s session %d entry %s stored %v loaded %v seen %v sent %v state %q stop %v %v\n",
-				p.task, p.attempt, p.m.host, p.session, entry, p.stored, p.loaded, p.seen, p.sent, p.state, p.stop, p.checkpoint)
+				p.taskIndex, p.attempt, p.machine.host, p.incarnation, entry, p.durable, p.recovered, p.observed, p.dispatched, p.state, p.stopping, p.checkpointing)
 		}
 	}
-	for _, m := range c.order {
+	for _, m := range c.machinesByName {
 		fmt.Fprintf(&b, "machine %s %s %s %s spot %v session %d seq %d up %v confirmed %v returning %v lost %v failed %v uses %g %g %g %d\n",
-			m.host, m.addr, m.kind.Name, m.zone, m.spot, m.session, m.seq, m.up, m.confirmed, m.returning, m.lost, m.failed, m.cpus, m.gpus, m.mem, m.n)
+			m.host, m.addr, m.machineType.Name, m.zone, m.spot, m.incarnation, m.sequence, m.registered, m.confirmed, m.scalingIn, m.leaseExpired, m.failed, m.usedCPUs, m.usedGPUs, m.usedMemoryGB, m.placementCount)
 	}
 	for _, n := range slices.Sorted(maps.Keys(c.entries)) {
 		e := c.entries[n]
 		fmt.Fprintf(&b, "entry %s live %d hosts %v listed %v\n", n, len(e.live), slices.Sorted(maps.Keys(e.hosts)), e.listed)
 	}
-	for _, t := range c.eachTeam() {
-		fmt.Fprintf(&b, "team %s uses %g %g leaving %g %g\n", t.Name, t.cpus, t.gpus, t.leavingCPUs, t.leavingGPUs)
+	for _, t := range c.teamsByName() {
+		fmt.Fprintf(&b, "team %s uses %g %g leaving %g %g\n", t.Name, t.usedCPUs, t.usedGPUs, t.releasingCPUs, t.releasingGPUs)
 	}
-	for _, cl := range c.eachClass() {
-		fmt.Fprintf(&b, "class %s ratio %g size %g\n", cl.name, cl.ratio, cl.size)
+	for _, cl := range c.classesByName() {
+		fmt.Fprintf(&b, "class %s ratio %g size %g\n", cl.name, cl.runTimeRatio, cl.meanTasks)
 	}
-	fmt.Fprintf(&b, "ends %v forget %v\n", c.ends, c.forget)
+	fmt.Fprintf(&b, "ends %v forget %v\n", c.pendingEnds, c.forgotten)
 	return b.String()
 }
 
--- a/internal/sched/silence_test.go
+++ b/internal/sched/failures_test.go
@@ -21,10 +21,10 @@
 		if sent {
 			b.report("n-1", "s", "x", 1)
 		}
-		b.now += b.domains.Silence() + second
+		b.now += b.detector.Silence() + second
 		b.report("n-2", "s", "x", 1)
 		b.schedule()
-		if got := b.machines["n-2"].n == 1; got == sent {
+		if got := b.machines["n-2"].placementCount == 1; got == sent {
 			t.Errorf("sent %v: placed anew %v", sent, got)
 		}
 	}
@@ -55,8 +55,8 @@
 		for _, h := range []string{"n-5", "n-6", "n-7"} {
 			b.report(h, "s", "x", 1)
 		}
-		b.Survey(b.now, cs)
-		b.tend()
+		b.DetectFailures(b.now, cs)
+		b.reconcile()
 	}
 	return b
 }
@@ -65,21 +65,21 @@
 // gone is given back whatever it costs, and one that the list shows dead at once.
 func TestSilentZone(t *testing.T) {
 	b := zoneBed(t, true)
-	if !b.domains.IsCut("y") {
+	if !b.detector.IsCut("y") {
 		t.Fatal("not found to be cut off")
 	}
-	if back := b.Returns(b.now, false); slices.Contains(back, "n-1") {
+	if back := b.ScaleIn(b.now, false); slices.Contains(back, "n-1") {
 		t.Errorf("returned %v, whose work goes on", back)
 	}
-	if got := len(b.Hires(b.now)); got > 0 {
+	if got := len(b.ScaleOut(b.now)); got > 0 {
 		t.Errorf("%d hires for work that does not wait", got)
 	}
-	b.Machines([]wire.Machine{{ID: "n-1", Type: "s", Zone: "y", State: wire.HostFailed}}, b.now)
-	if back := b.Returns(b.now, false); !slices.Equal(back, []string{"n-1"}) {
+	b.MachinesListed([]wire.Machine{{ID: "n-1", Type: "s", Zone: "y", State: wire.MachineFailed}}, b.now)
+	if back := b.ScaleIn(b.now, false); !slices.Equal(back, []string{"n-1"}) {
 		t.Errorf("returned %v, want the dead one", back)
 	}
-	b.Ended("j-1", wire.JobCancelled, b.now)
-	if back := b.Returns(b.now, false); !slices.Equal(back, []string{"n-2", "n-3", "n-4"}) {
+	b.JobEnded("j-1", wire.JobCancelled, b.now)
+	if back := b.ScaleIn(b.now, false); !slices.Equal(back, []string{"n-2", "n-3", "n-4"}) {
 		t.Errorf("returned %v, want those of the cancelled job", back)
 	}
 }
@@ -88,11 +88,11 @@
 // elsewhere as soon as there is room, and only then are the machines given up.
 func TestSilentZoneWithoutController(t *testing.T) {
 	b := zoneBed(t, false)
-	if back := b.Returns(b.now, false); slices.Contains(back, "n-1") {
+	if back := b.ScaleIn(b.now, false); slices.Contains(back, "n-1") {
 		t.Errorf("returned %v: its tasks may run in that zone alone", back)
 	}
 	b.jobs["j-1"].spec.Zone = nil // now they may run anywhere, and three machines are free
-	back := b.Returns(b.now, false)
+	back := b.ScaleIn(b.now, false)
 	if n := len(slices.DeleteFunc(back, func(h string) bool { return h > "n-4" })); n < 3 {
 		t.Errorf("%d machines returned, want one for each free one at least", n)
 	}
@@ -102,19 +102,19 @@
 func TestToldAtTakeover(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a"})
 	b.AddJob(spec("j-1", "a", wire.Normal, 4, 8), b.now, b.now)
-	e := Entry{}
+	e := LedgerEntry{}
 	for i, h := range []string{"n-1", "n-2", "n-3", "n-4"} {
-		e.Hosts = append(e.Hosts, EntryHost{Host: h, Addr: h, Type: "s", Zone: "y", Session: 1})
-		e.Runs = append(e.Runs, Run{Host: i, Job: "j-1", Attempt: 5, Tasks: []int32{int32(i)}})
-		b.Told(h, b.now-15*second)
+		e.Hosts = append(e.Hosts, LedgerHost{Host: h, Addr: h, Type: "s", Zone: "y", Incarnation: 1})
+		e.Runs = append(e.Runs, LedgerRun{Host: i, Job: "j-1", Attempt: 5, Tasks: []int32{int32(i)}})
+		b.PeerContact(h, b.now-15*second)
 	}
-	b.Load(map[string]Entry{"e": e})
+	b.RecoverLedger(map[string]LedgerEntry{"e": e})
 	b.now += second
 	for _, h := range []string{"n-5", "n-6", "n-7"} {
 		b.report(h, "s", "x", 1)
 	}
-	b.Survey(b.now, []failuredomain.Controller{{Zone: "y", Heard: b.now - 15*second}})
-	if !b.domains.IsCut("y") {
+	b.DetectFailures(b.now, []failuredomain.Controller{{Zone: "y", Heard: b.now - 15*second}})
+	if !b.detector.IsCut("y") {
 		t.Error("the zone's silence began anew with the term")
 	}
 }
@@ -123,20 +123,20 @@
 // not reported yet: nothing makes way for it until nearly all have, or have had the time to.
 func TestNothingMakesWayBeforeMachinesAreKnown(t *testing.T) {
 	const n = 10
-	store := map[string]Entry{}
+	store := map[string]LedgerEntry{}
 	b := newBed(t, config.Team{Name: "a"})
 	b.AddJob(spec("j-1", "a", wire.Low, n, 8), b.now, b.now)
 	for i := range n + 1 { // one stays empty
 		b.report(fmt.Sprintf("n-%02d", i), "s", "x", 1)
 	}
 	for _, e := range b.schedule().Entries {
-		store[e.Name] = e.Entry
+		store[e.Name] = e.LedgerEntry
 	}
 	b.report("n-10", "s", "x", 1, b.running("n-10")...)
 	for _, heard := range []int{2, n} {
 		after := newBed(t, config.Team{Name: "a"})
 		after.AddJob(spec("j-1", "a", wire.Low, n, 8), after.now, after.now)
-		after.Load(store)
+		after.RecoverLedger(store)
 		after.AddJob(spec("j-2", "a", wire.High, 1, 8), after.now, after.now)
 		evicted := false
 		for k := range 5 {
@@ -147,9 +147,9 @@
 				}
 			}
 			after.Schedule(after.now)
-			evicted = evicted || after.Stats.Evictions > 0
-			if after.commit != nil {
-				after.Committed(after.commit, after.now)
+			evicted = evicted || after.Stats.Preemptions > 0
+			if after.inFlight != nil {
+				after.CommitStored(after.inFlight, after.now)
 			}
 			if k == 2 && evicted != (heard == n) {
 				t.Errorf("with %d of %d machines heard: evicted %v after 1.5 s", heard, n, evicted)
@@ -162,7 +162,7 @@
 			}
 		}
 		after.Schedule(after.now)
-		if after.Stats.Evictions == 0 {
+		if after.Stats.Preemptions == 0 {
 			t.Errorf("with %d of %d machines heard nothing makes way even later", heard, n)
 		}
 	}
