--- /dev/null
+++ b/internal/sched/fairness.go
@@ -0,0 +1,315 @@
+package sched
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// Of each class of jobs and each team it is counted how much of what it asked for is
+// served. One of which less than half is served while others have had much more is
+// behind: among jobs of one priority, and equally within or beyond their teams'
+// guarantees, its jobs go first then, until it has caught up. Nothing is stopped for it that
+// might not be stopped otherwise, and no order of priorities changes. On a day on which
+// everybody is served well nothing of this acts.
+
+const (
+	serviceDecayTime = 300 * second // in which ended jobs lose two thirds of their weight
+	waitingGrace     = 60 * second  // before which a job that has not begun isn't counted as waiting
+	minDemandJobs    = 10           // jobs below which a share says nothing
+	underservedBelow = 0.55         // share below which a class or team is behind
+	recoveredAbove   = 0.7          // and above which it no longer is
+
+	largeUnderservedBelow = 0.4 // the same for the largest jobs of a class
+	largeRecoveredAbove   = 0.5
+
+	rivalLead = 0.2 // by which the share of one is larger whose jobs can wait
+)
+
+// serviceShare counts the jobs of a class or a team.
+type serviceShare struct {
+	submitted, started, done, late, cancelled int // in this term, those found at its start included
+
+	ofLargeJobs bool    // counts the largest jobs of a class
+	decayedDone float64 // done, a count that forgets
+	decayedAt   Micros
+
+	// as of the last reckoning
+	share            float64
+	demand           float64
+	underserved      bool
+	underservedSince Micros // when it fell behind
+}
+
+func (s *serviceShare) decay(now Micros) {
+	if now > s.decayedAt {
+		s.decayedDone *= math.Exp(-float64(now-s.decayedAt) / float64(serviceDecayTime))
+		s.decayedAt = now
+	}
+}
+
+// restore takes what an earlier leader counted.
+func (s *serviceShare) restore(ended float64, at, now Micros) {
+	if ended > 0 {
+		old := serviceShare{decayedDone: ended, decayedAt: at}
+		old.decay(now)
+		s.decay(now)
+		s.decayedDone = max(s.decayedDone, old.decayedDone)
+	}
+}
+
+// update brings the share up to date: of the jobs that ended lately, run, or have waited
+// for a while, those that do not wait.
+func (s *serviceShare) update(now Micros, running, waiting float64) {
+	s.decay(now)
+	s.demand = s.decayedDone + running + waiting
+	s.share = 1
+	if s.demand > 0 {
+		s.share = 1 - waiting/s.demand
+	}
+}
+
+// thresholds is how many jobs it takes for a share to say something, below which share it is
+// behind, and above which no longer. The largest jobs are few, and each costs its class several
+// others.
+func (s *serviceShare) thresholds() (asked, behind, caught float64) {
+	if s.ofLargeJobs {
+		return minDemandJobs / 2, largeUnderservedBelow, largeRecoveredAbove
+	}
+	return minDemandJobs, underservedBelow, recoveredAbove
+}
+
+// updateUnderserved says, with what another one has had, whether it is behind.
+func (s *serviceShare) updateUnderserved(now Micros, other bool) {
+	was := s.underserved
+	asked, least, caught := s.thresholds()
+	if was {
+		least = caught
+	}
+	s.underserved = s.demand >= asked && s.share < least && other
+	if s.underserved && !was {
+		s.underservedSince = now
+	}
+}
+
+// eachService calls f with what is counted of the job's class and team, and of its class's largest.
+func (j *job) eachService(f func(*serviceShare)) {
+	f(&j.class.service)
+	f(&j.team.service)
+	if j.isLarge {
+		f(&j.class.largeJobService)
+	}
+}
+
+// sizeWindow is how many tasks the jobs of a class had lately.
+type sizeWindow struct {
+	recent [64]int
+	n      int
+}
+
+const (
+	minSizes      = 10  // jobs before which none counts as large
+	largeQuantile = 0.8 // share of the jobs that are smaller than the largest
+)
+
+// addIsLarge takes another job and says whether it is among the largest: of those that come
+// after each other four in five are smaller, or all are smaller or as large. Where all are
+// of one size none is large.
+func (z *sizeWindow) addIsLarge(tasks int) bool {
+	z.recent[z.n%len(z.recent)] = tasks
+	z.n++
+	all := z.recent[:min(z.n, len(z.recent))]
+	if len(all) < minSizes {
+		return false
+	}
+	smaller, larger := 0, 0
+	for _, x := range all {
+		switch {
+		case x < tasks:
+			smaller++
+		case x > tasks:
+			larger++
+		}
+	}
+	return smaller > 0 && (larger == 0 || float64(smaller) >= largeQuantile*float64(len(all)))
+}
+
+// recordStart notes that a task of the job was seen running.
+func (c *Core) recordStart(j *job) {
+	if j.firstStartedAt == 0 {
+		j.firstStartedAt = c.now
+		j.eachService(func(s *serviceShare) { s.started++ })
+	}
+}
+
+// recordEnd notes how a job ended.
+func (c *Core) recordEnd(j *job, done bool) {
+	j.eachService(func(s *serviceShare) {
+		if !done {
+			s.cancelled++
+			return
+		}
+		s.decay(c.now)
+		s.decayedDone++
+		s.done++
+		if c.now > j.dueAt {
+			s.late++
+		}
+	})
+}
+
+// fairnessInterval is how often it is found out who is behind.
+const fairnessInterval = 2 * second
+
+// updateFairness finds out who is behind. Shortly after a takeover it is not known yet which jobs
+// run, so nobody is.
+func (c *Core) updateFairness() {
+	if c.now-c.fairnessUpdatedAt < fairnessInterval {
+		return
+	}
+	c.fairnessUpdatedAt = c.now
+	type count struct{ running, waiting float64 }
+	of := map[*serviceShare]*count{}
+	get := func(s *serviceShare) *count {
+		if of[s] == nil {
+			of[s] = &count{}
+		}
+		return of[s]
+	}
+	for _, j := range c.jobs {
+		if j.finalStatus != "" {
+			continue
+		}
+		waits := 0.0 // part of it
+		if c.now-j.arrival > waitingGrace && !j.isSuspect() {
+			waits = float64(j.pendingCount()) / float64(j.spec.Tasks)
+		}
+		if j.firstStartedAt > 0 || waits > 0 || j.completing {
+			j.eachService(func(s *serviceShare) {
+				get(s).waiting += waits
+				get(s).running += 1 - waits
+			})
+		}
+	}
+	young := c.now-c.termStart < 3*c.lease
+	group := func(all []*serviceShare, rival func(a, b int) bool) {
+		for _, s := range all {
+			x := get(s)
+			s.update(c.now, x.running, x.waiting)
+		}
+		for a, s := range all {
+			other := false
+			for b, o := range all {
+				other = other || (a != b && o.demand >= minDemandJobs && o.share >= s.share+rivalLead && rival(a, b))
+			}
+			s.updateUnderserved(c.now, other && !young)
+		}
+	}
+	var ss []*serviceShare
+	classes := c.classesByName()
+	for _, cl := range classes {
+		ss = append(ss, &cl.service)
+	}
+	group(ss, func(a, b int) bool { return c.compete(classes[a], classes[b]) })
+	ss = ss[:0]
+	for _, t := range c.teamsByName() {
+		ss = append(ss, &t.service)
+	}
+	group(ss, func(int, int) bool { return true })
+	// The largest of a class beside the others of it, to which a gang yields for as long as
+	// they fit where it does not.
+	for _, cl := range classes {
+		l, x := &cl.largeJobService, get(&cl.largeJobService)
+		l.ofLargeJobs = true
+		l.update(c.now, x.running, x.waiting)
+		rest := serviceShare{decayedDone: cl.service.decayedDone - l.decayedDone, decayedAt: c.now}
+		rest.update(c.now, get(&cl.service).running-x.running, get(&cl.service).waiting-x.waiting)
+		l.updateUnderserved(c.now, rest.demand >= minDemandJobs && rest.share >= l.share+rivalLead && !young)
+	}
+}
+
+// compete says whether two classes may use machines of one type.
+func (c *Core) compete(a, b *class) bool {
+	if a.sampleJob == nil || b.sampleJob == nil {
+		return false
+	}
+	for _, t := range c.machineTypes {
+		if fitsType(&a.sampleJob.spec, t) && fitsType(&b.sampleJob.spec, t) {
+			return true
+		}
+	}
+	return false
+}
+
+// teamsByName returns the teams by name.
+func (c *Core) teamsByName() []*team {
+	out := make([]*team, 0, len(c.teams))
+	for _, t := range c.teams {
+		out = append(out, t)
+	}
+	slices.SortFunc(out, func(a, b *team) int { return cmp.Compare(a.Name, b.Name) })
+	return out
+}
+
+// underserved says whether the job's class or team is, or the largest of its class are and it is
+// one of them.
+func (j *job) underserved() bool {
+	return j.class.service.underserved || j.team.service.underserved || j.isLarge && j.class.largeJobService.underserved
+}
+
+// ServiceShare is how much of what a class of jobs or a team asked for is served. Counts are
+// of jobs, in this term, those that waited or ran at its start included.
+type ServiceShare struct {
+	Name                                               string
+	Team                                               bool // otherwise a class
+	Submitted, Started, Done, Late, Cancelled, Waiting int
+	Share                                              float64 // of what it asked for lately
+	Underserved                                        bool
+	WaitReason                                         string // what the longest waiting of its jobs waits for, if it is behind
+	UnderservedFor                                     Micros // how long it has been behind
+}
+
+// ServiceShares tells it of all teams, and of so many classes at most: those with most jobs first.
+func (c *Core) ServiceShares(mostClasses int) (out []ServiceShare) {
+	waiting := map[*serviceShare]int{}
+	oldest := map[*serviceShare]*job{}
+	for _, j := range c.jobs {
+		if j.finalStatus == "" && j.firstStartedAt == 0 {
+			j.eachService(func(s *serviceShare) {
+				waiting[s]++
+				if o := oldest[s]; o == nil || j.arrival < o.arrival || (j.arrival == o.arrival && j.id < o.id) {
+					oldest[s] = j
+				}
+			})
+		}
+	}
+	add := func(part []ServiceShare, name string, isTeam bool, s *serviceShare) []ServiceShare {
+		x := ServiceShare{name, isTeam, s.submitted, s.started, s.done, s.late, s.cancelled, waiting[s], s.share, s.underserved, "", 0}
+		if x.Submitted == 0 {
+			return part
+		}
+		if s.underserved {
+			x.UnderservedFor = c.now - s.underservedSince
+			if j := oldest[s]; j != nil {
+				x.WaitReason = c.explainWait(j).Reason
+			}
+		}
+		return append(part, x)
+	}
+	sorted := func(part []ServiceShare) []ServiceShare {
+		slices.SortStableFunc(part, func(a, b ServiceShare) int { return cmp.Compare(b.Submitted, a.Submitted) })
+		return part
+	}
+	var classes, teams []ServiceShare
+	for _, cl := range c.classesByName() {
+		classes = add(classes, cl.name, false, &cl.service)
+		if cl.largeJobService.submitted > 0 {
+			classes = add(classes, "largest of "+cl.name, false, &cl.largeJobService)
+		}
+	}
+	for _, t := range c.teamsByName() {
+		teams = add(teams, t.Name, true, &t.service)
+	}
+	classes = sorted(classes)
+	return append(classes[:min(mostClasses, len(classes))], sorted(teams)...)
+}
--- a/internal/sched/served_test.go
+++ b/internal/sched/fairness_test.go
@@ -41,7 +41,7 @@
 			}
 		}
 		if !watched {
-			b.reckoned = b.now + 10*second // nobody looks who is behind
+			b.fairnessUpdatedAt = b.now + 10*second // nobody looks who is behind
 		}
 		b.schedule()
 		for i := range n {
@@ -49,16 +49,16 @@
 			run := b.running(h)
 			for k := range run {
 				id, num, _ := wire.ParseTask(run[k].Task)
-				p := b.machines[h].find(taskKey{b.jobs[id], num}, run[k].Attempt)
-				if p.running > 0 && b.now-p.running >= Micros(10+r.IntN(4))*second {
+				p := b.machines[h].findPlacement(taskKey{b.jobs[id], num}, run[k].Attempt)
+				if p.runningSince > 0 && b.now-p.runningSince >= Micros(10+r.IntN(4))*second {
 					run[k].State, run[k].Cause = wire.TaskExited, wire.CauseDone
 				}
 			}
 			b.report(h, "s", "x", 1, run...)
 		}
-		for _, id := range b.Ends() {
+		for _, id := range b.TakeEnds() {
 			done[class[id]]++
-			b.Ended(id, wire.JobDone, b.now)
+			b.JobEnded(id, wire.JobDone, b.now)
 		}
 	}
 	return float64(done[0]) / float64(asked[0]), float64(done[1]) / float64(asked[1])
@@ -91,7 +91,7 @@
 	for i := range n {
 		b.report(fmt.Sprintf("n-%02d", i), "s", "x", 1)
 	}
-	b.classOf("c").waits = []Micros{150 * second, 240 * second}
+	b.classOf("c").waitObjectives = []Micros{150 * second, 240 * second}
 	asked, begun := [2]float64{}, [2]float64{}
 	class, counted, last := map[string]int{}, map[string]bool{}, Micros(0)
 	for at := range 900 {
@@ -111,7 +111,7 @@
 			b.AddJob(j, b.now, b.now)
 		}
 		if !watched {
-			b.reckoned = b.now + 10*second
+			b.fairnessUpdatedAt = b.now + 10*second
 		}
 		b.schedule()
 		for i := range n {
@@ -119,21 +119,21 @@
 			run := b.running(h)
 			for k := range run {
 				id, num, _ := wire.ParseTask(run[k].Task)
-				p := b.machines[h].find(taskKey{b.jobs[id], num}, run[k].Attempt)
-				if j := b.jobs[id]; p.running > 0 && !counted[id] {
+				p := b.machines[h].findPlacement(taskKey{b.jobs[id], num}, run[k].Attempt)
+				if j := b.jobs[id]; p.runningSince > 0 && !counted[id] {
 					counted[id] = true
 					if b.now-j.arrival <= 240*second && j.arrival <= last {
 						begun[class[id]]++
 					}
 				}
-				if p.running > 0 && b.now-p.running >= Micros(22+r.IntN(6))*second {
+				if p.runningSince > 0 && b.now-p.runningSince >= Micros(22+r.IntN(6))*second {
 					run[k].State, run[k].Cause = wire.TaskExited, wire.CauseDone
 				}
 			}
 			b.report(h, "s", "x", 1, run...)
 		}
-		for _, id := range b.Ends() {
-			b.Ended(id, wire.JobDone, b.now)
+		for _, id := range b.TakeEnds() {
+			b.JobEnded(id, wire.JobDone, b.now)
 		}
 	}
 	return begun[0] / asked[0], begun[1] / asked[1]
--- a/internal/sched/fleet.go
+++ b/internal/sched/fleet.go
@@ -9,12 +9,12 @@
 	"dalefront/wire"
 )
 
-// Machines takes the cloud's list, which lags and may be older than the last.
-func (c *Core) Machines(list []wire.Machine, now Micros) {
+// MachinesListed takes the cloud's list, which lags and may be older than the last.
+func (c *Core) MachinesListed(list []wire.Machine, now Micros) {
 	c.now = now
-	lag := config.Micro(c.set.Deployment.Cloud.ListLagS)
+	lag := config.Micro(c.settings.Deployment.Cloud.ListLagS)
 	for _, l := range list {
-		if _, gone := c.gone[l.ID]; gone {
+		if _, gone := c.returnedMachines[l.ID]; gone {
 			continue // the list lags behind the return
 		}
 		m := c.machines[l.ID]
@@ -24,38 +24,38 @@
 		if m.addr == "" {
 			m.addr = l.Addr
 		}
-		if m.listed == 0 {
-			m.born = min(m.born, now-config.Micro(l.AgeS))
+		if m.lastListedAt == 0 {
+			m.rentedAt = min(m.rentedAt, now-config.Micro(l.AgeS))
 		}
-		m.listed = now
-		m.booting = m.booting || (l.State == wire.HostBooting && !m.up)
-		if l.State == wire.HostRunning {
+		m.lastListedAt = now
+		m.booting = m.booting || (l.State == wire.MachineBooting && !m.registered)
+		if l.State == wire.MachineRunning {
 			// The moment that the list describes is the machine's age after its
 			// birth, which may itself have been learned late, from a list.
-			m.running = max(m.running, min(m.born+config.Micro(l.AgeS), now)-lag)
+			m.lastListedRunning = max(m.lastListedRunning, min(m.rentedAt+config.Micro(l.AgeS), now)-lag)
 		}
-		if l.State == wire.HostFailed && !m.failed {
+		if l.State == wire.MachineFailed && !m.failed {
 			m.failed = true
-			if m.up {
-				c.domains.Died()
+			if m.registered {
+				c.detector.Died()
 			}
 		}
 	}
 	c.listedAt = now
 }
 
-// Hired takes the answer to a rental request.
-func (c *Core) Hired(h wire.Hire, hosts []string, now Micros) {
+// ScaledOut takes the answer to a rental request.
+func (c *Core) ScaledOut(h wire.ScaleOutRequest, hosts []string, now Micros) {
 	c.now = now
-	c.hiring[h.Type] = max(0, c.hiring[h.Type]-h.Count)
-	c.Stats.Hired += len(hosts)
+	c.pendingScaleOut[h.Type] = max(0, c.pendingScaleOut[h.Type]-h.Count)
+	c.Stats.ScaledOut += len(hosts)
 	for _, host := range hosts {
 		if c.machines[host] == nil {
 			c.newMachine(host, "", h.Type, h.Zone, h.Spot).booting = true
 		}
 	}
 	if len(hosts) < h.Count {
-		c.refuse(h)
+		c.markOutOfCapacity(h)
 	}
 }
 
@@ -66,64 +66,64 @@
 	return typ + "|" + zone
 }
 
-func (c *Core) refuse(h wire.Hire) {
-	c.refused[spotKey(h.Type, h.Zone, h.Spot)] = c.now + 15*second
+func (c *Core) markOutOfCapacity(h wire.ScaleOutRequest) {
+	c.outOfCapacity[spotKey(h.Type, h.Zone, h.Spot)] = c.now + 15*second
 }
 
-// HireFailed takes a refusal (no capacity) or a failure.
-func (c *Core) HireFailed(h wire.Hire, noCapacity bool, now Micros) {
+// ScaleOutFailed takes a refusal (no capacity) or a failure.
+func (c *Core) ScaleOutFailed(h wire.ScaleOutRequest, noCapacity bool, now Micros) {
 	c.now = now
-	c.hiring[h.Type] = max(0, c.hiring[h.Type]-h.Count)
+	c.pendingScaleOut[h.Type] = max(0, c.pendingScaleOut[h.Type]-h.Count)
 	if noCapacity {
-		c.refuse(h)
+		c.markOutOfCapacity(h)
 	}
 }
 
-// Gone says that machines, and everything on them, are gone: the cloud has
+// MachinesReturned says that machines, and everything on them, are gone: the cloud has
 // confirmed their return.
-func (c *Core) Gone(hosts []string, now Micros) {
+func (c *Core) MachinesReturned(hosts []string, now Micros) {
 	c.now = now
-	for h, at := range c.gone {
+	for h, at := range c.returnedMachines {
 		if now-at > 600*second {
-			delete(c.gone, h)
+			delete(c.returnedMachines, h)
 		}
 	}
 	for _, h := range hosts {
-		c.gone[h] = now
+		c.returnedMachines[h] = now
 		m := c.machines[h]
 		if m == nil {
 			continue
 		}
-		m.each(func(p *placement) {
-			if p.stored {
-				c.free(p)
+		m.eachPlacement(func(p *placement) {
+			if p.durable {
+				c.release(p)
 			}
 		})
-		c.Stats.Returned++
-		if k := spotKey(m.kind.Name, m.zone, m.spot); c.refused[k] >= now {
-			c.refused[k] = now - 1 // there may be room for another one now
+		c.Stats.ScaledIn++
+		if k := spotKey(m.machineType.Name, m.zone, m.spot); c.outOfCapacity[k] >= now {
+			c.outOfCapacity[k] = now - 1 // there may be room for another one now
 		}
 		for _, e := range c.entries {
 			if _, named := e.hosts[h]; named && len(e.live) > 0 {
-				c.fragile[e.name] = struct{}{}
+				c.entriesOfReturned[e.name] = struct{}{}
 			}
 		}
-		if m.n == 0 {
+		if m.placementCount == 0 {
 			c.dropMachine(m)
 		} else {
-			m.lost = true // a commit for it is outstanding; it frees its tasks
-			m.returning = false
+			m.leaseExpired = true // a commit for it is outstanding; it frees its tasks
+			m.scalingIn = false
 			m.failed = true
 		}
 	}
 }
 
-// ReturnFailed says that a return was not confirmed; it will be asked again.
-func (c *Core) ReturnFailed(hosts []string, now Micros) {
+// ScaleInFailed says that a return was not confirmed; it will be asked again.
+func (c *Core) ScaleInFailed(hosts []string, now Micros) {
 	c.now = now
 	for _, h := range hosts {
 		if m := c.machines[h]; m != nil {
-			m.returning = false
+			m.scalingIn = false
 		}
 	}
 }
@@ -132,7 +132,7 @@
 // on this side, and another controller should take over.
 func (c *Core) Blind(now Micros) bool {
 	c.now = now
-	return c.domains.IsBlind()
+	return c.detector.IsBlind()
 }
 
 const (
@@ -149,128 +149,128 @@
 )
 
 // maxReturns is how many machines a round gives back.
-func (c *Core) maxReturns() int { return max(minReturns, len(c.order)/machinesPerReturn) }
+func (c *Core) maxReturns() int { return max(minReturns, len(c.machinesByName)/machinesPerReturn) }
 
-// Returns lists machines to give back now.
-func (c *Core) Returns(now Micros, blind bool) []string {
+// ScaleIn lists machines to give back now.
+func (c *Core) ScaleIn(now Micros, blind bool) []string {
 	c.now = now
 	var out []string
 	most := c.maxReturns()
 	back := func(m *machine, why string) {
-		if len(out) < most && !m.returning {
-			m.returning = true
-			c.log("return machine", "host", m.host, "type", m.kind.Name, "why", why, "tasks", m.n)
+		if len(out) < most && !m.scalingIn {
+			m.scalingIn = true
+			c.log("return machine", "host", m.host, "type", m.machineType.Name, "why", why, "tasks", m.placementCount)
 			out = append(out, m.host)
 		}
 	}
-	lag := config.Micro(c.set.Deployment.Cloud.ListLagS)
-	hosts := slices.Clone(c.order)
-	room := &elsewhere{c: c}
-	boots := c.bootsOf()
+	lag := config.Micro(c.settings.Deployment.Cloud.ListLagS)
+	hosts := slices.Clone(c.machinesByName)
+	room := &rescheduleCosts{c: c}
+	boots := c.bootCurves()
 	for _, m := range hosts {
-		if m.returning {
+		if m.scalingIn {
 			continue
 		}
-		quiet := now - max(m.lastHello, c.since)
-		boot := config.Micro(m.kind.BootS)
+		quiet := now - max(m.lastHeartbeat, c.termStart)
+		boot := config.Micro(m.machineType.BootS)
 		switch {
 		case m.failed:
 			back(m, "failed")
 		case blind:
-		case m.up && c.listedAt > max(m.listed, m.born+4*lag) && now-m.born > 4*lag+10*second && quiet > 4*second:
+		case m.registered && c.listedAt > max(m.lastListedAt, m.rentedAt+4*lag) && now-m.rentedAt > 4*lag+10*second && quiet > 4*second:
 			// It was there so long ago that a list would show it, and the newest does not, whether
 			// or not one of this term did: taken or dead; the return proves it.
 			back(m, "no longer listed")
-		case m.lost:
-			if why, ok := c.giveUp(m, room); ok {
+		case m.leaseExpired:
+			if why, ok := c.shouldReplace(m, room); ok {
 				back(m, "silent beyond its lease: "+why)
 			}
-		case m.up && !m.confirmed && quiet > c.lease+6*second:
+		case m.registered && !m.confirmed && quiet > c.lease+6*second:
 			// Never confirmed this term: time proves nothing about its lease.
-			if why, ok := c.giveUp(m, room); ok {
+			if why, ok := c.shouldReplace(m, room); ok {
 				back(m, "silent since the term began: "+why)
 			}
-		case !m.up && now-m.born > 3*boot+40*second && quiet > c.lease, c.hopeless(m, boots):
-			c.bootEnded(m, false)
+		case !m.registered && now-m.rentedAt > 3*boot+40*second && quiet > c.lease, c.unlikelyToBoot(m, boots):
+			c.recordBootOutcome(m, false)
 			back(m, "never came up")
-		case m.bad && m.n == 0:
+		case m.quarantined && m.placementCount == 0:
 			back(m, "tasks fail on it")
-		case m.up && m.n == 0 && m.recallAt > 0 && m.confirmed:
+		case m.registered && m.placementCount == 0 && m.reclaimAt > 0 && m.confirmed:
 			back(m, "empty and about to be taken")
 		}
 	}
-	if blind || now-c.since < 20*second {
+	if blind || now-c.termStart < 20*second {
 		return out
 	}
 	// Idle machines, dearest first, unless they are a spare that the aims need, or some of
 	// those that a gang waits for while its others boot.
-	need := c.spares(now)
-	for _, j := range c.inOrder(func(j *job) bool { return j.gang() && j.pending() > 0 && c.mayRent(j) }) {
-		need = append(need, demand{j, j.pending()})
+	need := c.expectedDemand(now)
+	for _, j := range c.jobsByID(func(j *job) bool { return j.isGang() && j.pendingCount() > 0 && c.mayScaleOutFor(j) }) {
+		need = append(need, demand{j, j.pendingCount()})
 	}
-	reserved := -c.reserve()
+	reserved := -c.standbyDemand()
 	for _, m := range hosts {
-		if !m.returning && m.confirmed && m.cordon == nil {
-			reserved += c.serves(m.kind, m.zone, m.spot)
+		if !m.scalingIn && m.confirmed && m.cordon == nil {
+			reserved += c.serves(m.machineType, m.zone, m.spot)
 		}
 	}
-	sort.SliceStable(hosts, func(a, b int) bool { return c.price(hosts[a]) > c.price(hosts[b]) })
+	sort.SliceStable(hosts, func(a, b int) bool { return c.hourlyPrice(hosts[a]) > c.hourlyPrice(hosts[b]) })
 	idle := map[*wire.MachineType]int{}
 	for _, m := range hosts {
-		if !m.returning && m.confirmed && m.n == 0 {
-			idle[m.kind]++
+		if !m.scalingIn && m.confirmed && m.placementCount == 0 {
+			idle[m.machineType]++
 		}
 	}
 	soon := map[*wire.MachineType]int{}
 	for t := range idle {
-		soon[t] = c.soon(t)
+		soon[t] = c.expectedTasks(t)
 	}
 	for _, m := range hosts {
 		// Keeping a machine is worth as much as booting another one would cost,
 		// as long as tasks may be expected for it.
 		since := m.idleSince
-		if m.kind.GPUs > 0 && c.gpus.any {
-			since = m.gpusIdle
+		if m.machineType.GPUs > 0 && c.gpus.any {
+			since = m.gpusIdleSince
 		}
-		if m.returning || !m.confirmed || m.n > 0 || m.reserved != nil || now-since < c.keep(m.kind, idle[m.kind] <= soon[m.kind]) {
+		if m.scalingIn || !m.confirmed || m.placementCount > 0 || m.reservedFor != nil || now-since < c.idleTimeout(m.machineType, idle[m.machineType] <= soon[m.machineType]) {
 			continue
 		}
 		if c.wanted(m, need) {
 			continue
 		}
-		if x := c.serves(m.kind, m.zone, m.spot); x > 0 && reserved < x {
+		if x := c.serves(m.machineType, m.zone, m.spot); x > 0 && reserved < x {
 			continue
 		} else {
 			reserved -= x
 		}
-		idle[m.kind]--
+		idle[m.machineType]--
 		back(m, "idle")
 	}
 	return out
 }
 
-// keep is how long an idle machine of the type is kept, by whether tasks may be
+// idleTimeout is how long an idle machine of the type is kept, by whether tasks may be
 // expected for it.
-func (c *Core) keep(t *wire.MachineType, expected bool) Micros {
+func (c *Core) idleTimeout(t *wire.MachineType, expected bool) Micros {
 	boots := 0.4
 	if expected {
 		boots = 1.3
 	}
-	return min(config.Micro(*c.set.Operator.IdleReturnS), config.Micro(boots*t.BootS))
+	return min(config.Micro(*c.settings.Operator.IdleReturnS), config.Micro(boots*t.BootS))
 }
 
-// hadNone says whether the cloud was asked for such a machine lately and had none:
+// lacksCapacity says whether the cloud was asked for such a machine lately and had none:
 // that outlasts the time for which it isn't asked again.
-func (c *Core) hadNone(typ, zone string, spot bool) bool {
+func (c *Core) lacksCapacity(typ, zone string, spot bool) bool {
 	const lately = 45 * second
-	until, refused := c.refused[spotKey(typ, zone, spot)]
+	until, refused := c.outOfCapacity[spotKey(typ, zone, spot)]
 	return refused && c.now <= until+lately
 }
 
-// soldOut says whether the cloud lately had no machine without graphics for the
+// allLackCapacity says whether the cloud lately had no machine without graphics for the
 // job.
-func (c *Core) soldOut(j *job) bool {
-	for _, t := range c.types {
+func (c *Core) allLackCapacity(j *job) bool {
+	for _, t := range c.machineTypes {
 		if t.GPUs > 0 || !fitsType(&j.spec, t) {
 			continue
 		}
@@ -278,7 +278,7 @@
 			if j.spec.Zone != nil && *j.spec.Zone != z {
 				continue
 			}
-			if !c.hadNone(t.Name, z, false) {
+			if !c.lacksCapacity(t.Name, z, false) {
 				return false
 			}
 		}
@@ -286,27 +286,27 @@
 	return true
 }
 
-// soon is how many machines of the type the tasks fill that may be expected while
+// expectedTasks is how many machines of the type the tasks fill that may be expected while
 // another one would boot, beyond those that take the place of tasks which end
 // meanwhile: the mean and one deviation, as tasks come a job at a time.
-func (c *Core) soon(t *wire.MachineType) int {
+func (c *Core) expectedTasks(t *wire.MachineType) int {
 	machines := 0.0
-	for _, cl := range c.eachClass() {
-		j := cl.sample
+	for _, cl := range c.classesByName() {
+		j := cl.sampleJob
 		if j == nil || !fitsType(&j.spec, t) || (t.GPUs > 0) != (j.spec.GPUs > 0) {
 			continue
 		}
-		if n := slots(j, t, 0, 0, 0); n > 0 {
-			tasks := cl.perSecond(c.now) * (t.BootS + 10)
-			machines += (max(0, tasks-c.ending(cl, config.Micro(t.BootS))) + math.Sqrt(tasks*max(1, cl.size))) / float64(n)
+		if n := slotsFor(j, t, 0, 0, 0); n > 0 {
+			tasks := cl.arrivalRate(c.now) * (t.BootS + 10)
+			machines += (max(0, tasks-c.completionsWithin(cl, config.Micro(t.BootS))) + math.Sqrt(tasks*max(1, cl.meanTasks))) / float64(n)
 		}
 	}
 	return int(math.Ceil(machines))
 }
 
-// ending counts the running tasks of a class that are expected to end within the
+// completionsWithin counts the running tasks of a class that are expected to end within the
 // time.
-func (c *Core) ending(cl *class, t Micros) (n float64) {
+func (c *Core) completionsWithin(cl *class, t Micros) (n float64) {
 	for _, j := range c.jobs {
 		if j.class == cl {
 			for p := range j.placements {
@@ -319,10 +319,10 @@
 	return n
 }
 
-// Fleet counts the machines known and those whose workers have confirmed the
+// FleetSize counts the machines known and those whose workers have confirmed the
 // term.
-func (c *Core) Fleet() (known, up int) {
-	for _, m := range c.order {
+func (c *Core) FleetSize() (known, up int) {
+	for _, m := range c.machinesByName {
 		if m.confirmed {
 			up++
 		}
@@ -330,9 +330,9 @@
 	return len(c.machines), up
 }
 
-func (c *Core) price(m *machine) float64 { return rate(m.kind, m.spot) }
+func (c *Core) hourlyPrice(m *machine) float64 { return hourlyRate(m.machineType, m.spot) }
 
-func rate(t *wire.MachineType, spot bool) float64 {
+func hourlyRate(t *wire.MachineType, spot bool) float64 {
 	if spot {
 		return t.SpotPrice
 	}
@@ -349,30 +349,30 @@
 // it takes up to 1.5 usually.
 const rentInTime = 2
 
-// spares is the room to be kept free for tasks that arrive while a machine
+// expectedDemand is the room to be kept free for tasks that arrive while a machine
 // would boot, for classes whose start the aims watch too closely for a boot.
-func (c *Core) spares(now Micros) []demand {
+func (c *Core) expectedDemand(now Micros) []demand {
 	guarantee := Micros(0) // the strictest aim
-	for _, o := range c.set.Deployment.Objectives {
+	for _, o := range c.settings.Deployment.Objectives {
 		if at := config.Micro(o.WithinS); o.Kind == "guarantee" && (guarantee == 0 || at < guarantee) {
 			guarantee = at
 		}
 	}
 	var out []demand
-	for _, cl := range c.eachClass() {
-		if cl.sample == nil || cl.sample.spec.Shape == wire.Service {
+	for _, cl := range c.classesByName() {
+		if cl.sampleJob == nil || cl.sampleJob.spec.Shape == wire.Service {
 			continue
 		}
 		watch := Micros(math.MaxInt64)
-		if len(cl.waits) > 0 {
-			watch = cl.waits[0]
+		if len(cl.waitObjectives) > 0 {
+			watch = cl.waitObjectives[0]
 		}
-		if guarantee > 0 && (cl.sample.team.CPUs > 0 || cl.sample.team.GPUs > 0) {
+		if guarantee > 0 && (cl.sampleJob.team.CPUs > 0 || cl.sampleJob.team.GPUs > 0) {
 			watch = min(watch, guarantee)
 		}
 		boot := 0.0
-		for _, t := range c.types {
-			if fitsType(&cl.sample.spec, t) && (boot == 0 || t.BootS < boot) {
+		for _, t := range c.machineTypes {
+			if fitsType(&cl.sampleJob.spec, t) && (boot == 0 || t.BootS < boot) {
 				boot = t.BootS
 			}
 		}
@@ -381,29 +381,29 @@
 		}
 		// Poisson arrivals during a boot, less what finishes meanwhile is left
 		// to chance: the mean plus one deviation.
-		n := cl.perSecond(now) * (boot + 10)
-		slots := int(math.Round((n + math.Sqrt(n)) * *c.set.Operator.SpareFactor))
-		for _, m := range c.order {
-			if slots > 0 && c.usable(m) && c.clearable(cl.sample, m) {
+		n := cl.arrivalRate(now) * (boot + 10)
+		slots := int(math.Round((n + math.Sqrt(n)) * *c.settings.Operator.SpareFactor))
+		for _, m := range c.machinesByName {
+			if slots > 0 && c.isSchedulable(m) && c.canClear(cl.sampleJob, m) {
 				slots-- // evicting makes that room
 			}
 		}
 		if slots > 0 {
-			out = append(out, demand{cl.sample, slots})
+			out = append(out, demand{cl.sampleJob, slots})
 		}
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].job.class.name < out[b].job.class.name })
 	return out
 }
 
-// clearable says whether evicting lower priorities would make room on the
+// canClear says whether evicting lower priorities would make room on the
 // machine for a task of the job.
-func (c *Core) clearable(j *job, m *machine) bool {
-	if !allowed(j, m) || slots(j, m.kind, 0, 0, 0) == 0 {
+func (c *Core) canClear(j *job, m *machine) bool {
+	if !allowed(j, m) || slotsFor(j, m.machineType, 0, 0, 0) == 0 {
 		return false
 	}
-	cpus, gpus, mem, any := m.cpus, m.gpus, m.mem, false
-	m.each(func(p *placement) {
+	cpus, gpus, mem, any := m.usedCPUs, m.usedGPUs, m.usedMemoryGB, false
+	m.eachPlacement(func(p *placement) {
 		if p.job.rank < j.rank {
 			any = true
 			cpus -= p.job.spec.CPUs
@@ -411,60 +411,60 @@
 			mem -= p.job.spec.MemoryGB
 		}
 	})
-	return any && slots(j, m.kind, cpus, gpus, mem) > 0
+	return any && slotsFor(j, m.machineType, cpus, gpus, mem) > 0
 }
 
-// reserve is the room in CPUs that the guarantees call for while there is work:
+// standbyDemand is the room in CPUs that the guarantees call for while there is work:
 // what is guaranteed has to be there when it is asked for, since a boot takes
 // longer than such work may wait.
-func (c *Core) reserve() float64 {
+func (c *Core) standbyDemand() float64 {
 	if len(c.jobs) == 0 {
 		return 0
 	}
 	sum := 0.0
-	for _, t := range c.set.Deployment.Teams {
+	for _, t := range c.settings.Deployment.Teams {
 		sum += t.CPUs
 	}
-	return sum * *c.set.Operator.ReserveFactor
+	return sum * *c.settings.Operator.ReserveFactor
 }
 
 // serves is how many CPUs of the machine the classes seen can use: the least
 // over those that fit, as its room may be cut badly.
 func (c *Core) serves(t *wire.MachineType, zone string, spot bool) float64 {
 	least := 0.0
-	for _, cl := range c.eachClass() {
-		j := cl.sample
+	for _, cl := range c.classesByName() {
+		j := cl.sampleJob
 		if j == nil || (spot && !j.spec.Spot) || !fitsType(&j.spec, t) || (j.spec.Zone != nil && *j.spec.Zone != zone) {
 			continue
 		}
-		if x := float64(slots(j, t, 0, 0, 0)) * j.spec.CPUs; least == 0 || x < least {
+		if x := float64(slotsFor(j, t, 0, 0, 0)) * j.spec.CPUs; least == 0 || x < least {
 			least = x
 		}
 	}
 	return least
 }
 
-// slots is how many tasks of the job the machine could still take.
-func slots(j *job, t *wire.MachineType, cpus, gpus, mem float64) int {
+// slotsFor is how many tasks of the job the machine could still take.
+func slotsFor(j *job, t *wire.MachineType, cpus, gpus, mem float64) int {
 	n := math.Inf(1)
 	for _, x := range [][2]float64{{j.spec.CPUs, t.CPUs - cpus}, {j.spec.GPUs, t.GPUs - gpus}, {j.spec.MemoryGB, t.MemoryGB - mem}} {
 		if x[0] > 0 {
-			n = min(n, math.Floor((x[1]+eps)/x[0]))
+			n = min(n, math.Floor((x[1]+epsilon)/x[0]))
 		}
 	}
 	return max(0, int(min(n, maxSlots)))
 }
 
-// heaviest is a job of the class that brings most work in teams with guarantees.
-func (c *Core) heaviest(now Micros) *job {
+// heaviestJob is a job of the class that brings most work in teams with guarantees.
+func (c *Core) heaviestJob(now Micros) *job {
 	var best *job
 	most := 0.0
-	for _, cl := range c.eachClass() {
-		j := cl.sample
+	for _, cl := range c.classesByName() {
+		j := cl.sampleJob
 		if j == nil || j.spec.Shape == wire.Service || j.team.CPUs == 0 {
 			continue
 		}
-		w := cl.perSecond(now) * j.spec.CPUs * j.spec.EstimateS
+		w := cl.arrivalRate(now) * j.spec.CPUs * j.spec.EstimateS
 		if w > most || (w == most && best != nil && j.id < best.id) {
 			best, most = j, w
 		}
@@ -481,7 +481,7 @@
 		if d.slots <= 0 || !allowed(d.job, m) {
 			continue
 		}
-		if n := slots(d.job, m.kind, 0, 0, 0); n > 0 {
+		if n := slotsFor(d.job, m.machineType, 0, 0, 0); n > 0 {
 			d.slots -= n
 			keep = true
 		}
--- a/internal/sched/fleet_test.go
+++ b/internal/sched/fleet_test.go
@@ -24,14 +24,14 @@
 		b.now += 30 * second // the term is not fresh any more
 		j := spec("j-1", "a", wire.Normal, max(1, c.arrivals), 8)
 		b.AddJob(j, b.now, b.now)
-		b.Ended("j-1", wire.JobCancelled, b.now)
+		b.JobEnded("j-1", wire.JobCancelled, b.now)
 		if c.arrivals == 0 {
-			b.classes[j.Class].arrivals = 0
+			b.classes[j.Class].decayedArrivals = 0
 		}
 		for _, m := range b.machines {
-			m.idleSince, m.lastHello = b.now-c.idle, b.now
+			m.idleSince, m.lastHeartbeat = b.now-c.idle, b.now
 		}
-		if back := b.Returns(b.now, false); len(back) != c.back {
+		if back := b.ScaleIn(b.now, false); len(back) != c.back {
 			t.Errorf("after %d tasks and %d s idle: %d of 10 machines go back, want %d", c.arrivals, c.idle/second, len(back), c.back)
 		}
 	}
@@ -46,10 +46,10 @@
 	g.Shape, g.OneZone = wire.Gang, true
 	b.AddJob(g, b.now, b.now)
 	b.now += 5 * second
-	b.Machines(nil, b.now)
+	b.MachinesListed(nil, b.now)
 	b.report("n-1", "s", "y", 1)
 	in := map[string]int{}
-	for _, h := range b.Hires(b.now) {
+	for _, h := range b.ScaleOut(b.now) {
 		in[h.Zone] += h.Count
 	}
 	if in["y"] != 5 || len(in) != 1 {
@@ -62,10 +62,10 @@
 // long, and keeps no graphics machine from going back.
 func TestLeftovers(t *testing.T) {
 	b := newBed(t, config.Team{Name: "guest"})
-	b.Machines(nil, b.now)
+	b.MachinesListed(nil, b.now)
 	b.AddJob(spec("j-1", "guest", wire.Low, 50, 1), b.now, b.now)
 	b.now += 10 * second
-	if h := b.Hires(b.now); len(h) > 0 {
+	if h := b.ScaleOut(b.now); len(h) > 0 {
 		t.Errorf("rented %v", h)
 	}
 	for _, m := range [][2]string{{"n-1", "s"}, {"n-2", "g"}} {
@@ -75,18 +75,18 @@
 	gpu.GPUs = 1
 	b.AddJob(gpu, b.now, b.now) // somebody uses graphics
 	b.schedule()
-	if b.machines["n-1"].n != 8 {
-		t.Errorf("%d tasks use what is left of an ordinary machine", b.machines["n-1"].n)
+	if b.machines["n-1"].placementCount != 8 {
+		t.Errorf("%d tasks use what is left of an ordinary machine", b.machines["n-1"].placementCount)
 	}
 	b.markDone(b.jobs["j-2"], 0)
-	b.Ended("j-2", wire.JobDone, b.now)
-	b.machines["n-2"].each(func(p *placement) { b.free(p) })
+	b.JobEnded("j-2", wire.JobDone, b.now)
+	b.machines["n-2"].eachPlacement(func(p *placement) { b.release(p) })
 	b.schedule()
-	if n := b.machines["n-2"].n; n > 0 {
+	if n := b.machines["n-2"].placementCount; n > 0 {
 		t.Errorf("%d tasks keep a graphics machine", n)
 	}
 	b.now += 600 * second
-	if h := b.Hires(b.now); len(h) == 0 {
+	if h := b.ScaleOut(b.now); len(h) == 0 {
 		t.Error("work that nobody leaves anything for starves")
 	}
 }
@@ -101,28 +101,28 @@
 	b.AddJob(gpu, b.now, b.now)
 	b.AddJob(sweep, b.now, b.now)
 	b.AddJob(spec("j-3", "a", wire.Low, 50, 1), b.now, b.now)
-	b.jobs["j-2"].class.waits = []Micros{30 * second}
+	b.jobs["j-2"].class.waitObjectives = []Micros{30 * second}
 	m := b.machines["n-1"]
-	b.look()
-	b.viewGPUs([]*job{b.jobs["j-1"]})
+	b.refreshSchedulable()
+	b.summarizeGPUs([]*job{b.jobs["j-1"]})
 	small := b.jobs["j-3"]
 	d := 60.0
-	small.spec.DeadlineS, small.due = &d, b.now+500*second
+	small.spec.DeadlineS, small.dueAt = &d, b.now+500*second
 	end := func(id string) {
-		p := b.place(b.jobs[id], 0, m, 9)
-		p.stored, p.running = true, b.now
+		p := b.addPlacement(b.jobs[id], 0, m, 9)
+		p.durable, p.runningSince = true, b.now
 		b.now += 100 * second
-		b.free(p)
+		b.release(p)
 	}
 	end("j-2")
-	if !b.mayBlockGPUs(small, m) || b.now-m.gpusIdle > 0 {
+	if !b.mayBlockGPUs(small, m) || b.now-m.gpusIdleSince > 0 {
 		t.Error("a machine that has just served what it is for takes nothing else")
 	}
 	end("j-3")
 	if b.mayBlockGPUs(small, m) {
 		t.Error("small tasks keep a graphics machine whose GPUs have idled")
 	}
-	b.refused[spotKey("s", "x", false)], b.refused[spotKey("s", "y", false)] = b.now, b.now
+	b.outOfCapacity[spotKey("s", "x", false)], b.outOfCapacity[spotKey("s", "y", false)] = b.now, b.now
 	if !b.mayBlockGPUs(small, m) {
 		t.Error("a graphics machine stands empty though ordinary ones are sold out")
 	}
@@ -133,15 +133,15 @@
 func TestLooserAimLeavesGraphics(t *testing.T) {
 	for _, within := range []float64{60, 250} {
 		b := newBed(t, config.Team{Name: "a"})
-		b.set.Deployment.Objectives = []config.Objective{{Kind: "wait", Class: "scan", WithinS: 120}, {Kind: "wait", Class: "cj-2", WithinS: within}}
+		b.settings.Deployment.Objectives = []config.Objective{{Kind: "wait", Class: "scan", WithinS: 120}, {Kind: "wait", Class: "cj-2", WithinS: within}}
 		b.report("n-1", "g", "x", 1)
 		scan := spec("j-1", "a", wire.Low, 3, 1)
 		scan.Class, scan.GPUs = "scan", 1
 		b.AddJob(scan, b.now, b.now)
 		b.AddJob(spec("j-2", "a", wire.Low, 8, 1), b.now, b.now)
-		b.look()
-		b.viewGPUs(b.queue())
-		if got, want := b.deserves(b.jobs["j-2"]), within < 120; got != want {
+		b.refreshSchedulable()
+		b.summarizeGPUs(b.queue())
+		if got, want := b.keepsGPUMachine(b.jobs["j-2"]), within < 120; got != want {
 			t.Errorf("an aim of %.0f s beside one of 120 s: graphics machines are kept for it %v, want %v", within, got, want)
 		}
 	}
@@ -152,9 +152,9 @@
 func TestSpareRoomForCloseAimsOnly(t *testing.T) {
 	for within, want := range map[float64]bool{20: true, 49: true, 51: false, 120: false} {
 		b := newBed(t, config.Team{Name: "a"})
-		b.set.Deployment.Objectives = []config.Objective{{Kind: "wait", Class: "cj-1", WithinS: within}}
+		b.settings.Deployment.Objectives = []config.Objective{{Kind: "wait", Class: "cj-1", WithinS: within}}
 		b.AddJob(spec("j-1", "a", wire.Normal, 30, 1), b.now, b.now) // type s boots in 20 s
-		if got := len(b.spares(b.now)) > 0; got != want {
+		if got := len(b.expectedDemand(b.now)) > 0; got != want {
 			t.Errorf("an aim of %.0f s: room is kept %v", within, got)
 		}
 	}
--- a/internal/sched/gang.go
+++ b/internal/sched/gangplacement.go
@@ -6,23 +6,23 @@
 // room. A waiting attempt that lost a task gets a replacement with the same
 // attempt number; a broken one is cleared away first.
 func (c *Core) placeGang(j *job, b *batch) bool {
-	if j.broken || (j.started && len(j.placements) > 0) {
-		for _, p := range j.ordered() {
-			if !p.checkpoint {
-				c.stop(p, false)
+	if j.gangBroken || (j.gangStarted && len(j.placements) > 0) {
+		for _, p := range j.sortedPlacements() {
+			if !p.checkpointing {
+				c.stopPlacement(p, false)
 			}
 		}
 		return true
 	}
 	for p := range j.placements {
-		if p.stop {
+		if p.stopping {
 			return true // an old attempt is still leaving
 		}
 	}
-	if j.limited() {
+	if j.atTeamLimit() {
 		return true
 	}
-	for _, z := range c.gangZones(j, j.pending()) {
+	for _, z := range c.gangZones(j, j.pendingCount()) {
 		if c.placeGangIn(j, z, b) {
 			return true
 		}
@@ -32,38 +32,38 @@
 
 // placeGangIn places the missing tasks in a zone, or anywhere if it is empty.
 func (c *Core) placeGangIn(j *job, zone string, b *batch) bool {
-	before := j.attempt
-	if j.attempt == 0 {
-		j.attempt = c.attempt()
+	before := j.gangAttempt
+	if j.gangAttempt == 0 {
+		j.gangAttempt = c.nextAttempt()
 	}
 	got := map[*machine][]*placement{}
 	var order []*machine
-	used := j.zones()
+	used := j.tasksByZone()
 	all := c.candidates(j, used, zone)
 	hosts, n := 0, 0
 	var m *machine
 	for t := int32(0); t < int32(j.spec.Tasks); t++ {
-		if j.count[t] > 0 {
+		if j.placementsByTask[t] > 0 {
 			continue
 		}
-		if m == nil || !c.takesMore(j, m, used) {
-			if m = c.best(&all, j, used); m == nil {
+		if m == nil || !c.canTakeTask(j, m, used) {
+			if m = c.popBest(&all, j, used); m == nil {
 				break
 			}
 			order = append(order, m)
 			hosts += b.cost(m)
 		}
 		n++
-		got[m] = append(got[m], c.place(j, t, m, j.attempt))
+		got[m] = append(got[m], c.addPlacement(j, t, m, j.gangAttempt))
 		used[m.zone]++
 	}
-	fits := m != nil && b.takes(j, hosts, len(order), n)
-	if m != nil && !fits && !b.alone(hosts, len(order), n) {
+	fits := m != nil && b.fits(j, hosts, len(order), n)
+	if m != nil && !fits && !b.fitsAlone(hosts, len(order), n) {
 		// It takes several transactions, and a batch of its own.
 		if fits = len(b.placements) == 0; fits {
 			b.large = true
-		} else if c.turn == nil {
-			c.turn = j
+		} else if c.nextGang == nil {
+			c.nextGang = j
 		}
 	}
 	if fits {
@@ -72,14 +72,14 @@
 		}
 		return true
 	}
-	attempt := j.attempt
+	attempt := j.gangAttempt
 	for _, m := range order {
 		for _, p := range got[m] {
-			c.free(p)
+			c.release(p)
 		}
 	}
-	if j.attempt = attempt; before == 0 {
-		j.attempt = 0
+	if j.gangAttempt = attempt; before == 0 {
+		j.gangAttempt = 0
 	}
 	return false
 }
@@ -89,13 +89,13 @@
 // small gangs don't cut up the room that large ones need; where the tasks would
 // rather not be (their image is missing) counts as room that is left.
 func (c *Core) gangZones(j *job, missing int) []string {
-	used := j.zones()
+	used := j.tasksByZone()
 	room, like := map[string]int{}, map[string]float64{}
 	share := map[string]int{} // of a zone, for tasks that are to be spread
-	for _, m := range c.roomy {
+	for _, m := range c.withRoom {
 		n := c.slotsOn(j, m, used)
 		if j.spec.Spread {
-			n = max(0, min(n, j.share()-used[m.zone]-share[m.zone]))
+			n = max(0, min(n, j.zoneLimit()-used[m.zone]-share[m.zone]))
 			share[m.zone] += n
 		}
 		if n == 0 {
@@ -106,7 +106,7 @@
 			z = ""
 		}
 		room[z] += n
-		like[z] += float64(n) / (1 + c.score(j, m))
+		like[z] += float64(n) / (1 + c.placementScore(j, m))
 	}
 	var zs []string
 	for z, n := range room {
@@ -132,12 +132,12 @@
 
 // slotsOn is how many tasks of the job the machine could take now.
 func (c *Core) slotsOn(j *job, m *machine, used map[string]int) int {
-	if !room(j, m, 1) || !c.takesMore(j, m, used) || c.heldFrom(j, m) {
+	if !hasRoom(j, m, 1) || !c.canTakeTask(j, m, used) || c.reservedAgainst(j, m) {
 		return 0
 	}
-	n := min(slots(j, m.kind, m.cpus, m.gpus, m.mem), maxOnMachine-m.n)
+	n := min(slotsFor(j, m.machineType, m.usedCPUs, m.usedGPUs, m.usedMemoryGB), maxTasksPerMachine-m.placementCount)
 	if j.spec.Spread {
-		n = min(n, j.share()-used[m.zone])
+		n = min(n, j.zoneLimit()-used[m.zone])
 	}
 	return n
 }
--- a/internal/sched/gang_test.go
+++ b/internal/sched/gangplacement_test.go
@@ -37,15 +37,15 @@
 			run := b.running(h)
 			for k := range run {
 				id, n, _ := wire.ParseTask(run[k].Task)
-				p := b.machines[h].find(taskKey{b.jobs[id], n}, run[k].Attempt)
-				if id != "j-1" && p.running > 0 && b.now-p.running >= 10*second {
+				p := b.machines[h].findPlacement(taskKey{b.jobs[id], n}, run[k].Attempt)
+				if id != "j-1" && p.runningSince > 0 && b.now-p.runningSince >= 10*second {
 					run[k].State, run[k].Cause = wire.TaskExited, wire.CauseDone
 				}
 			}
 			b.report(h, "s", "x", 1, run...)
 		}
-		for _, id := range b.Ends() {
-			b.Ended(id, wire.JobDone, b.now)
+		for _, id := range b.TakeEnds() {
+			b.JobEnded(id, wire.JobDone, b.now)
 		}
 		if len(b.jobs["j-1"].placementsOf()) == 4 {
 			return
@@ -85,8 +85,8 @@
 		}
 		b.schedule()
 	}
-	if b.Stats.Evictions != 0 {
-		t.Errorf("%d tasks evicted", b.Stats.Evictions)
+	if b.Stats.Preemptions != 0 {
+		t.Errorf("%d tasks evicted", b.Stats.Preemptions)
 	}
 }
 
@@ -109,8 +109,8 @@
 		b.report(h, "s", "x", 1, b.running(h)...)
 	}
 	b.schedule()
-	if b.Stats.Evictions != 3 || b.jobs["j-1"].evictions != 1 {
-		t.Errorf("%d tasks evicted in %d evictions", b.Stats.Evictions, b.jobs["j-1"].evictions)
+	if b.Stats.Preemptions != 3 || b.jobs["j-1"].preemptions != 1 {
+		t.Errorf("%d tasks evicted in %d evictions", b.Stats.Preemptions, b.jobs["j-1"].preemptions)
 	}
 }
 
@@ -146,7 +146,7 @@
 			}
 			b.schedule()
 		}
-		if got := b.Stats.Evictions > 0; got != c.evicts {
+		if got := b.Stats.Preemptions > 0; got != c.evicts {
 			t.Errorf("after %d CPUs of earlier jobs: evicted %v, want %v", c.earlier, got, c.evicts)
 		}
 	}
@@ -159,14 +159,14 @@
 	due := 100.0
 	j := spec("j-1", "a", wire.Normal, 1, 1)
 	j.DeadlineS = &due
-	b.set.Deployment.Objectives = []config.Objective{
+	b.settings.Deployment.Objectives = []config.Objective{
 		{Kind: "deadline", Class: j.Class, Times: 1}, {Kind: "deadline", Class: j.Class, Times: 1.5}}
 	b.AddJob(j, b.now, b.now)
 	for _, c := range []struct {
 		age, start Micros
 		late       bool
 	}{{0, 40 * second, false}, {50 * second, 90 * second, false}, {95 * second, 40 * second, true}} {
-		at, late := b.jobs["j-1"].start(b.now+c.age, 0)
+		at, late := b.jobs["j-1"].latestStart(b.now+c.age, 0)
 		if at != b.now+c.start || late != c.late {
 			t.Errorf("at %d s: start by %d s, late %v; want %d s, %v", c.age/second, (at-b.now)/second, late, c.start/second, c.late)
 		}
--- a/internal/sched/plan.go
+++ b/internal/sched/gangplan.go
@@ -27,8 +27,10 @@
 // minGangLooks is how many gangs may each look at all machines in a pass at any size of site.
 const minGangLooks = 8
 
-// looks is how many gangs may each look at all machines in a pass.
-func (c *Core) looks() int { return max(minGangLooks, mostLooks/max(1, len(c.open))) }
+// candidateLimit is how many gangs may each look at all machines in a pass.
+func (c *Core) candidateLimit() int {
+	return max(minGangLooks, maxCandidateLooks/max(1, len(c.schedulable)))
+}
 
 // shape is what decides where a gang's task may go.
 type shape struct {
@@ -49,7 +51,7 @@
 // zonesOf parts the open machines by zone, or lists all under one that is empty.
 func (c *Core) zonesOf(oneZone bool) map[string][]int {
 	out := map[string][]int{}
-	for i, m := range c.open {
+	for i, m := range c.schedulable {
 		z := ""
 		if oneZone {
 			z = m.zone
@@ -67,11 +69,11 @@
 	marks  int // how many machines were wanted by some gang when it was summed up
 }
 
-// holdBack keeps lower priorities off the machines on which a waiting gang of a higher
+// reserveBelow keeps lower priorities off the machines on which a waiting gang of a higher
 // one would start as soon as they were cleared: whatever they started there would be
 // stopped again before it had its image. A gang that could start and does not, since
 // no more of its victims may be stopped, holds them back half of the time only.
-func (c *Core) holdBack(gangs []*job) {
+func (c *Core) reserveBelow(gangs []*job) {
 	if len(gangs) == 0 {
 		return
 	}
@@ -81,17 +83,17 @@
 	}
 	cleared := map[key]*clearing{}
 	kept := map[*job][]int{} // the open machines that are kept for a job
-	for i, m := range c.open {
-		if m.reserved != nil {
-			kept[m.reserved] = append(kept[m.reserved], i)
+	for i, m := range c.schedulable {
+		if m.reservedFor != nil {
+			kept[m.reservedFor] = append(kept[m.reservedFor], i)
 		}
 	}
 	marks := 0
-	for _, j := range gangs[:min(len(gangs), c.looks())] {
-		if j.imminent > 0 && c.now-j.imminent > 2*holdFor {
-			j.imminent = 0
+	for _, j := range gangs[:min(len(gangs), c.candidateLimit())] {
+		if j.startableSince > 0 && c.now-j.startableSince > 2*holdFor {
+			j.startableSince = 0
 		}
-		if j.imminent > 0 && c.now-j.imminent > holdFor {
+		if j.startableSince > 0 && c.now-j.startableSince > holdFor {
 			continue
 		}
 		zone := func(m *machine) string {
@@ -103,24 +105,24 @@
 		k := key{j.shape(), j.spec.OneZone}
 		x := cleared[k]
 		if x == nil {
-			x = &clearing{places: make([]int, len(c.open)), marks: -1}
-			for i, m := range c.open {
+			x = &clearing{places: make([]int, len(c.schedulable)), marks: -1}
+			for i, m := range c.schedulable {
 				if allowed(j, m) {
-					u := m.below(j.rank)
-					x.places[i] = slots(j, m.kind, m.cpus-u.cpus, m.gpus-u.gpus, m.mem-u.mem)
+					u := m.usedBelow(j.rank)
+					x.places[i] = slotsFor(j, m.machineType, m.usedCPUs-u.cpus, m.usedGPUs-u.gpus, m.usedMemoryGB-u.mem)
 				}
 			}
 			cleared[k] = x
 		}
-		used := j.zones()
+		used := j.tasksByZone()
 		// others is whether the machine has places for any gang of the shape.
 		others := func(i int) bool {
-			m := c.open[i]
-			return x.places[i] > 0 && m.wantedBy == 0 && (m.reserved == nil || m.reserved.rank < j.rank)
+			m := c.schedulable[i]
+			return x.places[i] > 0 && m.claimedByRank == 0 && (m.reservedFor == nil || m.reservedFor.rank < j.rank)
 		}
 		free := func(i int) int {
-			m := c.open[i]
-			if (others(i) || (x.places[i] > 0 && m.wantedBy == 0 && m.reserved == j)) && zoneOK(j, used, m.zone) {
+			m := c.schedulable[i]
+			if (others(i) || (x.places[i] > 0 && m.claimedByRank == 0 && m.reservedFor == j)) && satisfiesZones(j, used, m.zone) {
 				return x.places[i]
 			}
 			return 0
@@ -128,13 +130,13 @@
 		var sum map[string]int
 		if len(used) > 0 || j.spec.Spread {
 			sum = map[string]int{}
-			for i, m := range c.open {
+			for i, m := range c.schedulable {
 				sum[zone(m)] += free(i)
 			}
 		} else {
 			if x.marks != marks {
 				x.sum, x.marks = map[string]int{}, marks
-				for i, m := range c.open {
+				for i, m := range c.schedulable {
 					if others(i) {
 						x.sum[zone(m)] += x.places[i]
 					}
@@ -148,33 +150,33 @@
 				}
 				for _, i := range own {
 					if !others(i) {
-						sum[zone(c.open[i])] += free(i)
+						sum[zone(c.schedulable[i])] += free(i)
 					}
 				}
 			}
 		}
-		missing, in, found := j.pending(), "", false
+		missing, in, found := j.pendingCount(), "", false
 		for z, n := range sum {
 			if n >= missing && (!found || n < sum[in] || (n == sum[in] && z < in)) {
 				in, found = z, true
 			}
 		}
 		if !found {
-			j.imminent = 0
+			j.startableSince = 0
 			continue
 		}
-		if j.imminent == 0 {
-			j.imminent = c.now
+		if j.startableSince == 0 {
+			j.startableSince = c.now
 		}
 		marks++
 		for _, empty := range []bool{true, false} { // those that need no clearing first
-			for i, m := range c.open {
+			for i, m := range c.schedulable {
 				if missing <= 0 {
 					break
 				}
-				if n := free(i); n > 0 && zone(m) == in && room(j, m, 1) == empty {
+				if n := free(i); n > 0 && zone(m) == in && hasRoom(j, m, 1) == empty {
 					missing -= n
-					m.wantedBy = j.rank
+					m.claimedByRank = j.rank
 				}
 			}
 		}
@@ -211,8 +213,8 @@
 	seen  int // how much of the plan's list of changes is taken in
 }
 
-// planning is the state of one plan.
-type planning struct {
+// gangPlanning is the state of one plan.
+type gangPlanning struct {
 	taken   map[string]bool // zones in which a gang waits for machines
 	kept    map[*job][]int  // open machines that were kept for a job that waits for them
 	offers  map[kind]*offers
@@ -225,17 +227,17 @@
 	dearer bool // only that a task on it has become dearer; otherwise tasks are stopped
 }
 
-// way is how a machine can come to have room for tasks of a gang.
-type way struct {
+// clearingPlan is how a machine can come to have room for tasks of a gang.
+type clearingPlan struct {
 	*offer
 	m    *machine
 	at   int // in the order of the machines
 	cost Micros
 }
 
-// compareWays puts first what is there at once, or can be cleared, before what has to be
+// compareClearingPlans puts first what is there at once, or can be cleared, before what has to be
 // waited for: one late machine makes all the others wait.
-func compareWays(x, y *way) int {
+func compareClearingPlans(x, y *clearingPlan) int {
 	by := cmp.Compare(x.cost, y.cost)
 	if x.after > worthWaiting || y.after > worthWaiting {
 		by = cmp.Compare(x.after, y.after)
@@ -243,19 +245,19 @@
 	return cmp.Or(by, cmp.Compare(x.at, y.at))
 }
 
-// firstWays collects the first few of many ways.
-type firstWays struct {
+// bestClearingPlans collects the first few of many ways.
+type bestClearingPlans struct {
 	most int
-	ways []way // a heap, the last of them on top
+	ways []clearingPlan // a heap, the last of them on top
 }
 
-func (f *firstWays) add(w way) {
+func (f *bestClearingPlans) add(w clearingPlan) {
 	h := f.ways
 	if len(h) < f.most {
 		h = append(h, w)
 		for i := len(h) - 1; i > 0; {
 			up := (i - 1) / 2
-			if compareWays(&h[i], &h[up]) <= 0 {
+			if compareClearingPlans(&h[i], &h[up]) <= 0 {
 				break
 			}
 			h[i], h[up] = h[up], h[i]
@@ -264,7 +266,7 @@
 		f.ways = h
 		return
 	}
-	if compareWays(&w, &h[0]) >= 0 {
+	if compareClearingPlans(&w, &h[0]) >= 0 {
 		return
 	}
 	h[0] = w
@@ -273,10 +275,10 @@
 		if down >= len(h) {
 			return
 		}
-		if down+1 < len(h) && compareWays(&h[down+1], &h[down]) > 0 {
+		if down+1 < len(h) && compareClearingPlans(&h[down+1], &h[down]) > 0 {
 			down++
 		}
-		if compareWays(&h[down], &h[i]) <= 0 {
+		if compareClearingPlans(&h[down], &h[i]) <= 0 {
 			return
 		}
 		h[i], h[down] = h[down], h[i]
@@ -284,55 +286,55 @@
 	}
 }
 
-// plan decides anew, now and then, which machines are kept for the gangs that
+// planGangs decides anew, now and then, which machines are kept for the gangs that
 // lack room: first come, first served, but those that can still meet an aim come
 // first. In each zone only one gang at a time keeps machines that it has to wait
 // for; the others start when they fit.
-func (c *Core) plan(gangs []*job) {
-	if c.now-c.planned < planEvery {
+func (c *Core) planGangs(gangs []*job) {
+	if c.now-c.gangsPlannedAt < planEvery {
 		return
 	}
-	c.planned = c.now
+	c.gangsPlannedAt = c.now
 	if len(gangs) == 0 {
 		return
 	}
 	late := make(map[*job]bool, len(gangs))
 	for _, j := range gangs {
-		_, late[j] = j.start(c.now, 0)
+		_, late[j] = j.latestStart(c.now, 0)
 	}
 	sort.SliceStable(gangs, func(a, b int) bool {
 		x, y := gangs[a], gangs[b]
 		switch {
 		case x.rank != y.rank:
 			return x.rank > y.rank
-		case x.within != y.within:
-			return x.within
-		case x.behind() != y.behind():
-			return x.behind()
+		case x.withinGuarantee != y.withinGuarantee:
+			return x.withinGuarantee
+		case x.underserved() != y.underserved():
+			return x.underserved()
 		case late[x] != late[y]:
 			return late[y]
 		}
-		if a, b := x.pending(), y.pending(); a != b {
+		if a, b := x.pendingCount(), y.pendingCount(); a != b {
 			return a < b
 		}
 		return x.arrival < y.arrival
 	})
-	pl := &planning{taken: map[string]bool{}, kept: map[*job][]int{}, offers: map[kind]*offers{}}
-	for i, m := range c.open {
-		if m.reserved != nil && m.reservedFor > 0 {
-			pl.kept[m.reserved] = append(pl.kept[m.reserved], i)
+	pl := &gangPlanning{taken: map[string]bool{}, kept: map[*job][]int{}, offers: map[kind]*offers{}}
+	for i, m := range c.schedulable {
+		if m.reservedFor != nil && m.reservationStart > 0 {
+			pl.kept[m.reservedFor] = append(pl.kept[m.reservedFor], i)
 		}
 	}
-	for _, j := range gangs[:min(len(gangs), c.looks())] {
-		c.makeRoomForGang(j, j.pending(), pl)
+	for _, j := range gangs[:min(len(gangs), c.candidateLimit())] {
+		c.makeRoomForGang(j, j.pendingCount(), pl)
 	}
 }
 
-// waitedFor says whether the machine is kept for a gang that waits for it, and
+// isReservedForWait says whether the machine is kept for a gang that waits for it, and
 // that has not had its turn in this plan: one that is served before may have it.
 // Until then the machine stays kept, or small tasks would take it in between.
-func (c *Core) waitedFor(m *machine) bool {
-	return m.reservedFor > 0 && m.heldAt < c.planned
+func (c *Core) isReservedForWait(m *machine) bool {
+	return m.reservationStart > 0 && m.reservationCheckedAt < c.gangsPlannedAt
 }
 
 // makeRoomForGang finds the machines on which a waiting gang could start with
@@ -341,15 +343,15 @@
 // victims. Without that a large gang waits for ever for machines that small
 // tasks keep filling. Two gangs never hold part of what the other needs: what is
 // kept for one isn't looked at for the next.
-func (c *Core) makeRoomForGang(j *job, missing int, pl *planning) {
+func (c *Core) makeRoomForGang(j *job, missing int, pl *gangPlanning) {
 	for _, i := range pl.kept[j] {
-		if m := c.open[i]; m.reserved == j && m.reservedFor > 0 {
-			m.reserved = nil // chosen anew
+		if m := c.schedulable[i]; m.reservedFor == j && m.reservationStart > 0 {
+			m.reservedFor = nil // chosen anew
 		}
 	}
-	used := j.zones()
+	used := j.tasksByZone()
 	os := c.offersFor(j, pl)
-	var best []way
+	var best []clearingPlan
 	var bestCost Micros
 	in := ""
 	zones := make([]string, 0, len(os.zones))
@@ -360,7 +362,7 @@
 	}
 	slices.Sort(zones)
 	for _, z := range zones {
-		ws, quick := c.waysIn(j, z, missing, used, os)
+		ws, quick := c.clearingPlansIn(j, z, missing, used, os)
 		n, k, cost, last := 0, 0, Micros(0), Micros(0)
 		for ; k < len(ws) && n < missing; k++ {
 			n += ws[k].slots
@@ -391,7 +393,7 @@
 		pl.taken[in] = true
 	}
 	// Soft point: a guest's huge job would evict almost everything.
-	if cleared > max(1, len(c.open)/2) {
+	if cleared > max(1, len(c.schedulable)/2) {
 		return
 	}
 	for _, w := range best {
@@ -399,42 +401,42 @@
 			// Not before the rest is there: the room would stand idle, or be
 			// filled by others and be cleared once more.
 			pl.evicts(c, w.victims)
-			c.evict(j, w.m, w.victims)
+			c.preempt(j, w.m, w.victims)
 			continue
 		}
-		if w.m.reserved == j && w.m.reservedFor == 0 && c.now < w.m.reservedTill {
+		if w.m.reservedFor == j && w.m.reservationStart == 0 && c.now < w.m.reservedUntil {
 			continue // cleared for it
 		}
-		w.m.reserved, w.m.reservedFor, w.m.heldAt = j, c.now+max(start, 1), c.now
-		w.m.reservedTill = c.now + start + 5*second
+		w.m.reservedFor, w.m.reservationStart, w.m.reservationCheckedAt = j, c.now+max(start, 1), c.now
+		w.m.reservedUntil = c.now + start + 5*second
 	}
 }
 
-// waysIn lists the first ways in a zone that may be needed for the missing tasks, best
+// clearingPlansIn lists the first ways in a zone that may be needed for the missing tasks, best
 // first, and how many places all ways there have that are not worth evicting for. Where a
 // way's victims have become dearer since it was looked at, it is looked at again only if
 // it would be among the first: most would not.
-func (c *Core) waysIn(j *job, zone string, missing int, used map[string]int, os *offers) (ws []way, quick int) {
-	var all []way
+func (c *Core) clearingPlansIn(j *job, zone string, missing int, used map[string]int, os *offers) (ws []clearingPlan, quick int) {
+	var all []clearingPlan
 	for _, i := range os.zones[zone] {
-		m, o := c.open[i], &os.of[i]
-		if o.slots == 0 || !zoneOK(j, used, m.zone) {
+		m, o := c.schedulable[i], &os.of[i]
+		if o.slots == 0 || !satisfiesZones(j, used, m.zone) {
 			continue
 		}
-		if r := m.reserved; r != nil && r != j && c.now < m.reservedTill && r.rank >= j.rank && !c.waitedFor(m) {
+		if r := m.reservedFor; r != nil && r != j && c.now < m.reservedUntil && r.rank >= j.rank && !c.isReservedForWait(m) {
 			continue
 		}
-		if o.room && j.spec.GPUs == 0 && m.kind.GPUs > 0 && !c.mayBlockGPUs(j, m) {
+		if o.room && j.spec.GPUs == 0 && m.machineType.GPUs > 0 && !c.mayBlockGPUs(j, m) {
 			continue
 		}
-		like := Micros(c.score(j, m) * float64(second))
-		if m.reserved == j && m.reservedFor == 0 {
+		like := Micros(c.placementScore(j, m) * float64(second))
+		if m.reservedFor == j && m.reservationStart == 0 {
 			like = 0 // cleared for it
 		}
-		all = append(all, way{o, m, i, like})
+		all = append(all, clearingPlan{o, m, i, like})
 	}
 	for {
-		first := firstWays{most: missing}
+		first := bestClearingPlans{most: missing}
 		for _, w := range all {
 			w.cost += w.offer.cost
 			first.add(w)
@@ -456,15 +458,15 @@
 			quick += w.slots
 		}
 	}
-	slices.SortFunc(ws, func(x, y way) int { return compareWays(&x, &y) })
+	slices.SortFunc(ws, func(x, y clearingPlan) int { return compareClearingPlans(&x, &y) })
 	return ws, quick
 }
 
 // evicts notes what the eviction that is about to happen does to machines. A job that is
 // about to have been evicted too often has no more victims anywhere.
-func (pl *planning) evicts(c *Core, victims []victim) {
+func (pl *gangPlanning) evicts(c *Core, victims []victim) {
 	note := func(p *placement, dearer bool) {
-		if i := p.m.at; i < len(c.open) && c.open[i] == p.m {
+		if i := p.machine.passIndex; i < len(c.schedulable) && c.schedulable[i] == p.machine {
 			pl.changes = append(pl.changes, change{i, dearer})
 		}
 	}
@@ -476,7 +478,7 @@
 		told[v.tasks[0].job]++
 	}
 	for j, n := range told {
-		spared := j.evictions+n >= maxEvictions*max(1, len(j.placements))
+		spared := j.preemptions+n >= maxEvictions*max(1, len(j.placements))
 		for p := range j.placements {
 			note(p, !spared)
 		}
@@ -484,15 +486,15 @@
 }
 
 // offersFor is what the open machines offer to the gang as things stand in the plan.
-func (c *Core) offersFor(j *job, pl *planning) *offers {
-	k := kind{shape: j.shape(), may: c.mayEvict(j), oneZone: j.spec.OneZone}
-	if k.may && c.claims(j) {
+func (c *Core) offersFor(j *job, pl *gangPlanning) *offers {
+	k := kind{shape: j.shape(), may: c.mayPreempt(j), oneZone: j.spec.OneZone}
+	if k.may && c.reclaimsGuarantee(j) {
 		k.claims, k.team = true, j.team
 	}
 	os := pl.offers[k]
 	if os == nil || k.claims && os.seen < len(pl.changes) { // how far other teams go beyond their guarantees has changed
-		os = &offers{kind: k, of: make([]offer, len(c.open)), zones: c.zonesOf(k.oneZone), quick: map[string]int{}, all: map[string]int{}, seen: len(pl.changes)}
-		for i := range c.open {
+		os = &offers{kind: k, of: make([]offer, len(c.schedulable)), zones: c.zonesOf(k.oneZone), quick: map[string]int{}, all: map[string]int{}, seen: len(pl.changes)}
+		for i := range c.schedulable {
 			c.offerOf(os, i, j)
 		}
 		pl.offers[k] = os
@@ -515,8 +517,8 @@
 
 // offerOf finds out what a machine offers and brings the sums up to date.
 func (c *Core) offerOf(os *offers, i int, j *job) {
-	m, o := c.open[i], offer{}
-	if allowed(j, m) && slots(j, m.kind, 0, 0, 0) > 0 {
+	m, o := c.schedulable[i], offer{}
+	if allowed(j, m) && slotsFor(j, m.machineType, 0, 0, 0) > 0 {
 		o = c.offer(j, m, os.may)
 	}
 	z := ""
@@ -537,7 +539,7 @@
 // offer says how the machine could take tasks of a gang: now, by waiting, or by
 // evicting, whichever costs less.
 func (c *Core) offer(j *job, m *machine, may bool) offer {
-	o := offer{slots: slots(j, m.kind, m.cpus, m.gpus, m.mem)}
+	o := offer{slots: slotsFor(j, m.machineType, m.usedCPUs, m.usedGPUs, m.usedMemoryGB)}
 	if o.slots > 0 {
 		o.room = true
 		return o
@@ -547,28 +549,28 @@
 		at Micros
 		j  *job
 	}
-	ends := make([]end, 0, m.n)
-	m.each(func(p *placement) {
+	ends := make([]end, 0, m.placementCount)
+	m.eachPlacement(func(p *placement) {
 		left := Micros(0)
 		switch {
-		case p.stop:
+		case p.stopping:
 			left = second
 		case p.job.spec.EstimateS == 0:
 			left = 3600 * second
 		default:
 			// Later than expected is likely to be a while later still.
-			left = p.job.estimate() + Micros(c.fetch(p.job, m)*float64(second))
-			if p.running > 0 {
-				left = max(p.job.estimate()-(c.now-p.running), p.job.estimate()/4)
+			left = p.job.expectedRunTime() + Micros(c.imageFetchS(p.job, m)*float64(second))
+			if p.runningSince > 0 {
+				left = max(p.job.expectedRunTime()-(c.now-p.runningSince), p.job.expectedRunTime()/4)
 			}
 		}
 		ends = append(ends, end{left, p.job})
 	})
 	slices.SortFunc(ends, func(a, b end) int { return cmp.Compare(a.at, b.at) })
-	cpus, gpus, mem := m.cpus, m.gpus, m.mem
+	cpus, gpus, mem := m.usedCPUs, m.usedGPUs, m.usedMemoryGB
 	for _, e := range ends {
 		cpus, gpus, mem = cpus-e.j.spec.CPUs, gpus-e.j.spec.GPUs, mem-e.j.spec.MemoryGB
-		if o.slots = slots(j, m.kind, cpus, gpus, mem); o.slots > 0 {
+		if o.slots = slotsFor(j, m.machineType, cpus, gpus, mem); o.slots > 0 {
 			o.after = e.at
 			break
 		}
@@ -586,9 +588,9 @@
 		// By what the victim takes of the machine: a gang's task makes many
 		// small ones go.
 		s := &v.tasks[0].job.spec
-		part := s.CPUs / max(m.kind.CPUs, eps)
-		if m.kind.GPUs > 0 {
-			part = max(part, s.GPUs/m.kind.GPUs)
+		part := s.CPUs / max(m.machineType.CPUs, epsilon)
+		if m.machineType.GPUs > 0 {
+			part = max(part, s.GPUs/m.machineType.GPUs)
 		}
 		cost += Micros(float64(v.cost) * part)
 	}
--- a/internal/sched/plan_test.go
+++ b/internal/sched/gangplan_test.go
@@ -16,13 +16,13 @@
 func gangs(t testing.TB, seed uint64, machines int) *bed {
 	r := rand.New(rand.NewPCG(seed, 9))
 	b := newBed(t, config.Team{Name: "a", CPUs: 100}, config.Team{Name: "b", CPUs: 60})
-	b.set.Deployment.State.ValueKB, b.set.Deployment.State.TxnOps = 1e6, 24
+	b.settings.Deployment.State.ValueKB, b.settings.Deployment.State.TxnOps = 1e6, 24
 	tasks := func(n int) {
 		for i := range n {
 			j := spec(fmt.Sprintf("j-%d%04d", len(b.jobs)+1, i), []string{"a", "b"}[r.IntN(2)], []string{wire.Low, wire.Normal, wire.High}[r.IntN(3)], 1+r.IntN(8), float64(1+r.IntN(4)))
 			j.Class, j.EstimateS = "small", float64(5+r.IntN(90))
 			if r.IntN(2) == 0 {
-				j.CheckpointEvery, j.SaveS = 10, 2
+				j.CheckpointIntervalS, j.CheckpointDurationS = 10, 2
 			}
 			b.AddJob(j, b.now, b.now)
 		}
@@ -42,10 +42,10 @@
 				k := r.IntN(len(run))
 				run[k].State, run[k].Cause = wire.TaskExited, wire.CauseDone
 			}
-			b.report(h, m.kind.Name, m.zone, 1, run...)
+			b.report(h, m.machineType.Name, m.zone, 1, run...)
 		}
-		for _, id := range b.Ends() {
-			b.Ended(id, wire.JobDone, b.now)
+		for _, id := range b.TakeEnds() {
+			b.JobEnded(id, wire.JobDone, b.now)
 		}
 		if step%3 == 0 {
 			for i := range 1 + machines/4 {
@@ -64,20 +64,20 @@
 // kept is all that a plan decides: for whom each machine is kept, until when, who holds
 // others back, and who is stopped how.
 func (b *bed) kept() (out []string) {
-	for _, m := range b.order {
-		s := fmt.Sprint(m.host, " wanted by ", m.wantedBy)
-		if m.reserved != nil {
-			s += fmt.Sprint(" kept for ", m.reserved.id, m.reservedFor, m.reservedTill, m.heldAt)
-		}
-		for _, p := range m.placed {
-			if p.stop {
-				s += fmt.Sprint(" stops ", p.job.id, p.task, p.checkpoint, p.queued)
+	for _, m := range b.machinesByName {
+		s := fmt.Sprint(m.host, " wanted by ", m.claimedByRank)
+		if m.reservedFor != nil {
+			s += fmt.Sprint(" kept for ", m.reservedFor.id, m.reservationStart, m.reservedUntil, m.reservationCheckedAt)
+		}
+		for _, p := range m.placements {
+			if p.stopping {
+				s += fmt.Sprint(" stops ", p.job.id, p.taskIndex, p.checkpointing, p.checkpointQueued)
 			}
 		}
 		out = append(out, s)
 	}
-	for _, j := range b.inOrder(func(*job) bool { return true }) {
-		out = append(out, fmt.Sprint(j.id, j.imminent, j.evictions))
+	for _, j := range b.jobsByID(func(*job) bool { return true }) {
+		out = append(out, fmt.Sprint(j.id, j.startableSince, j.preemptions))
 	}
 	return out
 }
@@ -89,15 +89,15 @@
 	for seed := uint64(1); seed <= 40; seed++ {
 		fast, plain := gangs(t, seed, 24+int(seed)), gangs(t, seed, 24+int(seed))
 		prepare := func(b *bed) (waiting []*job) {
-			b.tend()
-			b.look()
+			b.reconcile()
+			b.refreshSchedulable()
 			queue := b.queue()
-			b.viewGPUs(queue)
-			b.view(queue)
-			b.narrow(queue)
-			b.calm = true
+			b.summarizeGPUs(queue)
+			b.prepareClaims(queue)
+			b.filterWithRoom(queue)
+			b.fleetSettled = true
 			for _, j := range queue {
-				if j.gang() && len(j.placements) == 0 {
+				if j.isGang() && len(j.placements) == 0 {
 					waiting = append(waiting, j)
 				}
 			}
@@ -105,10 +105,10 @@
 		}
 		for round := range 3 { // the second and third with what the one before left
 			f, p := prepare(fast), prepare(plain)
-			before := fast.Stats.Evictions
-			fast.holdBack(f)
+			before := fast.Stats.Preemptions
+			fast.reserveBelow(f)
 			plain.plainHoldBack(p)
-			fast.plan(f)
+			fast.planGangs(f)
 			plain.plainPlan(p)
 			got, want := fast.kept(), plain.kept()
 			for i := range want {
@@ -116,12 +116,12 @@
 					t.Fatalf("seed %d, round %d: %s instead of %s", seed, round, got[i], want[i])
 				}
 			}
-			evicted += fast.Stats.Evictions - before
-			for _, m := range fast.order {
-				if m.reserved != nil {
+			evicted += fast.Stats.Preemptions - before
+			for _, m := range fast.machinesByName {
+				if m.reservedFor != nil {
 					held++
 				}
-				if m.wantedBy > 0 {
+				if m.claimedByRank > 0 {
 					wanted++
 				}
 			}
@@ -137,28 +137,28 @@
 
 func (c *Core) plainHoldBack(gangs []*job) {
 	cleared := map[shape][]int{} // places on each open machine once it is cleared
-	for _, j := range gangs[:min(len(gangs), c.looks())] {
-		if j.imminent > 0 && c.now-j.imminent > 2*holdFor {
-			j.imminent = 0
+	for _, j := range gangs[:min(len(gangs), c.candidateLimit())] {
+		if j.startableSince > 0 && c.now-j.startableSince > 2*holdFor {
+			j.startableSince = 0
 		}
-		if j.imminent > 0 && c.now-j.imminent > holdFor {
+		if j.startableSince > 0 && c.now-j.startableSince > holdFor {
 			continue
 		}
 		places := cleared[j.shape()]
 		if places == nil {
-			places = make([]int, len(c.open))
-			for i, m := range c.open {
+			places = make([]int, len(c.schedulable))
+			for i, m := range c.schedulable {
 				if allowed(j, m) {
-					u := m.below(j.rank)
-					places[i] = slots(j, m.kind, m.cpus-u.cpus, m.gpus-u.gpus, m.mem-u.mem)
+					u := m.usedBelow(j.rank)
+					places[i] = slotsFor(j, m.machineType, m.usedCPUs-u.cpus, m.usedGPUs-u.gpus, m.usedMemoryGB-u.mem)
 				}
 			}
 			cleared[j.shape()] = places
 		}
-		used := j.zones()
+		used := j.tasksByZone()
 		free := func(i int) int {
-			m := c.open[i]
-			if places[i] == 0 || m.wantedBy > 0 || !zoneOK(j, used, m.zone) || (m.reserved != nil && m.reserved != j && m.reserved.rank >= j.rank) {
+			m := c.schedulable[i]
+			if places[i] == 0 || m.claimedByRank > 0 || !satisfiesZones(j, used, m.zone) || (m.reservedFor != nil && m.reservedFor != j && m.reservedFor.rank >= j.rank) {
 				return 0
 			}
 			return places[i]
@@ -170,30 +170,30 @@
 			return ""
 		}
 		sum := map[string]int{}
-		for i, m := range c.open {
+		for i, m := range c.schedulable {
 			sum[zone(m)] += free(i)
 		}
-		missing, in, found := j.pending(), "", false
+		missing, in, found := j.pendingCount(), "", false
 		for z, n := range sum {
 			if n >= missing && (!found || n < sum[in] || (n == sum[in] && z < in)) {
 				in, found = z, true
 			}
 		}
 		if !found {
-			j.imminent = 0
+			j.startableSince = 0
 			continue
 		}
-		if j.imminent == 0 {
-			j.imminent = c.now
+		if j.startableSince == 0 {
+			j.startableSince = c.now
 		}
 		for _, empty := range []bool{true, false} { // those that need no clearing first
-			for i, m := range c.open {
+			for i, m := range c.schedulable {
 				if missing <= 0 {
 					break
 				}
-				if n := free(i); n > 0 && zone(m) == in && room(j, m, 1) == empty {
+				if n := free(i); n > 0 && zone(m) == in && hasRoom(j, m, 1) == empty {
 					missing -= n
-					m.wantedBy = j.rank
+					m.claimedByRank = j.rank
 				}
 			}
 		}
@@ -209,47 +209,47 @@
 }
 
 func (c *Core) plainPlan(gangs []*job) {
-	if c.now-c.planned < planEvery {
+	if c.now-c.gangsPlannedAt < planEvery {
 		return
 	}
-	c.planned = c.now
+	c.gangsPlannedAt = c.now
 	late := make(map[*job]bool, len(gangs))
 	for _, j := range gangs {
-		_, late[j] = j.start(c.now, 0)
+		_, late[j] = j.latestStart(c.now, 0)
 	}
 	sort.SliceStable(gangs, func(a, b int) bool {
 		x, y := gangs[a], gangs[b]
 		switch {
 		case x.rank != y.rank:
 			return x.rank > y.rank
-		case x.within != y.within:
-			return x.within
+		case x.withinGuarantee != y.withinGuarantee:
+			return x.withinGuarantee
 		case late[x] != late[y]:
 			return late[y]
 		}
-		if a, b := x.pending(), y.pending(); a != b {
+		if a, b := x.pendingCount(), y.pendingCount(); a != b {
 			return a < b
 		}
 		return x.arrival < y.arrival
 	})
 	taken := map[string]bool{}
-	for _, j := range gangs[:min(len(gangs), c.looks())] {
-		c.plainRoom(j, j.pending(), taken)
+	for _, j := range gangs[:min(len(gangs), c.candidateLimit())] {
+		c.plainRoom(j, j.pendingCount(), taken)
 	}
 }
 
 func (c *Core) plainRoom(j *job, missing int, taken map[string]bool) {
-	used := j.zones()
-	may := c.mayEvict(j)
+	used := j.tasksByZone()
+	may := c.mayPreempt(j)
 	ways := map[string][]plainWay{}
-	for _, m := range c.open {
-		if m.reserved == j && m.reservedFor > 0 {
-			m.reserved = nil // chosen anew
+	for _, m := range c.schedulable {
+		if m.reservedFor == j && m.reservationStart > 0 {
+			m.reservedFor = nil // chosen anew
 		}
-		if r := m.reserved; r != nil && r != j && c.now < m.reservedTill && r.rank >= j.rank && !c.waitedFor(m) {
+		if r := m.reservedFor; r != nil && r != j && c.now < m.reservedUntil && r.rank >= j.rank && !c.isReservedForWait(m) {
 			continue
 		}
-		if !allowed(j, m) || !zoneOK(j, used, m.zone) || slots(j, m.kind, 0, 0, 0) == 0 {
+		if !allowed(j, m) || !satisfiesZones(j, used, m.zone) || slotsFor(j, m.machineType, 0, 0, 0) == 0 {
 			continue
 		}
 		if w, ok := c.plainWayOn(j, m, may); ok {
@@ -310,33 +310,33 @@
 		taken[in] = true
 	}
 	// Soft point: a guest's huge job would evict almost everything.
-	if cleared > max(1, len(c.open)/2) {
+	if cleared > max(1, len(c.schedulable)/2) {
 		return
 	}
 	for _, w := range best {
 		if len(w.victims) > 0 && start <= worthWaiting {
 			// Not before the rest is there: the room would stand idle, or be
 			// filled by others and be cleared once more.
-			c.evict(j, w.m, w.victims)
+			c.preempt(j, w.m, w.victims)
 			continue
 		}
-		if w.m.reserved == j && w.m.reservedFor == 0 && c.now < w.m.reservedTill {
+		if w.m.reservedFor == j && w.m.reservationStart == 0 && c.now < w.m.reservedUntil {
 			continue // cleared for it
 		}
-		w.m.reserved, w.m.reservedFor, w.m.heldAt = j, c.now+max(start, 1), c.now
-		w.m.reservedTill = c.now + start + 5*second
+		w.m.reservedFor, w.m.reservationStart, w.m.reservationCheckedAt = j, c.now+max(start, 1), c.now
+		w.m.reservedUntil = c.now + start + 5*second
 	}
 }
 
 func (c *Core) plainWayOn(j *job, m *machine, may bool) (plainWay, bool) {
-	w := plainWay{m: m, slots: slots(j, m.kind, m.cpus, m.gpus, m.mem)}
-	like := Micros(c.score(j, m) * float64(second))
-	if m.reserved == j && m.reservedFor == 0 {
+	w := plainWay{m: m, slots: slotsFor(j, m.machineType, m.usedCPUs, m.usedGPUs, m.usedMemoryGB)}
+	like := Micros(c.placementScore(j, m) * float64(second))
+	if m.reservedFor == j && m.reservationStart == 0 {
 		like = 0 // cleared for it
 	}
 	if w.slots > 0 {
 		w.cost = like
-		return w, j.spec.GPUs > 0 || m.kind.GPUs == 0 || c.mayBlockGPUs(j, m)
+		return w, j.spec.GPUs > 0 || m.machineType.GPUs == 0 || c.mayBlockGPUs(j, m)
 	}
 	// By waiting: the tasks that are expected to end first.
 	type end struct {
@@ -344,27 +344,27 @@
 		j  *job
 	}
 	var ends []end
-	m.each(func(p *placement) {
+	m.eachPlacement(func(p *placement) {
 		left := Micros(0)
 		switch {
-		case p.stop:
+		case p.stopping:
 			left = second
 		case p.job.spec.EstimateS == 0:
 			left = 3600 * second
 		default:
 			// Later than expected is likely to be a while later still.
-			left = p.job.estimate() + Micros(c.fetch(p.job, m)*float64(second))
-			if p.running > 0 {
-				left = max(p.job.estimate()-(c.now-p.running), p.job.estimate()/4)
+			left = p.job.expectedRunTime() + Micros(c.imageFetchS(p.job, m)*float64(second))
+			if p.runningSince > 0 {
+				left = max(p.job.expectedRunTime()-(c.now-p.runningSince), p.job.expectedRunTime()/4)
 			}
 		}
 		ends = append(ends, end{left, p.job})
 	})
 	sort.Slice(ends, func(a, b int) bool { return ends[a].at < ends[b].at })
-	cpus, gpus, mem := m.cpus, m.gpus, m.mem
+	cpus, gpus, mem := m.usedCPUs, m.usedGPUs, m.usedMemoryGB
 	for _, e := range ends {
 		cpus, gpus, mem = cpus-e.j.spec.CPUs, gpus-e.j.spec.GPUs, mem-e.j.spec.MemoryGB
-		if w.slots = slots(j, m.kind, cpus, gpus, mem); w.slots > 0 {
+		if w.slots = slotsFor(j, m.machineType, cpus, gpus, mem); w.slots > 0 {
 			w.after = e.at
 			break
 		}
@@ -385,9 +385,9 @@
 		// By what the victim takes of the machine: a gang's task makes many
 		// small ones go.
 		s := &v.tasks[0].job.spec
-		part := s.CPUs / max(m.kind.CPUs, eps)
-		if m.kind.GPUs > 0 {
-			part = max(part, s.GPUs/m.kind.GPUs)
+		part := s.CPUs / max(m.machineType.CPUs, epsilon)
+		if m.machineType.GPUs > 0 {
+			part = max(part, s.GPUs/m.machineType.GPUs)
 		}
 		cost += Micros(float64(v.cost) * part)
 	}
--- a/internal/sched/golden_test.go
+++ b/internal/sched/golden_test.go
@@ -9,7 +9,7 @@
 // What the core has stored is encoded and decoded as testdata/stored.golden has it.
 func TestStoredStaysAsItIs(t *testing.T) {
 	golden.Messages(t, "stored.golden", []golden.Message{
-		{Name: "ledger entry", Zero: Entry{}},
-		{Name: "learned", Zero: Learned{}},
+		{Name: "ledger entry", Zero: LedgerEntry{}},
+		{Name: "learned", Zero: Statistics{}},
 	})
 }
--- a/internal/sched/largesite_test.go
+++ b/internal/sched/largesite_test.go
@@ -18,8 +18,8 @@
 		b.report(fmt.Sprintf("n-%06d", i), "s", "x", 1)
 	}
 	b.now += 30 * second // past what a new leader waits for
-	for _, m := range b.order {
-		m.lastHello = b.now
+	for _, m := range b.machinesByName {
+		m.lastHeartbeat = b.now
 	}
 	return b
 }
@@ -30,12 +30,12 @@
 		t.Run(fmt.Sprint(test.machines), func(t *testing.T) {
 			b := newSite(t, test.machines)
 			pushes := func(sinceTerm Micros) int {
-				b.since = b.now - sinceTerm
-				for _, m := range b.order {
-					m.confirmed, m.pushed = false, 0
+				b.termStart = b.now - sinceTerm
+				for _, m := range b.machinesByName {
+					m.confirmed, m.tokenPushedAt = false, 0
 				}
 				b.Schedule(b.now)
-				return len(b.Directs())
+				return len(b.TakeDirectCommands())
 			}
 			if got := pushes(second); got != test.early {
 				t.Errorf("a new leader tells %d machines in a pass, want %d", got, test.early)
@@ -53,15 +53,15 @@
 		t.Run(fmt.Sprint(test.machines), func(t *testing.T) {
 			b := newSite(t, test.machines)
 			dead := test.machines / 3
-			for _, m := range b.order[:dead] {
+			for _, m := range b.machinesByName[:dead] {
 				m.failed = true
 			}
-			if got := len(b.Returns(b.now, false)); got != test.first {
+			if got := len(b.ScaleIn(b.now, false)); got != test.first {
 				t.Errorf("a round gives %d machines back, want %d", got, test.first)
 			}
 			rounds, left := 1, dead-test.first
 			for ; left > 0 && rounds < 100; rounds++ {
-				left -= len(b.Returns(b.now, false))
+				left -= len(b.ScaleIn(b.now, false))
 			}
 			if rounds != test.rounds {
 				t.Errorf("%d rounds for %d dead machines, want %d", rounds, dead, test.rounds)
@@ -81,18 +81,18 @@
 			b := newSite(t, test.up, config.Team{Name: "a"})
 			most := 20_000
 			b.base.Operator.MaxMachines = &most
-			for _, m := range b.order {
-				m.cpus = m.kind.CPUs // full
+			for _, m := range b.machinesByName {
+				m.usedCPUs = m.machineType.CPUs // full
 			}
 			var list []wire.Machine
 			for i := range minDemand {
-				list = append(list, wire.Machine{ID: fmt.Sprintf("m-%06d", i), Addr: "a", Type: "s", Zone: "x", State: wire.HostBooting, AgeS: 1})
+				list = append(list, wire.Machine{ID: fmt.Sprintf("m-%06d", i), Addr: "a", Type: "s", Zone: "x", State: wire.MachineBooting, AgeS: 1})
 			}
-			b.Machines(list, b.now)
-			b.since = b.now - 60*second
+			b.MachinesListed(list, b.now)
+			b.termStart = b.now - 60*second
 			b.AddJob(spec("j", "a", wire.High, 50_000, 8), b.now-20*second, b.now)
-			if more := len(b.Hires(b.now)) > 0; more != test.more {
-				t.Errorf("with %d machines and %d that boot for the array, more are rented: %v, want %v", len(b.order), minDemand, more, test.more)
+			if more := len(b.ScaleOut(b.now)) > 0; more != test.more {
+				t.Errorf("with %d machines and %d that boot for the array, more are rented: %v, want %v", len(b.machinesByName), minDemand, more, test.more)
 			}
 		})
 	}
@@ -111,10 +111,10 @@
 				teams = append(teams, config.Team{Name: name + strings.Repeat("x", test.name-len(name))})
 			}
 			b := newBed(t, teams...)
-			for i, c := range b.eachTeam() {
-				c.had.remember(float64(1+i%97), b.now, b.now)
+			for i, c := range b.teamsByName() {
+				c.service.restore(float64(1+i%97), b.now, b.now)
 			}
-			l := b.Learned(b.now)
+			l := b.Statistics(b.now)
 			if len(l.Teams) != test.want {
 				t.Errorf("%d teams are kept, want %d", len(l.Teams), test.want)
 			}
@@ -127,9 +127,9 @@
 					t.Fatalf("%s after %s", x.Name, l.Teams[i-1].Name)
 				}
 			}
-			for _, c := range b.eachTeam() {
-				if !kept[c.Name] && c.had.ended > least[true] {
-					t.Errorf("%s is left out with %v jobs, another kept with %v", c.Name, c.had.ended, least[true])
+			for _, c := range b.teamsByName() {
+				if !kept[c.Name] && c.service.decayedDone > least[true] {
+					t.Errorf("%s is left out with %v jobs, another kept with %v", c.Name, c.service.decayedDone, least[true])
 				}
 			}
 			text, err := json.Marshal(l)
@@ -137,10 +137,10 @@
 				t.Errorf("%d bytes of at most %d: %v", len(text), limit, err)
 			}
 			if again := newBed(t, teams...); true {
-				again.Remember(l)
+				again.RestoreStatistics(l)
 				known := 0
-				for _, c := range again.eachTeam() {
-					if c.had.ended > 0 {
+				for _, c := range again.teamsByName() {
+					if c.service.decayedDone > 0 {
 						known++
 					}
 				}
@@ -165,7 +165,7 @@
 		b.AddJob(j, b.now, b.now)
 	}
 	shown := map[bool]int{}
-	for _, s := range b.Served(50) {
+	for _, s := range b.ServiceShares(50) {
 		shown[s.Team]++
 	}
 	if shown[true] != 100 || shown[false] != 50 {
--- a/internal/sched/ledger.go
+++ b/internal/sched/ledger.go
@@ -7,42 +7,42 @@
 	"dalefront/wire"
 )
 
-// Entry is one stored piece of the ledger: launches that were decided together,
+// LedgerEntry is one stored piece of the ledger: launches that were decided together,
 // and where. It is created once under a name that is never used again, so a
 // batch over any number of machines costs one write, and a copy of the same
 // transaction that comes late changes nothing. It is deleted once every launch
 // in it is proven gone.
-type Entry struct {
-	Hosts []EntryHost `msgpack:"H"`
-	Runs  []Run       `msgpack:"R"`
+type LedgerEntry struct {
+	Hosts []LedgerHost `msgpack:"H"`
+	Runs  []LedgerRun  `msgpack:"R"`
 }
 
-// EntryHost is a machine as it was known when the entry was stored.
-type EntryHost struct {
-	Host    string `msgpack:"H"`
-	Addr    string `msgpack:"A"`
-	Type    string `msgpack:"B"`
-	Zone    string `msgpack:"D"`
-	Spot    bool   `msgpack:"L"`
-	Session uint64 `msgpack:"S"`
+// LedgerHost is a machine as it was known when the entry was stored.
+type LedgerHost struct {
+	Host        string `msgpack:"H"`
+	Addr        string `msgpack:"A"`
+	Type        string `msgpack:"B"`
+	Zone        string `msgpack:"D"`
+	Spot        bool   `msgpack:"L"`
+	Incarnation uint64 `msgpack:"S"`
 }
 
-// Run is the tasks of a job that an entry places on one of its machines.
-type Run struct {
+// LedgerRun is the tasks of a job that an entry places on one of its machines.
+type LedgerRun struct {
 	Host    int     `msgpack:"H"`
 	Job     string  `msgpack:"J"`
 	Attempt uint64  `msgpack:"N"`
 	Tasks   []int32 `msgpack:"T"`
 }
 
-// NamedEntry is an entry under the name that it is stored by.
-type NamedEntry struct {
+// NamedLedgerEntry is an entry under the name that it is stored by.
+type NamedLedgerEntry struct {
 	Name string
-	Entry
+	LedgerEntry
 }
 
-// entry is what the core keeps of a stored Entry.
-type entry struct {
+// ledgerEntry is what the core keeps of a stored Entry.
+type ledgerEntry struct {
 	name    string
 	live    map[*placement]struct{}
 	hosts   map[string]struct{}
@@ -55,7 +55,7 @@
 // the jobs has ended, and entries to be deleted with them. It is stored whole or
 // not at all.
 type Commit struct {
-	Entries []NamedEntry
+	Entries []NamedLedgerEntry
 	Jobs    []string
 	Drop    []string
 
@@ -79,17 +79,17 @@
 // Launches is how many tasks the batch starts, or with its other parts.
 func (cm *Commit) Launches() int { return len(cm.placements) }
 
-// unfinished is the batch that is being stored, or of which a part still is to be, or nil.
-func (c *Core) unfinished() *Commit {
-	if c.commit != nil {
-		return c.commit
+// unfinishedCommit is the batch that is being stored, or of which a part still is to be, or nil.
+func (c *Core) unfinishedCommit() *Commit {
+	if c.inFlight != nil {
+		return c.inFlight
 	}
 	return c.staged
 }
 
-// entryOf makes an entry of placements that are ordered by machine.
-func entryOf(ps []*placement) Entry {
-	var e Entry
+// newLedgerEntry makes an entry of placements that are ordered by machine.
+func newLedgerEntry(ps []*placement) LedgerEntry {
+	var e LedgerEntry
 	index := map[string]int{}
 	type key struct {
 		host, job string
@@ -97,43 +97,43 @@
 	}
 	runs := map[key]int{}
 	for _, p := range ps {
-		i, ok := index[p.m.host]
+		i, ok := index[p.machine.host]
 		if !ok {
 			i = len(e.Hosts)
-			index[p.m.host] = i
-			m := p.m
-			e.Hosts = append(e.Hosts, EntryHost{m.host, m.addr, m.kind.Name, m.zone, m.spot, p.session})
+			index[p.machine.host] = i
+			m := p.machine
+			e.Hosts = append(e.Hosts, LedgerHost{m.host, m.addr, m.machineType.Name, m.zone, m.spot, p.incarnation})
 		}
-		k := key{p.m.host, p.job.id, p.attempt}
+		k := key{p.machine.host, p.job.id, p.attempt}
 		r, ok := runs[k]
 		if !ok {
 			r = len(e.Runs)
 			runs[k] = r
-			e.Runs = append(e.Runs, Run{Host: i, Job: p.job.id, Attempt: p.attempt})
+			e.Runs = append(e.Runs, LedgerRun{Host: i, Job: p.job.id, Attempt: p.attempt})
 		}
-		e.Runs[r].Tasks = append(e.Runs[r].Tasks, p.task)
+		e.Runs[r].Tasks = append(e.Runs[r].Tasks, p.taskIndex)
 	}
 	return e
 }
 
-// Committed says that the batch is durable: its launches may be sent, unless another
+// CommitStored says that the batch is durable: its launches may be sent, unless another
 // part of it is to be stored first, which the next Schedule returns.
-func (c *Core) Committed(cm *Commit, now Micros) {
+func (c *Core) CommitStored(cm *Commit, now Micros) {
 	c.now = now
-	c.commit, c.staged = nil, cm.next
-	c.changed = true
+	c.inFlight, c.staged = nil, cm.next
+	c.passNeeded = true
 	for _, n := range cm.Drop {
 		delete(c.entries, n)
-		delete(c.fragile, n)
+		delete(c.entriesOfReturned, n)
 	}
-	stored := make([]*entry, len(cm.Entries))
+	stored := make([]*ledgerEntry, len(cm.Entries))
 	for i, ne := range cm.Entries {
-		e := c.newEntry(ne.Name)
+		e := c.addEntry(ne.Name)
 		stored[i] = e
 		for _, h := range ne.Hosts {
 			e.hosts[h.Host] = struct{}{}
-			if _, gone := c.gone[h.Host]; gone {
-				c.fragile[ne.Name] = struct{}{}
+			if _, gone := c.returnedMachines[h.Host]; gone {
+				c.entriesOfReturned[ne.Name] = struct{}{}
 			}
 		}
 		for _, p := range cm.parts[i] {
@@ -147,27 +147,27 @@
 		if _, ok := p.job.placements[p]; !ok || cm.next != nil {
 			continue
 		}
-		p.stored = true
+		p.durable = true
 		c.Stats.Launches++
 		// The session changed or the machine left while the entry was being
 		// stored: the launch was never sent and never will be.
-		if p.m.session != p.session || p.m.lost || p.stop || p.job.over() {
-			c.free(p)
+		if p.machine.incarnation != p.incarnation || p.machine.leaseExpired || p.stopping || p.job.isOver() {
+			c.release(p)
 		}
 	}
 	for _, e := range stored {
 		if len(e.live) == 0 {
-			c.spend(e)
+			c.retireEntry(e)
 		}
 	}
 }
 
-// Refused says that the batch was not stored and never will be. What was stored of its
+// CommitRejected says that the batch was not stored and never will be. What was stored of its
 // earlier parts was not launched either.
-func (c *Core) Refused(cm *Commit, now Micros) {
+func (c *Core) CommitRejected(cm *Commit, now Micros) {
 	c.now = now
-	c.commit, c.staged = nil, nil
-	c.changed = true
+	c.inFlight, c.staged = nil, nil
+	c.passNeeded = true
 	for _, n := range cm.Drop {
 		e := c.entries[n]
 		if e == nil {
@@ -175,61 +175,61 @@
 		}
 		e.leaving, e.listed = false, false
 		if len(e.live) == 0 {
-			c.spend(e)
+			c.retireEntry(e)
 		} else if e.moving {
-			c.fragile[n] = struct{}{}
+			c.entriesOfReturned[n] = struct{}{}
 		}
 		e.moving = false
 	}
 	for _, p := range cm.moved {
 		if p.entry == nil {
-			c.strays = append(c.strays, p)
+			c.unrecorded = append(c.unrecorded, p)
 		}
 	}
 	for _, p := range cm.placements {
-		c.free(p)
+		c.release(p)
 	}
 }
 
-func (c *Core) newEntry(name string) *entry {
-	e := &entry{name: name, live: map[*placement]struct{}{}, hosts: map[string]struct{}{}}
+func (c *Core) addEntry(name string) *ledgerEntry {
+	e := &ledgerEntry{name: name, live: map[*placement]struct{}{}, hosts: map[string]struct{}{}}
 	c.entries[name] = e
 	return e
 }
 
-// spend queues an entry without live launches for deletion.
-func (c *Core) spend(e *entry) {
+// retireEntry queues an entry without live launches for deletion.
+func (c *Core) retireEntry(e *ledgerEntry) {
 	if !e.leaving && !e.listed {
 		e.listed = true
-		c.spent = append(c.spent, e)
+		c.emptyEntries = append(c.emptyEntries, e)
 	}
 }
 
-// strike takes a freed placement out of its entry.
-func (c *Core) strike(p *placement) {
+// removeFromEntry takes a freed placement out of its entry.
+func (c *Core) removeFromEntry(p *placement) {
 	if e := p.entry; e != nil {
 		delete(e.live, p)
 		p.entry = nil
 		if len(e.live) == 0 {
-			c.spend(e)
+			c.retireEntry(e)
 		}
 	}
 }
 
-// Load takes the stored ledger at the start of a term, after the jobs. All its
+// RecoverLedger takes the stored ledger at the start of a term, after the jobs. All its
 // launches count as on their machines until proof of the contrary.
-func (c *Core) Load(ledger map[string]Entry) {
+func (c *Core) RecoverLedger(ledger map[string]LedgerEntry) {
 	names := make([]string, 0, len(ledger))
 	latest := map[string]uint64{}
 	for n, e := range ledger {
 		names = append(names, n)
 		for _, h := range e.Hosts {
-			latest[h.Host] = max(latest[h.Host], h.Session)
+			latest[h.Host] = max(latest[h.Host], h.Incarnation)
 		}
 	}
 	sort.Strings(names)
 	for _, n := range names {
-		e := c.newEntry(n)
+		e := c.addEntry(n)
 		for _, r := range ledger[n].Runs {
 			if r.Host < 0 || r.Host >= len(ledger[n].Hosts) {
 				continue
@@ -238,30 +238,30 @@
 			m := c.machines[h.Host]
 			if m == nil {
 				m = c.newMachine(h.Host, h.Addr, h.Type, h.Zone, h.Spot)
-				m.session, m.up = latest[h.Host], true
+				m.incarnation, m.registered = latest[h.Host], true
 			}
 			e.hosts[h.Host] = struct{}{}
 			j := c.jobs[r.Job]
 			// A job's record is deleted only after all its placements were
 			// proven gone, so a task of an unknown job is not on the machine.
 			// Neither is one of an earlier session than the ledger has seen.
-			if j == nil || h.Session < m.session {
+			if j == nil || h.Incarnation < m.incarnation {
 				continue
 			}
 			for _, t := range r.Tasks {
-				if int(t) >= j.spec.Tasks || t < 0 || m.find(taskKey{j, t}, r.Attempt) != nil {
+				if int(t) >= j.spec.Tasks || t < 0 || m.findPlacement(taskKey{j, t}, r.Attempt) != nil {
 					continue
 				}
-				p := c.place(j, t, m, r.Attempt)
-				p.stored, p.loaded, p.entry = true, true, e
+				p := c.addPlacement(j, t, m, r.Attempt)
+				p.durable, p.recovered, p.entry = true, true, e
 				e.live[p] = struct{}{}
 			}
-			if j.gang() && r.Attempt > j.attempt {
-				j.attempt = r.Attempt
+			if j.isGang() && r.Attempt > j.gangAttempt {
+				j.gangAttempt = r.Attempt
 			}
 		}
 		if len(e.live) == 0 {
-			c.spend(e)
+			c.retireEntry(e)
 		}
 	}
 }
@@ -272,7 +272,7 @@
 const attemptBits = 20
 
 // Attempts of a pass: later ones are always larger, over terms too.
-func (c *Core) attempt() uint64 {
+func (c *Core) nextAttempt() uint64 {
 	c.seq++
 	return c.token<<attemptBits + c.seq
 }
@@ -280,10 +280,10 @@
 // taskReportBytes is what is allowed for a task in a report, and in its answer.
 const taskReportBytes = 160
 
-// maxOnMachine bounds the tasks on a machine, so that a report and its answer
+// maxTasksPerMachine bounds the tasks on a machine, so that a report and its answer
 // stay well within the limits for bodies.
-const maxOnMachine = wire.MaxBody / taskReportBytes
+const maxTasksPerMachine = wire.MaxBodyBytes / taskReportBytes
 
-// expiry is when a lease must have run out: the workers' clocks may be 0.05%
+// leaseExpiry is when a lease must have run out: the workers' clocks may be 0.05%
 // slow, and ours fast.
-func (c *Core) expiry() Micros { return c.lease + c.lease/1000 + config.Second/2 }
+func (c *Core) leaseExpiry() Micros { return c.lease + c.lease/1000 + config.Second/2 }
--- a/internal/sched/ledger_test.go
+++ b/internal/sched/ledger_test.go
@@ -29,10 +29,10 @@
 // fits checks a batch against the limits of the state service.
 func (b *bed) fits(cm *Commit) {
 	b.t.Helper()
-	st := &b.set.Deployment.State
+	st := &b.settings.Deployment.State
 	all := 0
 	for _, e := range cm.Entries {
-		v, _ := json.Marshal(e.Entry)
+		v, _ := json.Marshal(e.LedgerEntry)
 		all += len(v)
 		if float64(len(v)) > st.ValueKB*1024 {
 			b.t.Errorf("an entry of %d bytes", len(v))
@@ -83,16 +83,16 @@
 	for _, trouble := range []string{"none", "refused", "ended", "machine gone", "new session", "takeover"} {
 		for at := 1; at <= 2; at++ {
 			b := wide()
-			store := map[string]Entry{}
+			store := map[string]LedgerEntry{}
 			launched := func() (tasks int) {
 				for i := range n {
 					h := fmt.Sprintf("n-%06d", i)
 					if b.machines[h] == nil {
 						continue
 					}
-					for _, o := range b.report(h, "s", "x", b.machines[h].session, b.present(h)...).Orders {
+					for _, o := range b.report(h, "s", "x", b.machines[h].incarnation, b.present(h)...).Commands {
 						if id, num, _ := wire.ParseTask(o.Task); o.Op == wire.Launch && id == "j-1" {
-							b.machines[h].find(taskKey{b.jobs[id], num}, o.Attempt).state = wire.TaskWaiting
+							b.machines[h].findPlacement(taskKey{b.jobs[id], num}, o.Attempt).state = wire.TaskWaiting
 							tasks++
 						}
 					}
@@ -116,19 +116,19 @@
 					parts++
 				}
 				if gang && parts == at && trouble == "refused" {
-					b.Refused(cm, b.now)
+					b.CommitRejected(cm, b.now)
 					if len(b.jobs["j-1"].placements) > 0 {
 						t.Fatal("tasks of a refused gang keep their places")
 					}
 					continue
 				}
 				for _, e := range cm.Entries {
-					store[e.Name] = e.Entry
+					store[e.Name] = e.LedgerEntry
 				}
 				for _, d := range cm.Drop {
 					delete(store, d)
 				}
-				b.Committed(cm, b.now)
+				b.CommitStored(cm, b.now)
 				if !gang {
 					continue
 				}
@@ -140,11 +140,11 @@
 				}
 				switch trouble {
 				case "ended":
-					b.Ended("j-1", wire.JobCancelled, b.now)
+					b.JobEnded("j-1", wire.JobCancelled, b.now)
 					cm = b.Schedule(b.now)
-					b.Refused(cm, b.now) // the transaction fails on the end
+					b.CommitRejected(cm, b.now) // the transaction fails on the end
 				case "machine gone":
-					b.Gone([]string{"n-000000"}, b.now)
+					b.MachinesReturned([]string{"n-000000"}, b.now)
 					b.report("n-999999", "s", "x", 1)
 				case "new session":
 					b.report("n-000007", "s", "x", 2)
@@ -154,7 +154,7 @@
 					b.seq = old.seq
 					b.AddJob(old.jobs["j-1"].spec, b.now, b.now)
 					b.AddJob(old.jobs["j-2"].spec, b.now, b.now)
-					b.Load(store)
+					b.RecoverLedger(store)
 					for i := range n {
 						b.report(fmt.Sprintf("n-%06d", i), "s", "x", 1)
 					}
@@ -164,7 +164,7 @@
 				for range 20 {
 					b.now += 2 * second
 					if cm := b.Schedule(b.now); cm != nil {
-						b.Committed(cm, b.now)
+						b.CommitStored(cm, b.now)
 					}
 				}
 				live := 0
@@ -181,20 +181,20 @@
 			}
 			where := map[int32]string{}
 			for p := range b.jobs["j-1"].placements {
-				if was := where[p.task]; was != "" {
-					t.Errorf("%s at %d: task %d is on %s and %s", trouble, at, p.task, was, p.m.host)
+				if was := where[p.taskIndex]; was != "" {
+					t.Errorf("%s at %d: task %d is on %s and %s", trouble, at, p.taskIndex, was, p.machine.host)
 				}
-				where[p.task] = p.m.host
+				where[p.taskIndex] = p.machine.host
 			}
 		}
 	}
 }
 
 // present is what a worker reports that holds what it was told to launch.
-func (b *bed) present(host string) (out []wire.TaskReport) {
-	b.machines[host].each(func(p *placement) {
+func (b *bed) present(host string) (out []wire.TaskStatus) {
+	b.machines[host].eachPlacement(func(p *placement) {
 		if p.state != "" {
-			out = append(out, wire.TaskReport{Task: wire.TaskName(p.job.id, p.task), Attempt: p.attempt, State: p.state})
+			out = append(out, wire.TaskStatus{Task: wire.TaskName(p.job.id, p.taskIndex), Attempt: p.attempt, State: p.state})
 		}
 	})
 	return out
@@ -205,17 +205,17 @@
 // the next leader would otherwise wait for a machine that is gone.
 func TestEntriesGo(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a"})
-	store := map[string]Entry{}
+	store := map[string]LedgerEntry{}
 	pass := func() {
 		b.now += 2 * second
 		if cm := b.Schedule(b.now); cm != nil {
 			for _, e := range cm.Entries {
-				store[e.Name] = e.Entry
+				store[e.Name] = e.LedgerEntry
 			}
 			for _, n := range cm.Drop {
 				delete(store, n)
 			}
-			b.Committed(cm, b.now)
+			b.CommitStored(cm, b.now)
 		}
 	}
 	tasks := func() (n int) {
@@ -233,7 +233,7 @@
 	run1, run2 := b.running("n-1"), b.running("n-2")
 	b.report("n-1", "s", "x", 1, run1...)
 	b.report("n-2", "s", "x", 1, run2...)
-	b.Gone([]string{"n-1"}, b.now)
+	b.MachinesReturned([]string{"n-1"}, b.now)
 	b.report("n-2", "s", "x", 1, run2...)
 	pass()
 	pass()
@@ -249,12 +249,12 @@
 	}
 	after := newBed(t, config.Team{Name: "a"})
 	after.AddJob(spec("j-1", "a", wire.Normal, 2, 8), after.now, after.now)
-	after.Load(store)
-	if len(after.machines) != 1 || after.machines["n-2"].n != 1 {
+	after.RecoverLedger(store)
+	if len(after.machines) != 1 || after.machines["n-2"].placementCount != 1 {
 		t.Error("the ledger does not say what is on n-2")
 	}
 	run2[0].State, run2[0].Cause = wire.TaskExited, wire.CauseDone
-	b.Ended("j-1", wire.JobCancelled, b.now)
+	b.JobEnded("j-1", wire.JobCancelled, b.now)
 	b.report("n-2", "s", "x", 1, run2...)
 	pass()
 	pass()
@@ -268,15 +268,15 @@
 func TestLaterSessionCounts(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a"})
 	b.AddJob(spec("j-1", "a", wire.Normal, 2, 1), b.now, b.now)
-	host := EntryHost{Host: "n-1", Addr: "n-1", Type: "s", Zone: "x", Session: 1}
+	host := LedgerHost{Host: "n-1", Addr: "n-1", Type: "s", Zone: "x", Incarnation: 1}
 	later := host
-	later.Session = 2
-	b.Load(map[string]Entry{
-		"a": {Hosts: []EntryHost{later}, Runs: []Run{{Job: "j-1", Attempt: 6, Tasks: []int32{1}}}},
-		"b": {Hosts: []EntryHost{host}, Runs: []Run{{Job: "j-1", Attempt: 5, Tasks: []int32{0}}}},
+	later.Incarnation = 2
+	b.RecoverLedger(map[string]LedgerEntry{
+		"a": {Hosts: []LedgerHost{later}, Runs: []LedgerRun{{Job: "j-1", Attempt: 6, Tasks: []int32{1}}}},
+		"b": {Hosts: []LedgerHost{host}, Runs: []LedgerRun{{Job: "j-1", Attempt: 5, Tasks: []int32{0}}}},
 	})
-	if m := b.machines["n-1"]; m.n != 1 || m.session != 2 {
-		t.Errorf("%d tasks in session %d, want 1 in 2", m.n, m.session)
+	if m := b.machines["n-1"]; m.placementCount != 1 || m.incarnation != 2 {
+		t.Errorf("%d tasks in session %d, want 1 in 2", m.placementCount, m.incarnation)
 	}
 }
 
@@ -286,8 +286,8 @@
 	b.report("n-1", "s", "x", 1)
 	b.AddJob(spec("j-1", "a", wire.Normal, 1, 8), b.now, b.now)
 	cm := b.Schedule(b.now)
-	b.Refused(cm, b.now)
-	if b.machines["n-1"].n != 0 || len(b.entries) != 0 || b.schedule() == nil {
+	b.CommitRejected(cm, b.now)
+	if b.machines["n-1"].placementCount != 0 || len(b.entries) != 0 || b.schedule() == nil {
 		t.Error("the task was not placed again")
 	}
 }
@@ -298,21 +298,21 @@
 	b := newBed(t, config.Team{Name: "a"})
 	b.AddJob(spec("j-1", "a", wire.Normal, 40, 1), b.now, b.now)
 	cl := b.jobs["j-1"].class
-	cl.ratio, b.bwWrite = 1.7, 0.3
-	l := b.Learned(b.now)
+	cl.runTimeRatio, b.writeGBPerS = 1.7, 0.3
+	l := b.Statistics(b.now)
 
 	next := newBed(t, config.Team{Name: "a"})
-	next.now = b.now + rateMemory
-	next.Remember(l)
+	next.now = b.now + arrivalDecayTime
+	next.RestoreStatistics(l)
 	got := next.classOf(cl.name)
-	if got.ratio != 1.7 || next.bwWrite != 0.3 || got.size != 40 {
-		t.Errorf("the next leader knows %+v, bandwidth %v", got, next.bwWrite)
+	if got.runTimeRatio != 1.7 || next.writeGBPerS != 0.3 || got.meanTasks != 40 {
+		t.Errorf("the next leader knows %+v, bandwidth %v", got, next.writeGBPerS)
 	}
-	if got.arrivals < 14 || got.arrivals > 15 { // 40 / e
-		t.Errorf("%v arrivals are remembered after the time in which they fade to a third", got.arrivals)
+	if got.decayedArrivals < 14 || got.decayedArrivals > 15 { // 40 / e
+		t.Errorf("%v arrivals are remembered after the time in which they fade to a third", got.decayedArrivals)
 	}
-	next.Remember(Learned{Classes: []LearnedClass{{Name: cl.name}}})
-	if got.ratio != 1.7 {
+	next.RestoreStatistics(Statistics{Classes: []ClassStatistics{{Name: cl.name}}})
+	if got.runTimeRatio != 1.7 {
 		t.Error("nonsense was taken for an observation")
 	}
 }
@@ -349,12 +349,12 @@
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 3))
 		b := newBed(t, config.Team{Name: "a"})
-		b.set.Deployment.State.TxnOps, b.set.Deployment.State.ValueKB = 8, float64(2+r.IntN(6))
-		spent := map[string]Entry{}
+		b.settings.Deployment.State.TxnOps, b.settings.Deployment.State.ValueKB = 8, float64(2+r.IntN(6))
+		spent := map[string]LedgerEntry{}
 		for i := range 20 {
-			spent[fmt.Sprintf("%016x.%08x", 3, i)] = Entry{Hosts: []EntryHost{{Host: "n-gone", Type: "s", Zone: "x", Session: 1}}}
+			spent[fmt.Sprintf("%016x.%08x", 3, i)] = LedgerEntry{Hosts: []LedgerHost{{Host: "n-gone", Type: "s", Zone: "x", Incarnation: 1}}}
 		}
-		b.Load(spent)
+		b.RecoverLedger(spent)
 		for i := range 200 {
 			b.report(fmt.Sprintf("n-%0*d", 3+r.IntN(12), i), "s", "x", 1)
 		}
@@ -370,14 +370,14 @@
 			b.fits(cm)
 			cut = cut || len(cm.Entries) > 4
 			if r.IntN(3) > 0 {
-				b.Committed(cm, b.now)
+				b.CommitStored(cm, b.now)
 				continue
 			}
 			// A refused batch is undone whole: its launches are decided anew, and what it was
 			// to delete still is to be.
-			b.Refused(cm, b.now)
-			if len(cm.Drop) > 0 && len(b.spent) < len(cm.Drop) {
-				t.Fatalf("seed %d: %d entries are to be deleted, of %d that the refused batch had", seed, len(b.spent), len(cm.Drop))
+			b.CommitRejected(cm, b.now)
+			if len(cm.Drop) > 0 && len(b.emptyEntries) < len(cm.Drop) {
+				t.Fatalf("seed %d: %d entries are to be deleted, of %d that the refused batch had", seed, len(b.emptyEntries), len(cm.Drop))
 			}
 			for _, p := range cm.placements {
 				if _, there := p.job.placements[p]; there {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -10,12 +10,12 @@
 	"dalefront/wire"
 )
 
-// usable says whether the machine may get launches now. Only a machine whose
+// isSchedulable says whether the machine may get launches now. Only a machine whose
 // worker has confirmed this term's token in its present session is known well
 // enough.
-func (c *Core) usable(m *machine) bool {
-	return m.confirmed && !m.returning && !m.lost && !m.failed && !m.bad && m.recallAt == 0 && m.cordon == nil &&
-		c.now >= m.avoid && c.now-m.lastHello < 2*config.Micro(c.set.Deployment.Workers.ReportS)+second
+func (c *Core) isSchedulable(m *machine) bool {
+	return m.confirmed && !m.scalingIn && !m.leaseExpired && !m.failed && !m.quarantined && m.reclaimAt == 0 && m.cordon == nil &&
+		c.now >= m.avoidUntil && c.now-m.lastHeartbeat < 2*config.Micro(c.settings.Deployment.Workers.ReportS)+second
 }
 
 // allowed says whether the job may run on the machine's type, zone and kind at
@@ -29,7 +29,7 @@
 	}
 	if j.spec.Types != nil {
 		for _, t := range j.spec.Types {
-			if t == m.kind.Name {
+			if t == m.machineType.Name {
 				return true
 			}
 		}
@@ -38,27 +38,27 @@
 	return true
 }
 
-// room says whether the machine has room for n more tasks of the job.
-func room(j *job, m *machine, n int) bool {
+// hasRoom says whether the machine has room for n more tasks of the job.
+func hasRoom(j *job, m *machine, n int) bool {
 	f := float64(n)
-	return m.cpus+f*j.spec.CPUs <= m.kind.CPUs+eps && m.gpus+f*j.spec.GPUs <= m.kind.GPUs+eps &&
-		m.mem+f*j.spec.MemoryGB <= m.kind.MemoryGB+eps
+	return m.usedCPUs+f*j.spec.CPUs <= m.machineType.CPUs+epsilon && m.usedGPUs+f*j.spec.GPUs <= m.machineType.GPUs+epsilon &&
+		m.usedMemoryGB+f*j.spec.MemoryGB <= m.machineType.MemoryGB+epsilon
 }
 
-// zones counts the zones that the job's tasks may still occupy.
-func (j *job) zones() map[string]int {
+// tasksByZone counts the zones that the job's tasks may still occupy.
+func (j *job) tasksByZone() map[string]int {
 	z := map[string]int{}
 	for p := range j.placements {
-		z[p.m.zone]++
+		z[p.machine.zone]++
 	}
 	return z
 }
 
-// share is how many tasks of a job that is to be spread may be in one zone.
-func (j *job) share() int { return (j.spec.Tasks + 1) / 2 }
+// zoneLimit is how many tasks of a job that is to be spread may be in one zone.
+func (j *job) zoneLimit() int { return (j.spec.Tasks + 1) / 2 }
 
-// zoneOK applies SamePlace and Spread, counting every task that may be placed.
-func zoneOK(j *job, zones map[string]int, zone string) bool {
+// satisfiesZones applies SamePlace and Spread, counting every task that may be placed.
+func satisfiesZones(j *job, zones map[string]int, zone string) bool {
 	if j.spec.OneZone {
 		for z, n := range zones {
 			if n > 0 && z != zone {
@@ -66,41 +66,41 @@
 			}
 		}
 	}
-	return !j.spec.Spread || zones[zone] < j.share()
+	return !j.spec.Spread || zones[zone] < j.zoneLimit()
 }
 
-// fetch is the expected time until the machine has the job's image.
-func (c *Core) fetch(j *job, m *machine) float64 {
-	if _, ok := m.images[j.spec.Image]; ok {
+// imageFetchS is the expected time until the machine has the job's image.
+func (c *Core) imageFetchS(j *job, m *machine) float64 {
+	if _, ok := m.cachedImages[j.spec.Image]; ok {
 		return 0
 	}
-	rate := max(m.kind.FetchGBPS, 0.01)
+	rate := max(m.machineType.FetchGBPS, 0.01)
 	if since, ok := m.fetchingImages[j.spec.Image]; ok {
 		return max(0, j.spec.ImageGB/rate-float64(c.now-since)/float64(second))
 	}
 	return j.spec.ImageGB / rate * float64(1+len(m.fetchingImages))
 }
 
-// score says how much a task would rather not go to the machine, in seconds.
-func (c *Core) score(j *job, m *machine) float64 {
-	s := c.fetch(j, m)
-	if m.kind.GPUs > 0 && j.spec.GPUs == 0 {
+// placementScore says how much a task would rather not go to the machine, in seconds.
+func (c *Core) placementScore(j *job, m *machine) float64 {
+	s := c.imageFetchS(j, m)
+	if m.machineType.GPUs > 0 && j.spec.GPUs == 0 {
 		s += 20 // keep graphics machines for those who need them
 	}
 	if j.spec.Spot && !m.spot {
 		s += 2 // keep ordinary machines for those who may use no others
-		if c.ordinary[m.kind.Name] {
+		if c.onDemandTypes[m.machineType.Name] {
 			s += 30 // and these wait
 		}
 	}
-	if (m.kind.GPUs > 0 && j.spec.GPUs == 0) || c.contested(j, m) {
+	if (m.machineType.GPUs > 0 && j.spec.GPUs == 0) || c.contested(j, m) {
 		s += 12 // where it would have to make way before long
 	}
-	if m.slow > 2 {
-		s += 15 * (m.slow - 2) // well beyond wrong estimates
+	if m.slowdown > 2 {
+		s += 15 * (m.slowdown - 2) // well beyond wrong estimates
 	}
-	if m.kind.CPUs > 0 {
-		s += 4 * (m.kind.CPUs - m.cpus - j.spec.CPUs) / m.kind.CPUs // fill machines
+	if m.machineType.CPUs > 0 {
+		s += 4 * (m.machineType.CPUs - m.usedCPUs - j.spec.CPUs) / m.machineType.CPUs // fill machines
 	}
 	return s
 }
@@ -108,55 +108,55 @@
 // contested says whether a class of higher priority uses machines of the type:
 // there a task is likely to be stopped, and its stop keeps the others waiting.
 func (c *Core) contested(j *job, m *machine) bool {
-	for _, cl := range c.ranking {
-		if cl.sample.rank > j.rank && fitsType(&cl.sample.spec, m.kind) {
+	for _, cl := range c.competingClasses {
+		if cl.sampleJob.rank > j.rank && fitsType(&cl.sampleJob.spec, m.machineType) {
 			return true
 		}
 	}
 	return false
 }
 
-// limited says whether its team's limit keeps the job from starting anything now.
-func (j *job) limited() bool {
+// atTeamLimit says whether its team's limit keeps the job from starting anything now.
+func (j *job) atTeamLimit() bool {
 	n := 1.0
-	if j.gang() {
-		n = float64(j.pending())
+	if j.isGang() {
+		n = float64(j.pendingCount())
 	}
-	return !j.team.allows(n*j.spec.CPUs, n*j.spec.GPUs)
+	return !j.team.withinLimit(n*j.spec.CPUs, n*j.spec.GPUs)
 }
 
-// view lists, once a pass, the classes by what they may use, and the jobs that
+// prepareClaims lists, once a pass, the classes by what they may use, and the jobs that
 // wait within their teams' guarantees, one of each class and zone.
-func (c *Core) view(queue []*job) {
-	c.ranking, c.claimants = c.ranking[:0], c.claimants[:0]
-	for _, cl := range c.eachClass() {
-		if cl.sample != nil && cl.sample.rank > 0 && cl.perSecond(c.now) > 0.001 {
-			c.ranking = append(c.ranking, cl)
+func (c *Core) prepareClaims(queue []*job) {
+	c.competingClasses, c.guaranteedWaiting = c.competingClasses[:0], c.guaranteedWaiting[:0]
+	for _, cl := range c.classesByName() {
+		if cl.sampleJob != nil && cl.sampleJob.rank > 0 && cl.arrivalRate(c.now) > 0.001 {
+			c.competingClasses = append(c.competingClasses, cl)
 		}
 	}
 	for _, j := range queue {
-		if len(c.claimants) == mostClaimants {
+		if len(c.guaranteedWaiting) == maxGuaranteedWaiting {
 			break
 		}
-		if j.within && j.rank > 0 && !j.suspect() && !j.limited() && !slices.ContainsFunc(c.claimants, func(o *job) bool {
+		if j.withinGuarantee && j.rank > 0 && !j.isSuspect() && !j.atTeamLimit() && !slices.ContainsFunc(c.guaranteedWaiting, func(o *job) bool {
 			return o.class == j.class && o.spec.Zone == j.spec.Zone && o.spec.Spot == j.spec.Spot
 		}) {
-			c.claimants = append(c.claimants, j)
+			c.guaranteedWaiting = append(c.guaranteedWaiting, j)
 		}
 	}
 }
 
-const mostClaimants = 8
+const maxGuaranteedWaiting = 8
 
-// claimed says whether work of higher priority that waits within its team's
+// claimedByGuaranteed says whether work of higher priority that waits within its team's
 // guarantee could use the machine right now. Work that is not guaranteed anything
 // would fill it up again as often as it is cleared, and the claimant waits on.
-func (c *Core) claimed(j *job, m *machine) bool {
-	if len(c.claimants) == 0 || c.neglected(j) {
+func (c *Core) claimedByGuaranteed(j *job, m *machine) bool {
+	if len(c.guaranteedWaiting) == 0 || c.starved(j) {
 		return false
 	}
-	for _, o := range c.claimants {
-		if o.rank > j.rank && allowed(o, m) && room(o, m, 1) {
+	for _, o := range c.guaranteedWaiting {
+		if o.rank > j.rank && allowed(o, m) && hasRoom(o, m, 1) {
 			return true
 		}
 	}
@@ -165,8 +165,8 @@
 
 // preference is the score, with what the job's own failures on the machine add.
 func (c *Core) preference(j *job, m *machine) float64 {
-	s := c.score(j, m)
-	if j.errorHosts[m.host] {
+	s := c.placementScore(j, m)
+	if j.failedHosts[m.host] {
 		s += 300
 	}
 	return s
@@ -176,8 +176,8 @@
 func (c *Core) findMachine(j *job, zones map[string]int, only string) *machine {
 	var best *machine
 	bestScore := math.Inf(1)
-	for _, m := range c.roomy { // in the order of their names
-		if (only != "" && m.zone != only) || !c.takesMore(j, m, zones) || c.heldFrom(j, m) {
+	for _, m := range c.withRoom { // in the order of their names
+		if (only != "" && m.zone != only) || !c.canTakeTask(j, m, zones) || c.reservedAgainst(j, m) {
 			continue
 		}
 		if s := c.preference(j, m); s < bestScore {
@@ -187,30 +187,30 @@
 	return best
 }
 
-// takesMore says whether a usable machine may take another task of the job.
-func (c *Core) takesMore(j *job, m *machine, zones map[string]int) bool {
-	return j.rank >= m.wantedBy && room(j, m, 1) && allowed(j, m) && m.n < maxOnMachine && zoneOK(j, zones, m.zone) && !c.claimed(j, m) &&
-		(j.spec.GPUs > 0 || m.kind.GPUs == 0 || c.byArrival || c.mayBlockGPUs(j, m))
+// canTakeTask says whether a usable machine may take another task of the job.
+func (c *Core) canTakeTask(j *job, m *machine, zones map[string]int) bool {
+	return j.rank >= m.claimedByRank && hasRoom(j, m, 1) && allowed(j, m) && m.placementCount < maxTasksPerMachine && satisfiesZones(j, zones, m.zone) && !c.claimedByGuaranteed(j, m) &&
+		(j.spec.GPUs > 0 || m.machineType.GPUs == 0 || c.firstComeFirstServed || c.mayBlockGPUs(j, m))
 }
 
-// heldFrom says whether the machine is kept for another job. A task that is
+// reservedAgainst says whether the machine is kept for another job. A task that is
 // expected to be gone before that job can use it may run in the meantime.
-func (c *Core) heldFrom(j *job, m *machine) bool {
-	r := m.reserved
-	if r == nil || r == j || c.now >= m.reservedTill || r.rank < j.rank || r.over() {
+func (c *Core) reservedAgainst(j *job, m *machine) bool {
+	r := m.reservedFor
+	if r == nil || r == j || c.now >= m.reservedUntil || r.rank < j.rank || r.isOver() {
 		return false
 	}
-	if r.rank == j.rank && r.within == j.within && j.behind() && !r.behind() {
+	if r.rank == j.rank && r.withinGuarantee == j.withinGuarantee && j.underserved() && !r.underserved() {
 		return false
 	}
-	neglected := c.neglected(j)
-	if (m.reservedFor > c.now+worthWaiting || neglected) && r.rank > j.rank {
+	neglected := c.starved(j)
+	if (m.reservationStart > c.now+worthWaiting || neglected) && r.rank > j.rank {
 		return false // it is evicted when the gang's other machines are there
 	}
-	if neglected && m.n == 0 && c.now-m.idleSince > mostNeglect {
+	if neglected && m.placementCount == 0 && c.now-m.idleSince > starvationAfter {
 		return false // kept in vain for so long: that gang may wait for what can't be had
 	}
-	return m.reservedFor == 0 || j.spec.EstimateS == 0 || c.now+j.estimate()*3/2+Micros(c.fetch(j, m)*float64(second)) > m.reservedFor
+	return m.reservationStart == 0 || j.spec.EstimateS == 0 || c.now+j.expectedRunTime()*3/2+Micros(c.imageFetchS(j, m)*float64(second)) > m.reservationStart
 }
 
 // queue returns the jobs that wait, in the order in which they are served:
@@ -219,12 +219,12 @@
 func (c *Core) queue() []*job {
 	var q []*job
 	for _, j := range c.jobs {
-		if j.pending() > 0 {
+		if j.pendingCount() > 0 {
 			q = append(q, j)
 		} else {
-			j.waitSince = 0
-			if j.placedAt == 0 {
-				j.placedAt = c.now
+			j.waitingSince = 0
+			if j.fullyPlacedAt == 0 {
+				j.fullyPlacedAt = c.now
 			}
 		}
 	}
@@ -233,11 +233,11 @@
 		start                Micros
 	}
 	keys := make(map[*job]key, len(q))
-	c.markWithin()
-	c.reckon()
+	c.markWithinGuarantee()
+	c.updateFairness()
 	// A class's capacity is reckoned from the first of its jobs: from another one each
 	// second, as the oldest that waits is likely to be the one that may use the least.
-	if slices.ContainsFunc(q, func(j *job) bool { return c.stale(j.class) }) {
+	if slices.ContainsFunc(q, func(j *job) bool { return c.capacityStale(j.class) }) {
 		byID(q)
 		at := int(c.now/second) % len(q)
 		q = append(q[at:], q[:at]...)
@@ -246,17 +246,17 @@
 		// A large job needs the machines for a while: it has to start earlier to
 		// be done in time, but when not all can be, it stands for one job only,
 		// so it yields to as many small ones as that while would serve.
-		work := Micros(float64(j.pending()) * j.spec.CPUs * float64(j.estimate()) / max(c.capacity(j), 1))
-		start, late := j.start(c.now, work)
-		keys[j] = key{j.within, j.behind(), late, start + yield*work}
+		work := Micros(float64(j.pendingCount()) * j.spec.CPUs * float64(j.expectedRunTime()) / max(c.classCapacity(j), 1))
+		start, late := j.latestStart(c.now, work)
+		keys[j] = key{j.withinGuarantee, j.underserved(), late, start + workPenalty*work}
 	}
 	sort.Slice(q, func(a, b int) bool {
 		x, y := q[a], q[b]
 		kx, ky := keys[x], keys[y]
 		switch {
-		case c.byArrival && x.arrival != y.arrival:
+		case c.firstComeFirstServed && x.arrival != y.arrival:
 			return x.arrival < y.arrival
-		case c.byArrival:
+		case c.firstComeFirstServed:
 			return x.id < y.id
 		case x.rank != y.rank:
 			return x.rank > y.rank
@@ -274,41 +274,43 @@
 	return q
 }
 
-// yield is how many times over a job's work counts against it: estimates are often
+// workPenalty is how many times over a job's work counts against it: estimates are often
 // wrong and more jobs are yet to come, so what is short is served first.
-const yield = 3
+const workPenalty = 3
 
-// stale says whether a class's capacity is to be summed up anew.
-func (c *Core) stale(cl *class) bool { return cl.capacityAt == 0 || c.now-cl.capacityAt >= second }
+// capacityStale says whether a class's capacity is to be summed up anew.
+func (c *Core) capacityStale(cl *class) bool {
+	return cl.capacityAt == 0 || c.now-cl.capacityAt >= second
+}
 
-// capacity is how many CPUs the jobs of a class have between them: those of the
+// classCapacity is how many CPUs the jobs of a class have between them: those of the
 // machines that they may use, without what higher ranks take there. It is summed
 // up anew every second.
-func (c *Core) capacity(j *job) float64 {
+func (c *Core) classCapacity(j *job) float64 {
 	cl := j.class
-	if !c.stale(cl) {
+	if !c.capacityStale(cl) {
 		return cl.capacity
 	}
 	cl.capacity, cl.capacityAt = 0, c.now
-	for _, m := range c.open {
-		if !allowed(j, m) || slots(j, m.kind, 0, 0, 0) == 0 || (m.kind.GPUs > 0 && j.spec.GPUs == 0) {
+	for _, m := range c.schedulable {
+		if !allowed(j, m) || slotsFor(j, m.machineType, 0, 0, 0) == 0 || (m.machineType.GPUs > 0 && j.spec.GPUs == 0) {
 			continue
 		}
-		cl.capacity += m.kind.CPUs
-		for _, u := range m.byRank[j.rank+1:] {
+		cl.capacity += m.machineType.CPUs
+		for _, u := range m.usedByRank[j.rank+1:] {
 			cl.capacity -= u.cpus
 		}
 	}
 	return cl.capacity
 }
 
-// markWithin marks the jobs that fit their teams' guarantees together with the
+// markWithinGuarantee marks the jobs that fit their teams' guarantees together with the
 // teams' earlier unfinished jobs: these need not wait on other teams.
-func (c *Core) markWithin() {
+func (c *Core) markWithinGuarantee() {
 	of := map[*team][]*job{}
 	for _, j := range c.jobs {
-		j.within = false
-		if !j.over() && (j.team.CPUs > 0 || j.team.GPUs > 0) {
+		j.withinGuarantee = false
+		if !j.isOver() && (j.team.CPUs > 0 || j.team.GPUs > 0) {
 			of[j.team] = append(of[j.team], j)
 		}
 	}
@@ -321,12 +323,12 @@
 		})
 		cpus, gpus := 0.0, 0.0
 		for _, j := range js {
-			n := float64(j.spec.Tasks - j.doneCount)
+			n := float64(j.spec.Tasks - j.completedCount)
 			cpus += n * j.spec.CPUs
 			gpus += n * j.spec.GPUs
-			j.within = (t.CPUs == 0 || cpus <= t.CPUs+eps) && (t.GPUs == 0 || gpus <= t.GPUs+eps)
-			if !j.looked {
-				j.looked, j.guaranteed = true, j.within
+			j.withinGuarantee = (t.CPUs == 0 || cpus <= t.CPUs+epsilon) && (t.GPUs == 0 || gpus <= t.GPUs+epsilon)
+			if !j.guaranteeEvaluated {
+				j.guaranteeEvaluated, j.initiallyWithinGuarantee = true, j.withinGuarantee
 			}
 		}
 	}
@@ -336,92 +338,94 @@
 // batch is outstanding at a time.
 func (c *Core) Schedule(now Micros) *Commit {
 	c.now = now
-	c.tend()
-	if c.commit != nil {
+	c.reconcile()
+	if c.inFlight != nil {
 		return nil
 	}
 	if c.staged != nil {
-		c.commit, c.staged = c.staged, nil
-		return c.commit
+		c.inFlight, c.staged = c.staged, nil
+		return c.inFlight
 	}
 	b := c.newBatch()
-	c.look()
+	c.refreshSchedulable()
 	queue := c.queue()
-	if i := slices.Index(queue, c.turn); i > 0 { // it needs the batch for itself
+	if i := slices.Index(queue, c.nextGang); i > 0 { // it needs the batch for itself
 		copy(queue[1:i+1], queue[:i])
-		queue[0] = c.turn
+		queue[0] = c.nextGang
 	}
-	c.turn = nil
-	c.viewGPUs(queue)
-	c.view(queue)
-	c.narrow(queue)
-	c.cleared, c.calm = 0, c.settled()
+	c.nextGang = nil
+	c.summarizeGPUs(queue)
+	c.prepareClaims(queue)
+	c.filterWithRoom(queue)
+	c.preemptionSearches, c.fleetSettled = 0, c.isFleetSettled()
 	var gangs []*job // without room
-	rank, held := len(c.ranks), 0
+	rank, held := len(c.placementsByRank), 0
 	for _, j := range queue {
-		if now < j.notBefore {
+		if now < j.backoffUntil {
 			continue
 		}
 		if j.rank < rank {
 			rank = j.rank
-			c.holdBack(gangs[held:])
+			c.reserveBelow(gangs[held:])
 			held = len(gangs)
 		}
-		if !j.gang() {
+		if !j.isGang() {
 			c.placeTasks(j, b)
-		} else if !c.placeGang(j, b) && !j.suspect() {
+		} else if !c.placeGang(j, b) && !j.isSuspect() {
 			gangs = append(gangs, j)
 		}
-		if c.byArrival && j.pending() > 0 && !j.suspect() && j.team.allows(j.spec.CPUs, j.spec.GPUs) {
+		if c.firstComeFirstServed && j.pendingCount() > 0 && !j.isSuspect() && j.team.withinLimit(j.spec.CPUs, j.spec.GPUs) {
 			break // first come, first served
 		}
 	}
-	c.plan(gangs)
-	c.tidyLedger(b)
-	return c.close(b)
+	c.planGangs(gangs)
+	c.compactLedger(b)
+	return c.finishBatch(b)
 }
 
-// look lists the machines that may get launches in this pass. Nothing that
+// refreshSchedulable lists the machines that may get launches in this pass. Nothing that
 // happens within a pass changes which these are.
-func (c *Core) look() {
-	c.open = c.open[:0]
-	for _, m := range c.order {
-		m.wantedBy = 0
-		if c.usable(m) {
-			m.at = len(c.open)
-			c.open = append(c.open, m)
+func (c *Core) refreshSchedulable() {
+	c.schedulable = c.schedulable[:0]
+	for _, m := range c.machinesByName {
+		m.claimedByRank = 0
+		if c.isSchedulable(m) {
+			m.passIndex = len(c.schedulable)
+			c.schedulable = append(c.schedulable, m)
 		}
 	}
-	c.roomy = c.open
+	c.withRoom = c.schedulable
 }
 
-// narrow leaves out, for this pass, the machines that have no room for even the least
+// filterWithRoom leaves out, for this pass, the machines that have no room for even the least
 // that a waiting job asks for: within a pass they only get fuller. When much waits
 // nearly all are full, and each job would look at all of them.
-func (c *Core) narrow(queue []*job) {
-	smallest := nothing()
+func (c *Core) filterWithRoom(queue []*job) {
+	smallest := emptyRequest()
 	for _, j := range queue {
 		smallest.add(j)
 	}
-	c.roomy = nil
-	for _, m := range c.open {
-		if smallest.fits(m.kind, m.cpus, m.mem) && m.n < maxOnMachine {
-			c.roomy = append(c.roomy, m)
+	c.withRoom = nil
+	for _, m := range c.schedulable {
+		if smallest.fits(m.machineType, m.usedCPUs, m.usedMemoryGB) && m.placementCount < maxTasksPerMachine {
+			c.withRoom = append(c.withRoom, m)
 		}
 	}
 }
 
-// least is the least that a task of some jobs asks for: a machine without room for it
+// minimumRequest is the least that a task of some jobs asks for: a machine without room for it
 // has none for any of them.
-type least struct{ cpus, mem float64 }
+type minimumRequest struct{ cpus, mem float64 }
 
-func nothing() least { return least{math.Inf(1), math.Inf(1)} }
+func emptyRequest() minimumRequest { return minimumRequest{math.Inf(1), math.Inf(1)} }
 
-func (l *least) add(j *job) { l.cpus, l.mem = min(l.cpus, j.spec.CPUs), min(l.mem, j.spec.MemoryGB) }
+func (l *minimumRequest) add(j *job) {
+	l.cpus, l.mem = min(l.cpus, j.spec.CPUs), min(l.mem, j.spec.MemoryGB)
+}
 
 // fits says whether it fits a machine of the type of which so much is used.
-func (l *least) fits(t *wire.MachineType, cpus, mem float64) bool {
-	return cpus+l.cpus <= t.CPUs+eps && mem+l.mem <= t.MemoryGB+eps
+func (l *minimumRequest) fits(t *wire.MachineType, cpus, mem float64) bool {
+	return cpus+l.cpus <= t.CPUs+epsilon && mem+l.mem <= t.MemoryGB+epsilon
 }
 
 // candidate is a machine that may take tasks of a job, by how much they would rather
@@ -453,8 +457,8 @@
 // no more.
 func (c *Core) candidates(j *job, zones map[string]int, only string) candidates {
 	var out candidates
-	for i, m := range c.roomy {
-		if (only == "" || m.zone == only) && c.takesMore(j, m, zones) && !c.heldFrom(j, m) {
+	for i, m := range c.withRoom {
+		if (only == "" || m.zone == only) && c.canTakeTask(j, m, zones) && !c.reservedAgainst(j, m) {
 			out = append(out, candidate{m, c.preference(j, m), i})
 		}
 	}
@@ -462,10 +466,10 @@
 	return out
 }
 
-// best takes the best of the candidates that may still take a task, or returns nil.
-func (c *Core) best(all *candidates, j *job, zones map[string]int) *machine {
+// popBest takes the best of the candidates that may still take a task, or returns nil.
+func (c *Core) popBest(all *candidates, j *job, zones map[string]int) *machine {
 	for len(*all) > 0 {
-		if m := heap.Pop(all).(candidate).m; c.takesMore(j, m, zones) {
+		if m := heap.Pop(all).(candidate).m; c.canTakeTask(j, m, zones) {
 			return m
 		} // its zone has had its share
 	}
@@ -475,36 +479,36 @@
 // placeTasks fills machine after machine: the best one for a task is also the
 // best for the job's next one, since it only gets fuller.
 func (c *Core) placeTasks(j *job, b *batch) {
-	zones := j.zones()
+	zones := j.tasksByZone()
 	var all candidates
 	weighed := false
 	attempt := uint64(0)
-	tries := c.tries(j)
+	tries := c.concurrencyLimit(j)
 	for {
-		if _, ok := j.next(); !ok || len(j.placements) >= tries {
+		if _, ok := j.nextPendingTask(); !ok || len(j.placements) >= tries {
 			return
 		}
-		if j.limited() {
+		if j.atTeamLimit() {
 			return // the limit holds, counting tasks that can't be seen
 		}
 		if !weighed {
 			all, weighed = c.candidates(j, zones, ""), true
 		}
-		m := c.best(&all, j, zones)
+		m := c.popBest(&all, j, zones)
 		if m == nil {
-			c.makeRoom(j)
+			c.preemptFor(j)
 			return
 		}
 		if attempt == 0 {
-			attempt = c.attempt()
+			attempt = c.nextAttempt()
 		}
 		var got []*placement
-		for len(j.placements) < tries && b.takes(j, b.cost(m), 1, len(got)+1) && c.takesMore(j, m, zones) && j.team.allows(j.spec.CPUs, j.spec.GPUs) {
-			t, ok := j.next()
+		for len(j.placements) < tries && b.fits(j, b.cost(m), 1, len(got)+1) && c.canTakeTask(j, m, zones) && j.team.withinLimit(j.spec.CPUs, j.spec.GPUs) {
+			t, ok := j.nextPendingTask()
 			if !ok {
 				break
 			}
-			got = append(got, c.place(j, t, m, attempt))
+			got = append(got, c.addPlacement(j, t, m, attempt))
 			zones[m.zone]++
 		}
 		if len(got) == 0 {
@@ -517,7 +521,7 @@
 // Waiting reports how many tasks wait, for logs and metrics.
 func (c *Core) Waiting() (jobs, tasks int) {
 	for _, j := range c.jobs {
-		if n := j.pending(); n > 0 {
+		if n := j.pendingCount(); n > 0 {
 			jobs++
 			tasks += n
 		}
@@ -525,5 +529,7 @@
 	return
 }
 
-// maySave says whether stopping the task with grace keeps its progress.
-func maySave(j *job) bool { return j.spec.CheckpointEvery > 0 && j.spec.Shape != wire.Service }
+// canCheckpoint says whether stopping the task with grace keeps its progress.
+func canCheckpoint(j *job) bool {
+	return j.spec.CheckpointIntervalS > 0 && j.spec.Shape != wire.Service
+}
--- a/internal/sched/evictcost_test.go
+++ b/internal/sched/preemptioncost_test.go
@@ -24,14 +24,14 @@
 		for b.schedule() != nil {
 		}
 		for _, j := range b.jobs {
-			j.spec.CheckpointEvery, j.spec.SaveS, j.spec.MemoryGB = float64(r.IntN(3)*10), float64(r.IntN(5)), float64(1+r.IntN(3))
-			j.evictions = r.IntN(4)
+			j.spec.CheckpointIntervalS, j.spec.CheckpointDurationS, j.spec.MemoryGB = float64(r.IntN(3)*10), float64(r.IntN(5)), float64(1+r.IntN(3))
+			j.preemptions = r.IntN(4)
 			for p := range j.placements {
 				if r.IntN(3) > 0 {
-					p.running = b.now - Micros(r.IntN(200))*second
+					p.runningSince = b.now - Micros(r.IntN(200))*second
 				}
 				if r.IntN(8) == 0 {
-					p.stop, p.checkpoint = true, r.IntN(2) == 0
+					p.stopping, p.checkpointing = true, r.IntN(2) == 0
 				}
 			}
 		}
@@ -41,9 +41,9 @@
 			j.MemoryGB, j.GPUs = float64(1+r.IntN(30)), float64(r.IntN(2))
 			b.AddJob(j, b.now, b.now)
 			want := b.jobs[j.ID]
-			for _, m := range b.order {
-				cost, ok := b.evictionCost(want, m)
-				wantCost, wantOK := b.sumOfVictims(want, m)
+			for _, m := range b.machinesByName {
+				cost, ok := b.preemptionCost(want, m)
+				wantCost, wantOK := b.victimCostSum(want, m)
 				if ok != wantOK || ok && cost != wantCost {
 					t.Fatalf("seed %d, %s on %s: %d, %v; the victims cost %d, %v", seed, j.ID, m.host, cost, ok, wantCost, wantOK)
 				}
--- a/internal/sched/proof_test.go
+++ b/internal/sched/proof_test.go
@@ -11,8 +11,8 @@
 // What a worker says to a direct command proves less than a report of its own: the answer to
 // one may be outstanding and bring a launch. Of what was seen it proves that it is gone.
 func TestAnswersToCommandsProve(t *testing.T) {
-	at := func(b *bed, token, session, seq uint64, tasks ...wire.TaskReport) {
-		b.Answered(&wire.Report{Host: "n-1", Addr: "n-1", Type: "s", Zone: "x", Session: session, Seq: seq, Token: token, Tasks: tasks}, b.now)
+	at := func(b *bed, token, session, seq uint64, tasks ...wire.TaskStatus) {
+		b.CommandAnswered(&wire.Heartbeat{Host: "n-1", Addr: "n-1", Type: "s", Zone: "x", Incarnation: session, Sequence: seq, FencingToken: token, Tasks: tasks}, b.now)
 	}
 	begin := func() *bed {
 		b := newBed(t, config.Team{Name: "a"})
@@ -24,7 +24,7 @@
 		}
 		return b
 	}
-	left := func(b *bed) int { return b.machines["n-1"].n }
+	left := func(b *bed) int { return b.machines["n-1"].placementCount }
 	b := begin()
 	at(b, 7, 1, b.seq+1)
 	if left(b) != 2 {
@@ -33,7 +33,7 @@
 	b.seq++
 	running := b.running("n-1")
 	b.report("n-1", "s", "x", 1, running...)
-	b.Ended("j-1", wire.JobCancelled, b.now)
+	b.JobEnded("j-1", wire.JobCancelled, b.now)
 	exited := slices.Clone(running)
 	for i := range exited {
 		exited[i].State, exited[i].Cause = wire.TaskExited, wire.CauseStopped
@@ -52,7 +52,7 @@
 		t.Errorf("%d tasks after one was said to have exited", left(b))
 	}
 	at(b, 7, 1, b.seq+2, exited[0])
-	if f := b.Forgotten(); left(b) != 0 || !slices.Equal(f, []Forgotten{{"j-1", wire.JobCancelled}}) {
+	if f := b.TakeForgotten(); left(b) != 0 || !slices.Equal(f, []ForgottenJob{{"j-1", wire.JobCancelled}}) {
 		t.Errorf("%d tasks are left, forgotten %v, when the other is gone from the list", left(b), f)
 	}
 	b = begin()
@@ -70,15 +70,15 @@
 func TestMachineThatWasNeverListed(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a"})
 	b.AddJob(spec("j-1", "a", wire.Low, 1, 2), b.now, b.now)
-	b.Load(map[string]Entry{"e": {Hosts: []EntryHost{{Host: "n-9", Addr: "n-9", Type: "s", Zone: "x", Session: 1}}, Runs: []Run{{Host: 0, Job: "j-1", Attempt: 5, Tasks: []int32{0}}}}})
-	b.Ended("j-1", wire.JobDone, b.now)
+	b.RecoverLedger(map[string]LedgerEntry{"e": {Hosts: []LedgerHost{{Host: "n-9", Addr: "n-9", Type: "s", Zone: "x", Incarnation: 1}}, Runs: []LedgerRun{{Host: 0, Job: "j-1", Attempt: 5, Tasks: []int32{0}}}}})
+	b.JobEnded("j-1", wire.JobDone, b.now)
 	returned := false
 	for range 40 { // the list lags 5 s, at times 10
 		b.now += second
-		b.Machines(nil, b.now)
-		back := b.Returns(b.now, false)
+		b.MachinesListed(nil, b.now)
+		back := b.ScaleIn(b.now, false)
 		returned = returned || slices.Contains(back, "n-9")
-		if returned && b.now-b.since < 20*second {
+		if returned && b.now-b.termStart < 20*second {
 			t.Fatal("returned while a list that lags need not show it")
 		}
 	}
@@ -98,7 +98,7 @@
 	j.Shape, j.Spread = wire.Gang, true
 	b.AddJob(j, b.now, b.now)
 	b.now += 5 * second
-	b.Machines(nil, b.now)
+	b.MachinesListed(nil, b.now)
 	for _, h := range []string{"n-1", "n-2", "n-3"} {
 		b.report(h, "s", "x", 1)
 	}
@@ -106,7 +106,7 @@
 		t.Fatal("placed in one zone")
 	}
 	in := map[string]int{}
-	for _, h := range b.Hires(b.now) {
+	for _, h := range b.ScaleOut(b.now) {
 		in[h.Zone] += h.Count
 	}
 	if in["y"] == 0 || in["x"] > 0 {
@@ -139,10 +139,10 @@
 		j.Shape, j.Zone, j.OneZone, j.Spread = c.shape, c.zone, c.oneZone, c.spread
 		cat := wire.Catalog{}
 		for _, n := range []string{"s", "g"} {
-			cat.Types = append(cat.Types, *b.types[n])
+			cat.Types = append(cat.Types, *b.machineTypes[n])
 		}
-		b.set.Deployment.Teams = []config.Team{{Name: "a", CPUsMax: 16}}
-		if err := Admit(b.set, cat, &j); (err == nil) != c.ok {
+		b.settings.Deployment.Teams = []config.Team{{Name: "a", CPUsMax: 16}}
+		if err := Admit(b.settings, cat, &j); (err == nil) != c.ok {
 			t.Errorf("%s: %v", c.what, err)
 		}
 	}
@@ -174,16 +174,16 @@
 	for range 80 {
 		b.now += second
 		b.report("n-1", "s", "x", 1)
-		b.Machines([]wire.Machine{{ID: "n-1", Type: "s", Zone: "x", State: wire.HostRunning}}, b.now)
+		b.MachinesListed([]wire.Machine{{ID: "n-1", Type: "s", Zone: "x", State: wire.MachineRunning}}, b.now)
 		b.schedule()
-		if back := b.Returns(b.now, false); len(back) > 0 {
-			t.Fatalf("returned %v after %d s", back, (b.now-b.since)/second)
+		if back := b.ScaleIn(b.now, false); len(back) > 0 {
+			t.Fatalf("returned %v after %d s", back, (b.now-b.termStart)/second)
 		}
 	}
-	b.Ended("j-1", wire.JobCancelled, b.now)
+	b.JobEnded("j-1", wire.JobCancelled, b.now)
 	b.now += second
 	b.report("n-1", "s", "x", 1)
-	if back := b.Returns(b.now, false); len(back) != 1 {
+	if back := b.ScaleIn(b.now, false); len(back) != 1 {
 		t.Errorf("returned %v once nobody waits", back)
 	}
 }
@@ -196,15 +196,15 @@
 	m, since := b.machines["n-1"], b.now
 	for _, stored := range []bool{false, true} {
 		b.now += 10 * second
-		p := b.place(b.jobs["j-1"], 0, m, 9)
-		p.stored = stored
-		b.free(p)
+		p := b.addPlacement(b.jobs["j-1"], 0, m, 9)
+		p.durable = stored
+		b.release(p)
 		want := since
 		if stored {
 			want = b.now
 		}
-		if m.idleSince != want || m.gpusIdle != want {
-			t.Errorf("stored %v: idle since %d and %d, want %d", stored, m.idleSince, m.gpusIdle, want)
+		if m.idleSince != want || m.gpusIdleSince != want {
+			t.Errorf("stored %v: idle since %d and %d, want %d", stored, m.idleSince, m.gpusIdleSince, want)
 		}
 	}
 }
@@ -217,16 +217,16 @@
 	b.report("n-1", "s", "x", 1)
 	b.schedule()
 	b.report("n-1", "s", "x", 1, b.running("n-1")...)
-	b.Ended("j-1", wire.JobDone, b.now)
+	b.JobEnded("j-1", wire.JobDone, b.now)
 	for range 150 {
 		b.now += second
 		for _, h := range []string{"n-2", "n-3", "n-4"} {
 			b.report(h, "s", "x", 1)
 		}
-		b.Machines([]wire.Machine{{ID: "n-1", Type: "s", Zone: "x", State: wire.HostRunning}}, b.now)
+		b.MachinesListed([]wire.Machine{{ID: "n-1", Type: "s", Zone: "x", State: wire.MachineRunning}}, b.now)
 		b.schedule()
-		b.Survey(b.now, nil)
-		if slices.Contains(b.Returns(b.now, false), "n-1") {
+		b.DetectFailures(b.now, nil)
+		if slices.Contains(b.ScaleIn(b.now, false), "n-1") {
 			return
 		}
 	}
@@ -241,7 +241,7 @@
 	b.report("n-1", "s", "x", 1)
 	b.schedule()
 	b.report("n-1", "s", "x", 1, b.running("n-1")...)
-	b.Directs()
+	b.TakeDirectCommands()
 	asked := false
 	for range 20 {
 		b.now += second
@@ -249,15 +249,15 @@
 			b.report(h, "s", "x", 1)
 		}
 		b.schedule()
-		for _, d := range b.Directs() {
-			asked = asked || d.Addr == "n-1" && b.machines["n-1"].lost
+		for _, d := range b.TakeDirectCommands() {
+			asked = asked || d.Addr == "n-1" && b.machines["n-1"].leaseExpired
 		}
 	}
 	if !asked {
 		t.Fatal("not asked")
 	}
-	b.Answered(&wire.Report{Host: "n-1", Addr: "n-1", Type: "s", Zone: "x", Session: 2, Seq: 1, Token: 7}, b.now)
-	if b.machines["n-1"].n != 0 {
+	b.CommandAnswered(&wire.Heartbeat{Host: "n-1", Addr: "n-1", Type: "s", Zone: "x", Incarnation: 2, Sequence: 1, FencingToken: 7}, b.now)
+	if b.machines["n-1"].placementCount != 0 {
 		t.Error("its answer of a later session freed nothing")
 	}
 	b.schedule()
--- a/internal/sched/scale_test.go
+++ b/internal/sched/scale_test.go
@@ -10,7 +10,7 @@
 
 // scaled is a core with so many machines, full of arrays of twelve classes, so many
 // jobs that wait for more, and a few gangs beside them. It returns the ledger too.
-func scaled(bm *testing.B, machines, jobs int) (*bed, map[string]Entry) {
+func scaled(bm *testing.B, machines, jobs int) (*bed, map[string]LedgerEntry) {
 	b := crowd(bm, 1, machines, 0)
 	for i := range jobs {
 		j := spec(fmt.Sprintf("j-%06d", i), []string{"a", "b"}[i%2], []string{wire.Low, wire.Normal}[i/2%2], machines*8/jobs, float64(1+i%3))
@@ -25,10 +25,10 @@
 		j.Class, j.Shape, j.OneZone = "gangs", wire.Gang, true
 		b.AddJob(j, b.now, b.now)
 	}
-	ledger := map[string]Entry{}
+	ledger := map[string]LedgerEntry{}
 	for cm := b.schedule(); cm != nil; cm = b.schedule() {
 		for _, e := range cm.Entries {
-			ledger[e.Name] = e.Entry
+			ledger[e.Name] = e.LedgerEntry
 		}
 	}
 	return b, ledger
@@ -42,8 +42,8 @@
 	for _, n := range []int{1000, 4000, 10_000} {
 		b, ledger := scaled(bm, n, n/6)
 		hosts := make([]string, 0, n)
-		tasks := map[string][]wire.TaskReport{}
-		for _, m := range b.order {
+		tasks := map[string][]wire.TaskStatus{}
+		for _, m := range b.machinesByName {
 			hosts = append(hosts, m.host)
 			tasks[m.host] = b.running(m.host)
 		}
@@ -55,20 +55,20 @@
 			for bm.Loop() {
 				h := hosts[i%n]
 				i++
-				b.report(h, b.machines[h].kind.Name, b.machines[h].zone, 1, tasks[h]...)
+				b.report(h, b.machines[h].machineType.Name, b.machines[h].zone, 1, tasks[h]...)
 			}
 		})
-		for k, m := range b.order {
-			m.lastHello = b.now
+		for k, m := range b.machinesByName {
+			m.lastHeartbeat = b.now
 			if k%10 == 0 {
-				m.lastHello -= 30 * second
-				m.lost, m.confirmed = true, false
+				m.lastHeartbeat -= 30 * second
+				m.leaseExpired, m.confirmed = true, false
 			}
 		}
 		bm.Run(fmt.Sprint("silence/", n), func(bm *testing.B) {
 			for bm.Loop() {
-				b.Survey(b.now, []failuredomain.Controller{{Zone: "x", Heard: b.now}})
-				b.ReturnFailed(b.Returns(b.now, false), b.now)
+				b.DetectFailures(b.now, []failuredomain.Controller{{Zone: "x", Heard: b.now}})
+				b.ScaleInFailed(b.ScaleIn(b.now, false), b.now)
 			}
 		})
 		bm.Run(fmt.Sprint("takeover/", n), func(bm *testing.B) {
@@ -81,7 +81,7 @@
 				for _, s := range specs {
 					t.AddJob(s, t.now, t.now)
 				}
-				t.Load(ledger)
+				t.RecoverLedger(ledger)
 			}
 		})
 	}
@@ -89,14 +89,14 @@
 
 // passes runs passes 20 ms apart, with reports in between as they come every 4 s.
 func (b *bed) passes(bm *testing.B) {
-	n := len(b.order)
+	n := len(b.machinesByName)
 	for bm.Loop() {
 		b.now += 20_000
 		for i := range n / 200 {
-			b.order[(int(b.now/20_000)*n/200+i)%n].lastHello = b.now
+			b.machinesByName[(int(b.now/20_000)*n/200+i)%n].lastHeartbeat = b.now
 		}
 		if cm := b.Schedule(b.now); cm != nil {
-			b.Refused(cm, b.now)
+			b.CommitRejected(cm, b.now)
 		}
 	}
 }
--- a/internal/sched/rent.go
+++ b/internal/sched/scaleout.go
@@ -9,11 +9,11 @@
 	"dalefront/wire"
 )
 
-// Hires returns the rental requests that the waiting tasks and the spare room
+// ScaleOut returns the rental requests that the waiting tasks and the spare room
 // call for; at most a few at a time.
-func (c *Core) Hires(now Micros) []wire.Hire {
+func (c *Core) ScaleOut(now Micros) []wire.ScaleOutRequest {
 	c.now = now
-	if now-c.since < 3*second || c.listedAt == 0 {
+	if now-c.termStart < 3*second || c.listedAt == 0 {
 		return nil // first learn which machines there are
 	}
 	type bin struct {
@@ -26,21 +26,21 @@
 	}
 	total := 0
 	var bins []*bin
-	for _, m := range c.order {
-		if m.failed || m.returning {
+	for _, m := range c.machinesByName {
+		if m.failed || m.scalingIn {
 			continue
 		}
 		total++
-		if m.recallAt > 0 || m.bad || m.cordon != nil {
+		if m.reclaimAt > 0 || m.quarantined || m.cordon != nil {
 			continue
 		}
-		overdue := !m.up && now-m.born > config.Micro(2*m.kind.BootS)+10*second
+		overdue := !m.registered && now-m.rentedAt > config.Micro(2*m.machineType.BootS)+10*second
 		if overdue {
 			continue // don't count on it
 		}
-		b := &bin{kind: m.kind, zone: m.zone, spot: m.spot, cpus: m.cpus, gpus: m.gpus, me: m.mem, away: c.away(m)}
-		m.each(func(p *placement) {
-			if c.endsWithin(p, config.Micro(0.8*m.kind.BootS)) && p.job.spec.GPUs > 0 {
+		b := &bin{kind: m.machineType, zone: m.zone, spot: m.spot, cpus: m.usedCPUs, gpus: m.usedGPUs, me: m.usedMemoryGB, away: c.unreachable(m)}
+		m.eachPlacement(func(p *placement) {
+			if c.endsWithin(p, config.Micro(0.8*m.machineType.BootS)) && p.job.spec.GPUs > 0 {
 				// Free again before another machine would be up.
 				b.cpus -= p.job.spec.CPUs
 				b.gpus -= p.job.spec.GPUs
@@ -49,7 +49,7 @@
 		})
 		bins = append(bins, b)
 	}
-	for _, n := range c.hiring {
+	for _, n := range c.pendingScaleOut {
 		if n > 0 {
 			return nil // one round of requests at a time
 		}
@@ -57,29 +57,29 @@
 	var need []demand
 	maxDemand := c.maxDemand()
 	for _, j := range c.queue() {
-		n := min(j.pending(), c.tries(j))
-		if !c.mayRent(j) {
+		n := min(j.pendingCount(), c.concurrencyLimit(j))
+		if !c.mayScaleOutFor(j) {
 			continue
 		}
-		if !j.gang() {
+		if !j.isGang() {
 			// Tasks shorter than a boot can run one after another.
-			est := float64(j.estimate()) / float64(second)
+			est := float64(j.expectedRunTime()) / float64(second)
 			if est > 0 {
 				n = int(math.Ceil(float64(n) * min(1, (est+5)/(est+15))))
 			}
-			for lim := n; lim > 0 && !j.team.allows(float64(lim)*j.spec.CPUs, float64(lim)*j.spec.GPUs); lim-- {
+			for lim := n; lim > 0 && !j.team.withinLimit(float64(lim)*j.spec.CPUs, float64(lim)*j.spec.GPUs); lim-- {
 				n = lim - 1
 			}
 		}
 		need = append(need, demand{j, min(n, maxDemand)})
 	}
 	waiting := len(need) // what follows is room kept ready: what is away will do for it
-	need = append(need, c.spares(now)...)
-	if short := c.reserve(); short > 0 {
+	need = append(need, c.expectedDemand(now)...)
+	if short := c.standbyDemand(); short > 0 {
 		for _, b := range bins {
 			short -= c.serves(b.kind, b.zone, b.spot)
 		}
-		if j := c.heaviest(now); j != nil && short >= j.spec.CPUs {
+		if j := c.heaviestJob(now); j != nil && short >= j.spec.CPUs {
 			used := 0 // beyond what waits and the spare room
 			for _, d := range need {
 				used += d.slots
@@ -89,19 +89,19 @@
 			}
 		}
 	}
-	count := map[string]*wire.Hire{}
+	count := map[string]*wire.ScaleOutRequest{}
 	var order, full []string
 	wanted := 0.0
 	for _, d := range need {
 		wanted += float64(d.slots) * d.job.spec.CPUs
 	}
 	atOnce := perKind
-	if least := c.smallest(); least > 0 {
+	if least := c.smallestRequest(); least > 0 {
 		atOnce = min(perHire, max(perKind, int(wanted/least/16)))
 	}
 	// Bins that have no room for even the least of these are left out: they only get
 	// fuller. At a full site nearly all are, and each job would look at all of them.
-	smallest := nothing()
+	smallest := emptyRequest()
 	for _, d := range need {
 		smallest.add(d.job)
 	}
@@ -109,7 +109,7 @@
 	asked := 0
 	bins = slices.DeleteFunc(bins, taken)
 	inZone := map[string]int{}
-	for _, m := range c.order {
+	for _, m := range c.machinesByName {
 		inZone[m.zone]++
 	}
 	for i, d := range need {
@@ -119,18 +119,18 @@
 		// Room in a zone that may take no more of the job's tasks doesn't help it.
 		used := map[string]int{}
 		if i < waiting && (j.spec.OneZone || j.spec.Spread) {
-			used = j.zones()
+			used = j.tasksByZone()
 		}
 		fill := func(b *bin) {
-			if left == 0 || !zoneOK(j, used, b.zone) || (b.away && i < waiting) || (only != "" && b.zone != only) || (b.spot && !j.spec.Spot) || !fitsType(&j.spec, b.kind) || (j.spec.Zone != nil && *j.spec.Zone != b.zone) {
+			if left == 0 || !satisfiesZones(j, used, b.zone) || (b.away && i < waiting) || (only != "" && b.zone != only) || (b.spot && !j.spec.Spot) || !fitsType(&j.spec, b.kind) || (j.spec.Zone != nil && *j.spec.Zone != b.zone) {
 				return
 			}
 			if b.kind.GPUs > 0 && j.spec.GPUs == 0 && b.fresh {
 				return
 			}
-			k := min(left, slots(j, b.kind, b.cpus, b.gpus, b.me))
+			k := min(left, slotsFor(j, b.kind, b.cpus, b.gpus, b.me))
 			if j.spec.Spread {
-				k = min(k, j.share()-used[b.zone])
+				k = min(k, j.zoneLimit()-used[b.zone])
 			}
 			left -= k
 			used[b.zone] += k
@@ -138,19 +138,19 @@
 			b.gpus += float64(k) * j.spec.GPUs
 			b.me += float64(k) * j.spec.MemoryGB
 		}
-		if j.spec.OneZone && j.gang() && left > 1 {
+		if j.spec.OneZone && j.isGang() && left > 1 {
 			// Machines spread over zones don't help it: the zone that has most room
 			// for it, now or soon, gets what is still missing.
 			in := map[string]int{}
 			for _, b := range bins {
 				if !b.away && (!b.spot || j.spec.Spot) && fitsType(&j.spec, b.kind) && !(b.kind.GPUs > 0 && j.spec.GPUs == 0 && b.fresh) {
-					in[b.zone] += min(left, slots(j, b.kind, b.cpus, b.gpus, b.me))
+					in[b.zone] += min(left, slotsFor(j, b.kind, b.cpus, b.gpus, b.me))
 				}
 			}
 			most := -1
-			for _, z := range c.zonesFor(j) {
+			for _, z := range c.candidateZones(j) {
 				n := in[z]
-				if n < left && !c.hirable(j, z) {
+				if n < left && !c.canScaleOut(j, z) {
 					n -= 1 << 20
 				}
 				if only == "" || n > most {
@@ -171,8 +171,8 @@
 		if filled > len(bins)/8 {
 			bins = slices.DeleteFunc(bins, taken)
 		}
-		for left > 0 && total < *c.set.Operator.MaxMachines && asked < mostAsked {
-			t, zone, spot, ok := c.choose(j, left, only, used, inZone)
+		for left > 0 && total < *c.settings.Operator.MaxMachines && asked < mostAsked {
+			t, zone, spot, ok := c.chooseType(j, left, only, used, inZone)
 			if !ok {
 				break
 			}
@@ -189,37 +189,37 @@
 			}
 			k := spotKey(t.Name, zone, spot)
 			if count[k] == nil {
-				count[k] = &wire.Hire{Type: t.Name, Zone: zone, Spot: spot}
+				count[k] = &wire.ScaleOutRequest{Type: t.Name, Zone: zone, Spot: spot}
 				order = append(order, k)
 			}
 			count[k].Count++
 			if count[k].Count == atOnce {
-				c.refused[k] = now // full for this round: go on with the next kind
+				c.outOfCapacity[k] = now // full for this round: go on with the next kind
 				full = append(full, k)
 			}
 		}
 	}
 	for _, k := range full {
-		delete(c.refused, k)
+		delete(c.outOfCapacity, k)
 	}
-	var out []wire.Hire
+	var out []wire.ScaleOutRequest
 	for _, k := range order {
-		if len(out) == max(2, int(c.set.Deployment.Cloud.RPS)) {
+		if len(out) == max(2, int(c.settings.Deployment.Cloud.RPS)) {
 			break
 		}
 		h := *count[k]
-		c.hiring[h.Type] += h.Count
+		c.pendingScaleOut[h.Type] += h.Count
 		out = append(out, h)
 	}
 	return out
 }
 
-// smallest is the size of the smallest machine type that some class can use.
-func (c *Core) smallest() float64 {
+// smallestRequest is the size of the smallest machine type that some class can use.
+func (c *Core) smallestRequest() float64 {
 	least := 0.0
-	for _, cl := range c.eachClass() {
-		for _, t := range c.types {
-			if cl.sample != nil && fitsType(&cl.sample.spec, t) && (least == 0 || t.CPUs < least) {
+	for _, cl := range c.classesByName() {
+		for _, t := range c.machineTypes {
+			if cl.sampleJob != nil && fitsType(&cl.sampleJob.spec, t) && (least == 0 || t.CPUs < least) {
 				least = t.CPUs
 			}
 		}
@@ -229,10 +229,10 @@
 
 // endsWithin says whether a running task is expected to end within the time.
 func (c *Core) endsWithin(p *placement, t Micros) bool {
-	if p.running == 0 || p.job.spec.EstimateS == 0 {
+	if p.runningSince == 0 || p.job.spec.EstimateS == 0 {
 		return false
 	}
-	left := p.job.estimate() - (c.now - p.running)
+	left := p.job.expectedRunTime() - (c.now - p.runningSince)
 	return left > 0 && left < t
 }
 
@@ -251,12 +251,12 @@
 )
 
 // maxDemand is for how many waiting tasks of one job machines are rented at a time.
-func (c *Core) maxDemand() int { return max(minDemand, len(c.order)) }
+func (c *Core) maxDemand() int { return max(minDemand, len(c.machinesByName)) }
 
-// zonesFor lists the zones in which the job may have machines at all.
-func (c *Core) zonesFor(j *job) []string {
+// candidateZones lists the zones in which the job may have machines at all.
+func (c *Core) candidateZones(j *job) []string {
 	var zs []string
-	for _, t := range c.types {
+	for _, t := range c.machineTypes {
 		if !fitsType(&j.spec, t) {
 			continue
 		}
@@ -270,9 +270,9 @@
 	return zs
 }
 
-// hirable says whether the zone may have machines for the job, as far as known.
-func (c *Core) hirable(j *job, zone string) bool {
-	_, _, _, ok := c.choose(j, 1, zone, nil, nil)
+// canScaleOut says whether the zone may have machines for the job, as far as known.
+func (c *Core) canScaleOut(j *job, zone string) bool {
+	_, _, _, ok := c.chooseType(j, 1, zone, nil, nil)
 	return ok
 }
 
@@ -280,46 +280,46 @@
 // whose start no aim watches.
 const dearest = 3
 
-// choose picks the type, zone and kind with the least price for a task of the
+// chooseType picks the type, zone and kind with the least price for a task of the
 // job among those not lately refused, spread over zones, in which so many of its tasks
 // are thought to be.
-func (c *Core) choose(j *job, left int, only string, used, inZone map[string]int) (*wire.MachineType, string, bool, bool) {
+func (c *Core) chooseType(j *job, left int, only string, used, inZone map[string]int) (*wire.MachineType, string, bool, bool) {
 	var best *wire.MachineType
 	var zone string
 	var spot bool
 	bestPrice := math.Inf(1)
 	cheapest := math.Inf(1)
-	for _, t := range c.types {
-		if n := slots(j, t, 0, 0, 0); n > 0 && fitsType(&j.spec, t) && t.Price > 0 {
+	for _, t := range c.machineTypes {
+		if n := slotsFor(j, t, 0, 0, 0); n > 0 && fitsType(&j.spec, t) && t.Price > 0 {
 			cheapest = min(cheapest, t.Price/float64(n))
 		}
 	}
-	names := make([]string, 0, len(c.types))
-	for n := range c.types {
+	names := make([]string, 0, len(c.machineTypes))
+	for n := range c.machineTypes {
 		names = append(names, n)
 	}
 	sort.Strings(names)
 	for _, n := range names {
-		t := c.types[n]
+		t := c.machineTypes[n]
 		if !fitsType(&j.spec, t) {
 			continue
 		}
-		k := min(left, slots(j, t, 0, 0, 0))
+		k := min(left, slotsFor(j, t, 0, 0, 0))
 		if k == 0 {
 			continue
 		}
 		for _, z := range t.Zones {
-			if (j.spec.Zone != nil && *j.spec.Zone != z) || (only != "" && z != only) || !zoneOK(j, used, z) || c.domains.IsCut(z) || !c.mayHire(n, z) {
+			if (j.spec.Zone != nil && *j.spec.Zone != z) || (only != "" && z != only) || !satisfiesZones(j, used, z) || c.detector.IsCut(z) || !c.mayScaleOutIn(n, z) {
 				continue // what is rented in a zone that is cut off can't be reached
 			}
 			for _, s := range []bool{true, false} {
-				if (s && !j.spec.Spot) || c.now <= c.refused[spotKey(n, z, s)] || rate(t, s) <= 0 {
+				if (s && !j.spec.Spot) || c.now <= c.outOfCapacity[spotKey(n, z, s)] || hourlyRate(t, s) <= 0 {
 					continue
 				}
-				if per := rate(t, false) / float64(slots(j, t, 0, 0, 0)); len(j.class.waits) == 0 && per > dearest*cheapest {
+				if per := hourlyRate(t, false) / float64(slotsFor(j, t, 0, 0, 0)); len(j.class.waitObjectives) == 0 && per > dearest*cheapest {
 					continue
 				}
-				price := rate(t, s) / float64(k) * (1 + 0.01*float64(inZone[z]))
+				price := hourlyRate(t, s) / float64(k) * (1 + 0.01*float64(inZone[z]))
 				if price < bestPrice {
 					best, zone, spot, bestPrice = t, z, s, price
 				}
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -35,9 +35,9 @@
 	return &bed{Core: New(&set, 7, 1000*second, cat, func(string, ...any) {}), t: t, base: &set}
 }
 
-func (b *bed) report(host, typ, zone string, session uint64, tasks ...wire.TaskReport) wire.ReportAnswer {
+func (b *bed) report(host, typ, zone string, session uint64, tasks ...wire.TaskStatus) wire.HeartbeatResponse {
 	b.seq++
-	return b.Report(&wire.Report{Host: host, Addr: host, Type: typ, Zone: zone, Session: session, Seq: b.seq, Token: 7, Tasks: tasks}, b.now)
+	return b.Heartbeat(&wire.Heartbeat{Host: host, Addr: host, Type: typ, Zone: zone, Incarnation: session, Sequence: b.seq, FencingToken: 7, Tasks: tasks}, b.now)
 }
 
 // schedule runs a pass and stores its batch; nil says that it launches nothing.
@@ -46,16 +46,16 @@
 	if cm == nil {
 		return nil
 	}
-	b.Committed(cm, b.now)
+	b.CommitStored(cm, b.now)
 	if len(cm.placements) == 0 {
 		return nil
 	}
 	return cm
 }
 
-func (b *bed) running(host string) (out []wire.TaskReport) {
-	b.machines[host].each(func(p *placement) {
-		out = append(out, wire.TaskReport{Task: wire.TaskName(p.job.id, p.task), Attempt: p.attempt, State: wire.TaskRunning})
+func (b *bed) running(host string) (out []wire.TaskStatus) {
+	b.machines[host].eachPlacement(func(p *placement) {
+		out = append(out, wire.TaskStatus{Task: wire.TaskName(p.job.id, p.taskIndex), Attempt: p.attempt, State: wire.TaskRunning})
 	})
 	return out
 }
@@ -64,8 +64,8 @@
 	return wire.Job{ID: id, Class: "c" + id, Team: team, Shape: wire.Array, Priority: priority, Tasks: tasks, CPUs: cpus, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 60}
 }
 
-func ops(a wire.ReportAnswer, op string) (names []string) {
-	for _, o := range a.Orders {
+func ops(a wire.HeartbeatResponse, op string) (names []string) {
+	for _, o := range a.Commands {
 		if o.Op == op {
 			names = append(names, o.Task)
 		}
@@ -83,7 +83,7 @@
 		b := newBed(t, config.Team{Name: "a"})
 		b.report("n-1", "s", "x", 1)
 		low := spec("j-1", "a", wire.Low, 1, 8)
-		low.CheckpointEvery, low.SaveS = 5, 2
+		low.CheckpointIntervalS, low.CheckpointDurationS = 5, 2
 		b.AddJob(low, b.now, b.now)
 		b.schedule()
 		b.report("n-1", "s", "x", 1, b.running("n-1")...)
@@ -95,11 +95,11 @@
 		}
 		b.schedule()
 		a = b.report("n-1", "s", "x", 1, b.running("n-1")...)
-		if len(a.Orders) != 1 || a.Orders[0].Op != wire.Stop {
-			t.Fatalf("after %d us: orders %+v, want one stop", c.ran, a.Orders)
+		if len(a.Commands) != 1 || a.Commands[0].Op != wire.Stop {
+			t.Fatalf("after %d us: orders %+v, want one stop", c.ran, a.Commands)
 		}
-		if got := *a.Orders[0].GraceS >= low.SaveS; got != c.checkpoint {
-			t.Errorf("after %d us: grace %v, checkpoint should be %v", c.ran, *a.Orders[0].GraceS, c.checkpoint)
+		if got := *a.Commands[0].GraceS >= low.CheckpointDurationS; got != c.checkpoint {
+			t.Errorf("after %d us: grace %v, checkpoint should be %v", c.ran, *a.Commands[0].GraceS, c.checkpoint)
 		}
 	}
 }
@@ -109,7 +109,7 @@
 	b := newBed(t, config.Team{Name: "a"})
 	b.report("n-1", "s", "x", 1)
 	low := spec("j-1", "a", wire.Low, 4, 2)
-	low.CheckpointEvery, low.SaveS = 5, 2
+	low.CheckpointIntervalS, low.CheckpointDurationS = 5, 2
 	b.AddJob(low, b.now, b.now)
 	b.schedule()
 	b.report("n-1", "s", "x", 1, b.running("n-1")...)
@@ -139,7 +139,7 @@
 	}
 	b.schedule()
 	if a := b.report("n-1", "s", "x", 1); len(ops(a, wire.Launch)) != 1 {
-		t.Errorf("the room made was not given to its claimant: %+v", a.Orders)
+		t.Errorf("the room made was not given to its claimant: %+v", a.Commands)
 	}
 }
 
@@ -169,7 +169,7 @@
 		b.now += 2 * second
 		b.report("n-1", "s", "x", 1, b.running("n-1")...)
 		b.schedule()
-		if got := b.Stats.Evictions > 0; got != c.evicts {
+		if got := b.Stats.Preemptions > 0; got != c.evicts {
 			t.Errorf("%s: evicted %v, want %v", c.name, got, c.evicts)
 		}
 	}
@@ -191,14 +191,14 @@
 		b.report("n-1", "s", "x", 1, b.running("n-1")...)
 		b.schedule()
 		for _, tr := range b.running("n-1") {
-			if tr.Task == id && b.jobs["j-1"].evictions <= maxEvictions {
+			if tr.Task == id && b.jobs["j-1"].preemptions <= maxEvictions {
 				tr.State, tr.Cause = wire.TaskExited, wire.CauseStopped
 				b.report("n-1", "s", "x", 1, tr)
 			}
 		}
-		b.Ended("j-9"+string(rune('0'+i)), wire.JobCancelled, b.now)
+		b.JobEnded("j-9"+string(rune('0'+i)), wire.JobCancelled, b.now)
 	}
-	if n := b.jobs["j-1"].evictions; n == 0 || n > maxEvictions {
+	if n := b.jobs["j-1"].preemptions; n == 0 || n > maxEvictions {
 		t.Errorf("evicted %d times, want 1 to %d", n, maxEvictions)
 	}
 }
@@ -220,7 +220,7 @@
 		}
 		b.schedule()
 	}
-	if n := b.Stats.Evictions; n == 0 || n > 2 {
+	if n := b.Stats.Preemptions; n == 0 || n > 2 {
 		t.Errorf("%d of 8 machines cleared at once, want 1 or 2", n)
 	}
 }
@@ -241,10 +241,10 @@
 	if b.schedule() == nil {
 		t.Fatal("the gang was not placed")
 	}
-	attempt := b.jobs["j-1"].attempt
+	attempt := b.jobs["j-1"].gangAttempt
 	for p := range b.jobs["j-1"].placements {
-		if p.m.zone != "y" || p.attempt != attempt {
-			t.Errorf("placed on %s in %s with attempt %d", p.m.host, p.m.zone, p.attempt)
+		if p.machine.zone != "y" || p.attempt != attempt {
+			t.Errorf("placed on %s in %s with attempt %d", p.machine.host, p.machine.zone, p.attempt)
 		}
 	}
 	waiting := b.running("n-2")
@@ -253,8 +253,8 @@
 	b.report("n-3", "s", "y", 2) // its worker forgot everything
 	b.schedule()
 	a := b.report("n-3", "s", "y", 2)
-	if len(a.Orders) != 1 || a.Orders[0].Op != wire.Launch || a.Orders[0].Attempt != attempt {
-		t.Errorf("replacement: %+v, want a launch with attempt %d", a.Orders, attempt)
+	if len(a.Commands) != 1 || a.Commands[0].Op != wire.Launch || a.Commands[0].Attempt != attempt {
+		t.Errorf("replacement: %+v, want a launch with attempt %d", a.Commands, attempt)
 	}
 }
 
@@ -266,7 +266,7 @@
 	b.AddJob(spec("j-1", "a", wire.Normal, 2, 8), b.now, b.now)
 	b.schedule()
 	gone := "n-1"
-	if b.machines["n-1"].n == 0 {
+	if b.machines["n-1"].placementCount == 0 {
 		gone = "n-2"
 	}
 	b.report(gone, "s", "x", 1) // the launch goes with the answer
@@ -283,11 +283,11 @@
 	if b.schedule() != nil {
 		t.Fatal("placed again on no more than the time that has passed")
 	}
-	back := b.Returns(b.now, false)
+	back := b.ScaleIn(b.now, false)
 	if len(back) != 1 || back[0] != gone {
 		t.Fatalf("returned %v, want %s", back, gone)
 	}
-	b.Gone(back, b.now)
+	b.MachinesReturned(back, b.now)
 	if b.schedule() == nil {
 		t.Error("not placed again after the return was confirmed")
 	}
@@ -298,8 +298,8 @@
 func TestUnconfirmedWorker(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a"})
 	b.AddJob(spec("j-1", "a", wire.Normal, 1, 8), b.now, b.now)
-	b.Load(map[string]Entry{"e": {Hosts: []EntryHost{{Host: "n-1", Addr: "n-1", Type: "s", Zone: "x", Session: 1}},
-		Runs: []Run{{Host: 0, Job: "j-1", Attempt: 5, Tasks: []int32{0}}}}})
+	b.RecoverLedger(map[string]LedgerEntry{"e": {Hosts: []LedgerHost{{Host: "n-1", Addr: "n-1", Type: "s", Zone: "x", Incarnation: 1}},
+		Runs: []LedgerRun{{Host: 0, Job: "j-1", Attempt: 5, Tasks: []int32{0}}}}})
 	b.report("n-2", "s", "x", 1)
 	pushed := 0
 	for i := 0; i < 40; i++ {
@@ -308,8 +308,8 @@
 		if b.schedule() != nil {
 			t.Fatalf("started a second copy after %d s without proof", i+1)
 		}
-		for _, d := range b.Directs() {
-			if d.Addr == "n-1" && d.Orders.Token == 7 && len(d.Orders.Orders) == 0 {
+		for _, d := range b.TakeDirectCommands() {
+			if d.Addr == "n-1" && d.Batch.FencingToken == 7 && len(d.Batch.Commands) == 0 {
 				pushed++
 			}
 		}
@@ -317,12 +317,12 @@
 	if pushed == 0 {
 		t.Error("the token was not sent to a worker that an older leader may keep")
 	}
-	back := b.Returns(b.now, false)
+	back := b.ScaleIn(b.now, false)
 	if !slices.Contains(back, "n-1") {
 		t.Fatalf("returned %v, want n-1 among them", back)
 	}
-	b.ReturnFailed([]string{"n-2"}, b.now)
-	b.Gone([]string{"n-1"}, b.now)
+	b.ScaleInFailed([]string{"n-2"}, b.now)
+	b.MachinesReturned([]string{"n-1"}, b.now)
 	if b.schedule() == nil {
 		t.Error("not placed after the return was confirmed")
 	}
@@ -336,16 +336,16 @@
 	b.schedule()
 	run := b.running("n-1")
 	b.report("n-1", "s", "x", 1, run...)
-	late := &wire.Report{Host: "n-1", Type: "s", Zone: "x", Session: 1, Seq: 1, Token: 7}
-	if a := b.Report(late, b.now); len(a.Orders) > 0 || b.machines["n-1"].n != 1 {
+	late := &wire.Heartbeat{Host: "n-1", Type: "s", Zone: "x", Incarnation: 1, Sequence: 1, FencingToken: 7}
+	if a := b.Heartbeat(late, b.now); len(a.Commands) > 0 || b.machines["n-1"].placementCount != 1 {
 		t.Error("a late report removed a running task")
 	}
-	old := &wire.Report{Host: "n-1", Type: "s", Zone: "x", Session: 1, Seq: b.seq + 1, Token: 6}
-	if a := b.Report(old, b.now); len(a.Orders) > 0 || b.machines["n-1"].n != 1 {
+	old := &wire.Heartbeat{Host: "n-1", Type: "s", Zone: "x", Incarnation: 1, Sequence: b.seq + 1, FencingToken: 6}
+	if a := b.Heartbeat(old, b.now); len(a.Commands) > 0 || b.machines["n-1"].placementCount != 1 {
 		t.Error("a report without this term's token removed a running task")
 	}
-	b.Gone([]string{"n-1"}, b.now)
-	b.Machines([]wire.Machine{{ID: "n-1", Type: "s", Zone: "x", State: wire.HostRunning}}, b.now)
+	b.MachinesReturned([]string{"n-1"}, b.now)
+	b.MachinesListed([]wire.Machine{{ID: "n-1", Type: "s", Zone: "x", State: wire.MachineRunning}}, b.now)
 	if b.machines["n-1"] != nil {
 		t.Error("a lagging list brought a returned machine back")
 	}
@@ -363,10 +363,10 @@
 	if a := b.report("n-1", "s", "x", 1, run...); len(ops(a, wire.Clear)) > 0 {
 		t.Error("cleared before it was stored")
 	}
-	if len(b.Ends()) > 0 {
+	if len(b.TakeEnds()) > 0 {
 		t.Error("ended after one of two tasks")
 	}
-	for _, ch := range b.Progress(10) {
+	for _, ch := range b.ProgressToStore(10) {
 		b.ProgressStored(ch)
 	}
 	if a := b.report("n-1", "s", "x", 1, run...); len(ops(a, wire.Clear)) != 1 {
@@ -374,7 +374,7 @@
 	}
 	run[1].State, run[1].Cause = wire.TaskExited, wire.CauseDone
 	b.report("n-1", "s", "x", 1, run...)
-	if e := b.Ends(); len(e) != 1 {
+	if e := b.TakeEnds(); len(e) != 1 {
 		t.Errorf("ends %v, want j-1", e)
 	}
 }
@@ -390,14 +390,14 @@
 	bad := spec("j-1", "a", wire.Normal, 24, 1)
 	b.AddJob(bad, b.now, b.now)
 	b.failing("j-1", 20, hosts...)
-	l := b.Learned(b.now)
+	l := b.Statistics(b.now)
 	if len(l.Suspect) != 1 || l.Suspect[0].ID != "j-1" {
 		t.Fatalf("suspected: %+v", l.Suspect)
 	}
 	after := newBed(t, config.Team{Name: "a"})
 	after.AddJob(bad, after.now, after.now)
-	after.Remember(l)
-	if !after.jobs["j-1"].suspect() {
+	after.RestoreStatistics(l)
+	if !after.jobs["j-1"].isSuspect() {
 		t.Fatal("it is not suspected any more")
 	}
 	for _, h := range hosts {
@@ -416,9 +416,9 @@
 		for _, h := range hosts {
 			m := b.machines[h]
 			b.report(h, "s", "x", 1)
-			var run []wire.TaskReport
-			m.each(func(p *placement) {
-				t := wire.TaskReport{Task: wire.TaskName(p.job.id, p.task), Attempt: p.attempt, State: wire.TaskRunning}
+			var run []wire.TaskStatus
+			m.eachPlacement(func(p *placement) {
+				t := wire.TaskStatus{Task: wire.TaskName(p.job.id, p.taskIndex), Attempt: p.attempt, State: wire.TaskRunning}
 				if p.job.id == id {
 					starts++
 					t.State, t.Cause = wire.TaskExited, wire.CauseError
@@ -452,13 +452,13 @@
 		t.Errorf("a broken job was started %d times more in 240 s", more)
 	}
 	for _, h := range hosts {
-		if m := b.machines[h]; m.bad || m.avoid > b.now {
+		if m := b.machines[h]; m.quarantined || m.avoidUntil > b.now {
 			t.Errorf("%s is blamed", h)
 		}
 	}
 	j := b.jobs["j-2"]
-	j.notBefore = b.now
-	if b.mayEvict(j) || b.mayRent(j) || b.tries(j) != 1 {
+	j.backoffUntil = b.now
+	if b.mayPreempt(j) || b.mayScaleOutFor(j) || b.concurrencyLimit(j) != 1 {
 		t.Error("a broken job may evict or rent, or is tried with all its tasks")
 	}
 	// Once a task of it runs for long it is trusted again.
@@ -484,9 +484,9 @@
 	for _, id := range []string{"j-1", "j-2"} {
 		b.AddJob(spec(id, "a", wire.Normal, 2, 2), b.now, b.now)
 		for i, h := range []string{"n-1", "n-2"} {
-			p := b.place(b.jobs[id], int32(i), b.machines[h], 900)
-			p.stored = true
-			end := wire.TaskReport{Task: wire.TaskName(id, int32(i)), Attempt: 900, State: wire.TaskExited, Cause: wire.CauseError}
+			p := b.addPlacement(b.jobs[id], int32(i), b.machines[h], 900)
+			p.durable = true
+			end := wire.TaskStatus{Task: wire.TaskName(id, int32(i)), Attempt: 900, State: wire.TaskExited, Cause: wire.CauseError}
 			if h == "n-2" {
 				end.Cause = wire.CauseDone
 			}
@@ -498,8 +498,8 @@
 		b.report(h, "s", "x", 1)
 		b.machines[h].idleSince = b.now // not for idling
 	}
-	b.tend()
-	if back := b.Returns(b.now, false); !slices.Equal(back, []string{"n-1"}) {
+	b.reconcile()
+	if back := b.ScaleIn(b.now, false); !slices.Equal(back, []string{"n-1"}) {
 		t.Errorf("returned %v, not just n-1, which failed jobs that did well elsewhere", back)
 	}
 }
@@ -514,7 +514,7 @@
 		b.report(h, "s", "x", 1)
 	}
 	b.schedule()
-	ratio := b.jobs["j-1"].class.ratio
+	ratio := b.jobs["j-1"].class.runTimeRatio
 	for i := 0; i < 5; i++ {
 		b.now += second
 		for _, h := range hosts {
@@ -523,21 +523,21 @@
 	}
 	const gap = 25 * second
 	b.now += gap
-	b.Slept(gap, b.now)
-	b.tend()
-	b.Survey(b.now, nil)
-	if b.Blind(b.now) || len(b.Returns(b.now, false)) > 0 || b.Stats.LeasesLost > 0 {
+	b.ResumeAfterStall(gap, b.now)
+	b.reconcile()
+	b.DetectFailures(b.now, nil)
+	if b.Blind(b.now) || len(b.ScaleIn(b.now, false)) > 0 || b.Stats.LeasesExpired > 0 {
 		t.Error("machines were given up for the controller's own absence")
 	}
 	run := b.running("n-1")
 	run[0].State, run[0].Cause = wire.TaskExited, wire.CauseDone
 	b.report("n-1", "s", "x", 1, run...)
-	if got := b.jobs["j-1"].class.ratio; got != ratio {
+	if got := b.jobs["j-1"].class.runTimeRatio; got != ratio {
 		t.Errorf("a run time was learned from the standstill: %v, before %v", got, ratio)
 	}
 	b.now += 2 * 10 * second
-	b.tend()
-	if b.Stats.LeasesLost != 3 {
+	b.reconcile()
+	if b.Stats.LeasesExpired != 3 {
 		t.Error("workers that stay silent are not noticed any more")
 	}
 }
@@ -550,7 +550,7 @@
 	for i := int32(0); i < 100_000; i += 3 {
 		b.markDone(b.jobs["j-1"], i)
 	}
-	chunks := b.Progress(1000)
+	chunks := b.ProgressToStore(1000)
 	if len(chunks) != (100_000+ChunkTasks-1)/ChunkTasks {
 		t.Errorf("%d chunks", len(chunks))
 	}
@@ -562,7 +562,7 @@
 		}
 		c.SetProgress(ch.Job, ch.Index, ch.Text)
 	}
-	if got, want := c.jobs["j-1"].doneCount, b.jobs["j-1"].doneCount; got != want {
+	if got, want := c.jobs["j-1"].completedCount, b.jobs["j-1"].completedCount; got != want {
 		t.Errorf("%d tasks done after loading, want %d", got, want)
 	}
 	b.report("n-1", "s", "x", 1)
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -14,13 +14,13 @@
 func crowd(t testing.TB, seed uint64, machines, jobs int) *bed {
 	r := rand.New(rand.NewPCG(seed, 2))
 	b := newBed(t, config.Team{Name: "a"}, config.Team{Name: "b", CPUsMax: 300})
-	b.set.Deployment.State.ValueKB, b.set.Deployment.State.TxnOps = 1e6, 24 // a batch takes all
+	b.settings.Deployment.State.ValueKB, b.settings.Deployment.State.TxnOps = 1e6, 24 // a batch takes all
 	for i := 0; i < machines; i++ {
 		h := fmt.Sprintf("n-%06d", i)
 		b.report(h, []string{"s", "s", "g"}[r.IntN(3)], []string{"x", "y"}[r.IntN(2)], 1)
 		for k := 0; k < 4; k++ {
 			if r.IntN(3) == 0 {
-				b.machines[h].images[fmt.Sprint("i", k)] = b.now
+				b.machines[h].cachedImages[fmt.Sprint("i", k)] = b.now
 			}
 		}
 	}
@@ -39,7 +39,7 @@
 	out := map[string]int{}
 	for _, j := range b.jobs {
 		for p := range j.placements {
-			out[j.id+" on "+p.m.host]++
+			out[j.id+" on "+p.machine.host]++
 		}
 	}
 	return out
@@ -51,18 +51,18 @@
 	for seed := uint64(1); seed <= 8; seed++ {
 		fast, plain := crowd(t, seed, 60, 20), crowd(t, seed, 60, 20)
 		fast.Schedule(fast.now)
-		plain.tend()
-		plain.look()
+		plain.reconcile()
+		plain.refreshSchedulable()
 		queue := plain.queue()
-		plain.viewGPUs(queue)
+		plain.summarizeGPUs(queue)
 		for _, j := range queue {
-			zones := j.zones()
-			for k, ok := j.next(); ok && j.team.allows(j.spec.CPUs, j.spec.GPUs); k, ok = j.next() {
+			zones := j.tasksByZone()
+			for k, ok := j.nextPendingTask(); ok && j.team.withinLimit(j.spec.CPUs, j.spec.GPUs); k, ok = j.nextPendingTask() {
 				m := plain.findMachine(j, zones, "")
 				if m == nil {
 					break
 				}
-				plain.place(j, k, m, plain.attempt())
+				plain.addPlacement(j, k, m, plain.nextAttempt())
 				zones[m.zone]++
 			}
 		}
@@ -90,7 +90,7 @@
 	for bm.Loop() {
 		b.now += 20_000
 		if cm := b.Schedule(b.now); cm != nil {
-			b.Committed(cm, b.now)
+			b.CommitStored(cm, b.now)
 		}
 	}
 	bm.ReportMetric(float64(waiting), "waiting")
--- a/internal/sched/learned.go
+++ b/internal/sched/statistics.go
@@ -9,20 +9,20 @@
 	"dalefront/internal/failuredomain"
 )
 
-// Learned is what a leader has observed and its successor would otherwise have
+// Statistics is what a leader has observed and its successor would otherwise have
 // to observe anew. It decides nothing by itself: a late or missing copy only costs
 // time.
-type Learned struct {
+type Statistics struct {
 	At      Micros               `msgpack:"A"` // time of day
 	Write   float64              `msgpack:"W"` // bandwidth of saves, GB/s
-	Classes []LearnedClass       `msgpack:"C"`
-	Teams   []LearnedTeam        `msgpack:"T,omitempty"`
-	Suspect []LearnedJob         `msgpack:"J,omitempty"`
+	Classes []ClassStatistics    `msgpack:"C"`
+	Teams   []TeamStatistics     `msgpack:"T,omitempty"`
+	Suspect []JobStatistics      `msgpack:"J,omitempty"`
 	Silence failuredomain.Memory `msgpack:"S"` // how past silences of machines and zones ended
 }
 
-// LearnedClass is what was observed of a class of jobs.
-type LearnedClass struct {
+// ClassStatistics is what was observed of a class of jobs.
+type ClassStatistics struct {
 	Name     string  `msgpack:"N"`
 	Ratio    float64 `msgpack:"R"`
 	Arrivals float64 `msgpack:"A"`
@@ -30,14 +30,14 @@
 	Ended    float64 `msgpack:"E,omitempty"` // jobs done lately
 }
 
-// LearnedTeam is what was observed of a team.
-type LearnedTeam struct {
+// TeamStatistics is what was observed of a team.
+type TeamStatistics struct {
 	Name  string  `msgpack:"N"`
 	Ended float64 `msgpack:"E"`
 }
 
-// LearnedJob is a job that failed on several machines and did nothing anywhere.
-type LearnedJob struct {
+// JobStatistics is a job that failed on several machines and did nothing anywhere.
+type JobStatistics struct {
 	ID    string   `msgpack:"I"`
 	Hosts []string `msgpack:"H"` // two of those machines
 	Times int      `msgpack:"T"` // rounds of failures
@@ -63,7 +63,7 @@
 )
 
 // room is how many bytes of a stored value of at most limit bytes are left for teams.
-func (l *Learned) room(limit float64) int {
+func (l *Statistics) room(limit float64) int {
 	left := int(limit*learnedShare) - learnedRestBytes
 	for i := range l.Classes {
 		left -= learnedClassBytes + len(l.Classes[i].Name)
@@ -79,12 +79,12 @@
 
 // cutTeams keeps the teams of which most jobs have ended: mostLearned of them, and more as far as
 // they fit. Their order stays.
-func (l *Learned) cutTeams(limit float64) {
+func (l *Statistics) cutTeams(limit float64) {
 	if len(l.Teams) <= mostLearned {
 		return
 	}
 	byEnded := slices.Clone(l.Teams)
-	slices.SortStableFunc(byEnded, func(a, b LearnedTeam) int { return cmp.Compare(b.Ended, a.Ended) })
+	slices.SortStableFunc(byEnded, func(a, b TeamStatistics) int { return cmp.Compare(b.Ended, a.Ended) })
 	left := l.room(limit)
 	kept := map[string]bool{}
 	for i, t := range byEnded {
@@ -93,22 +93,22 @@
 		}
 		kept[t.Name] = true
 	}
-	l.Teams = slices.DeleteFunc(l.Teams, func(t LearnedTeam) bool { return !kept[t.Name] })
+	l.Teams = slices.DeleteFunc(l.Teams, func(t TeamStatistics) bool { return !kept[t.Name] })
 }
 
-// Learned sums up what was observed.
-func (c *Core) Learned(now Micros) Learned {
-	l := Learned{At: now, Write: c.bwWrite, Silence: c.domains.Memory()}
-	for _, cl := range c.eachClass() {
+// Statistics sums up what was observed.
+func (c *Core) Statistics(now Micros) Statistics {
+	l := Statistics{At: now, Write: c.writeGBPerS, Silence: c.detector.Memory()}
+	for _, cl := range c.classesByName() {
 		cl.decay(now)
 		if len(cl.name) <= maxLearnedName {
-			cl.had.decay(now)
-			l.Classes = append(l.Classes, LearnedClass{cl.name, cl.ratio, cl.arrivals, cl.size, cl.had.ended})
+			cl.service.decay(now)
+			l.Classes = append(l.Classes, ClassStatistics{cl.name, cl.runTimeRatio, cl.decayedArrivals, cl.meanTasks, cl.service.decayedDone})
 		}
 	}
-	for _, t := range c.eachTeam() {
-		if t.had.decay(now); t.had.ended > 0.1 && len(t.Name) <= maxLearnedName {
-			l.Teams = append(l.Teams, LearnedTeam{t.Name, t.had.ended})
+	for _, t := range c.teamsByName() {
+		if t.service.decay(now); t.service.decayedDone > 0.1 && len(t.Name) <= maxLearnedName {
+			l.Teams = append(l.Teams, TeamStatistics{t.Name, t.service.decayedDone})
 		}
 	}
 	sort.Slice(l.Classes, func(a, b int) bool {
@@ -119,51 +119,51 @@
 		return x.Name < y.Name
 	})
 	l.Classes = l.Classes[:min(len(l.Classes), mostLearned)]
-	for _, j := range c.inOrder(func(j *job) bool { return !j.over() && j.suspect() }) {
+	for _, j := range c.jobsByID(func(j *job) bool { return !j.isOver() && j.isSuspect() }) {
 		if len(l.Suspect) < mostLearned {
-			hosts := slices.Sorted(maps.Keys(j.errorHosts))
-			l.Suspect = append(l.Suspect, LearnedJob{j.id, hosts[:2], j.rounds})
+			hosts := slices.Sorted(maps.Keys(j.failedHosts))
+			l.Suspect = append(l.Suspect, JobStatistics{j.id, hosts[:2], j.failureRounds})
 		}
 	}
-	l.cutTeams(c.set.Deployment.State.ValueKB * 1024)
+	l.cutTeams(c.settings.Deployment.State.ValueKB * 1024)
 	return l
 }
 
-// Remember takes what the last leader observed, after the jobs. Times of day of
+// RestoreStatistics takes what the last leader observed, after the jobs. Times of day of
 // different nodes differ a little, which does not matter here.
-func (c *Core) Remember(l Learned) {
+func (c *Core) RestoreStatistics(l Statistics) {
 	if l.Write > 0 {
-		c.bwWrite = l.Write
+		c.writeGBPerS = l.Write
 	}
-	c.domains.Remember(l.Silence)
+	c.detector.Remember(l.Silence)
 	for _, x := range l.Classes {
 		if x.Ratio <= 0 || x.Arrivals < 0 || x.Size < 0 {
 			continue
 		}
 		cl := c.classOf(x.Name)
-		cl.ratio = x.Ratio
-		cl.had.remember(x.Ended, min(l.At, c.now), c.now)
-		old := class{arrivals: x.Arrivals, at: min(l.At, c.now)}
+		cl.runTimeRatio = x.Ratio
+		cl.service.restore(x.Ended, min(l.At, c.now), c.now)
+		old := class{decayedArrivals: x.Arrivals, decayedAt: min(l.At, c.now)}
 		old.decay(c.now)
-		if old.arrivals > cl.arrivals {
-			cl.arrivals, cl.at, cl.size = old.arrivals, c.now, x.Size
-			if cl.last == 0 {
-				cl.last = c.now // nobody says how long before
+		if old.decayedArrivals > cl.decayedArrivals {
+			cl.decayedArrivals, cl.decayedAt, cl.meanTasks = old.decayedArrivals, c.now, x.Size
+			if cl.lastArrival == 0 {
+				cl.lastArrival = c.now // nobody says how long before
 			}
 		}
 	}
 	for _, x := range l.Suspect {
 		// Otherwise leaders that end one after the other would each try such jobs with
 		// all their tasks, in room that others wait for.
-		if j := c.jobs[x.ID]; j != nil && j.doneCount == 0 && len(x.Hosts) == 2 && x.Hosts[0] != x.Hosts[1] {
-			j.errorHosts = map[string]bool{x.Hosts[0]: true, x.Hosts[1]: true}
-			j.rounds = max(0, x.Times)
-			j.notBefore = c.now + min(longestPause, second<<min(j.rounds, 6))/2
+		if j := c.jobs[x.ID]; j != nil && j.completedCount == 0 && len(x.Hosts) == 2 && x.Hosts[0] != x.Hosts[1] {
+			j.failedHosts = map[string]bool{x.Hosts[0]: true, x.Hosts[1]: true}
+			j.failureRounds = max(0, x.Times)
+			j.backoffUntil = c.now + min(maxFailureBackoff, second<<min(j.failureRounds, 6))/2
 		}
 	}
 	for _, x := range l.Teams {
 		if t := c.teams[x.Name]; t != nil {
-			t.had.remember(x.Ended, min(l.At, c.now), c.now)
+			t.service.restore(x.Ended, min(l.At, c.now), c.now)
 		}
 	}
 }
--- a/internal/simulation/answers_test.go
+++ b/internal/simulation/answers_test.go
@@ -46,7 +46,7 @@
 	case submits:
 		code, _ = u.ask(node, http.MethodPost, wire.PathJobs, u.submission(id, 1), &st)
 	case withdraws:
-		code, _ = u.ask(node, http.MethodPost, wire.PathJobs+"/"+id+"/"+wire.CancelVerb, nil, &st)
+		code, _ = u.ask(node, http.MethodPost, wire.PathJobs+"/"+id+"/"+wire.CancelAction, nil, &st)
 	default:
 		code, _ = u.ask(node, http.MethodGet, wire.PathJobs+"/"+id, nil, &st)
 	}
@@ -426,7 +426,7 @@
 	c.svc.Set("q/a/j-9", map[string]any{"J": map[string]any{"Id": "j-9"}})
 	ask := func(i int, op string) (int, string) {
 		var st wire.JobStatus
-		code, _ := c.ask(i, op, wire.PathJobs+map[string]string{http.MethodGet: "/j-9", http.MethodPost: "/j-9/" + wire.CancelVerb}[op], nil, &st)
+		code, _ := c.ask(i, op, wire.PathJobs+map[string]string{http.MethodGet: "/j-9", http.MethodPost: "/j-9/" + wire.CancelAction}[op], nil, &st)
 		return code, st.Status
 	}
 	for i := range c.addrs {
@@ -526,7 +526,7 @@
 				t.Errorf("node %d: submitted %s: %d, want %d", i, what, code, x.code)
 			}
 		}
-		for _, x := range []struct{ method, path string }{{http.MethodGet, "/j-2"}, {http.MethodPost, "/j-2/" + wire.CancelVerb}} {
+		for _, x := range []struct{ method, path string }{{http.MethodGet, "/j-2"}, {http.MethodPost, "/j-2/" + wire.CancelAction}} {
 			if code, _ := c.ask(i, x.method, wire.PathJobs+x.path, nil, nil); code != 404 {
 				t.Errorf("node %d: %s of a job that nobody submitted: %d", i, x.path, code)
 			}
@@ -541,7 +541,7 @@
 	})
 	for i := range c.addrs {
 		var st wire.JobStatus
-		if code, _ := c.ask(i, http.MethodPost, wire.PathJobs+"/j-1/"+wire.CancelVerb, nil, &st); code != 200 || st.Status != wire.JobDone {
+		if code, _ := c.ask(i, http.MethodPost, wire.PathJobs+"/j-1/"+wire.CancelAction, nil, &st); code != 200 || st.Status != wire.JobDone {
 			t.Errorf("node %d: cancelled when it was done: %d %s", i, code, st.Status)
 		}
 		if code, _ := c.ask(i, http.MethodPost, wire.PathJobs, change("j-1", "Loaners", nil), &st); code != 200 || st.Status != wire.JobDone {
--- a/internal/simulation/config.go
+++ b/internal/simulation/config.go
@@ -76,7 +76,7 @@
 	}
 }
 
-func (w *World) checkCordons(h sched.EntryHost, task string) {
+func (w *World) checkCordons(h sched.LedgerHost, task string) {
 	for i := range w.config.cordons {
 		if c := &w.config.cordons[i]; c.Covers(h.Host, h.Type, h.Zone, w.Now) {
 			w.broken("%s is launched on %s in spite of the cordon %s", task, h.Host, c.Name)
--- a/internal/simulation/config_test.go
+++ b/internal/simulation/config_test.go
@@ -111,7 +111,7 @@
 			check(3000 + step)
 		}
 		runs, changes, refused = runs+w.Runs, changes+w.Reconfigured, refused+w.Refused
-		stopped += w.Core.Stats.Evictions
+		stopped += w.Core.Stats.Preemptions
 	}
 	t.Log(runs, "starts,", changes, "changes,", refused, "batches refused")
 	if runs < 1000 || changes < 1000 || refused < 100 {
@@ -198,7 +198,7 @@
 // asked for again at the next node, under the same name.
 func (o *operators) apply(client int, zone, value string) string {
 	change := dynconfig.Change{Document: document(dynconfig.KindCordon, "a", dynconfig.Cordon{Zone: zone, Reason: value})}
-	q := &peer.ConfigApply{ID: value, Changes: []dynconfig.Change{change}}
+	q := &peer.ConfigApplyRequest{ID: value, Changes: []dynconfig.Change{change}}
 	from := time.Now()
 	out := peer.ConfigRefused
 	for k := range o.c.nodes {
@@ -230,8 +230,8 @@
 	from := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	a, err := o.c.nodes[client%len(o.c.nodes)].PeerConfigRead(ctx, &peer.ConfigRead{})
-	if err != nil || a.Why != "" {
+	a, err := o.c.nodes[client%len(o.c.nodes)].PeerConfigRead(ctx, &peer.ConfigReadRequest{})
+	if err != nil || a.Reason != "" {
 		return // it changes nothing
 	}
 	value := ""
@@ -270,7 +270,7 @@
 		s.zone = storedCordon(value)
 		return
 	}
-	var e sched.Entry
+	var e sched.LedgerEntry
 	if !strings.HasPrefix(key, "l/") || wire.Unmarshal(value, &e) != nil {
 		return
 	}
@@ -352,8 +352,8 @@
 	})
 	c.until("the last change is in force everywhere", func() bool {
 		for _, i := range []int{1, 2} {
-			a, err := c.nodes[i].PeerConfigStatus(context.Background(), &peer.ConfigStatus{})
-			if stored, _ := c.nodes[1].PeerConfigRead(context.Background(), &peer.ConfigRead{}); err != nil || a.Generation != stored.Generation {
+			a, err := c.nodes[i].PeerConfigStatus(context.Background(), &peer.ConfigStatusRequest{})
+			if stored, _ := c.nodes[1].PeerConfigRead(context.Background(), &peer.ConfigReadRequest{}); err != nil || a.Generation != stored.Generation {
 				return false
 			}
 		}
--- a/internal/simulation/confignodes_test.go
+++ b/internal/simulation/confignodes_test.go
@@ -17,17 +17,17 @@
 )
 
 // cordonX keeps new tasks off the cluster's only machine.
-func cordonX(id string) *peer.ConfigApply {
+func cordonX(id string) *peer.ConfigApplyRequest {
 	d := document(dynconfig.KindCordon, "x", dynconfig.Cordon{Zone: "x"})
-	return &peer.ConfigApply{ID: id, Changes: []dynconfig.Change{{Document: d}}}
+	return &peer.ConfigApplyRequest{ID: id, Changes: []dynconfig.Change{{Document: d}}}
 }
 
-func removeX(id string) *peer.ConfigApply {
-	return &peer.ConfigApply{ID: id, Changes: []dynconfig.Change{{Document: dynconfig.Document{Kind: dynconfig.KindCordon, Name: "x"}, Remove: true}}}
+func removeX(id string) *peer.ConfigApplyRequest {
+	return &peer.ConfigApplyRequest{ID: id, Changes: []dynconfig.Change{{Document: dynconfig.Document{Kind: dynconfig.KindCordon, Name: "x"}, Remove: true}}}
 }
 
 // applied asks a node for a change until it says that it is in force.
-func (c *cluster) applied(i int, q *peer.ConfigApply) (a *peer.ConfigApplyAnswer) {
+func (c *cluster) applied(i int, q *peer.ConfigApplyRequest) (a *peer.ConfigApplyResponse) {
 	c.t.Helper()
 	c.until("applied", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -42,7 +42,7 @@
 
 // generation is what a node decides by.
 func (c *cluster) generation(i int) uint64 {
-	a, err := c.nodes[i].PeerConfigStatus(context.Background(), &peer.ConfigStatus{})
+	a, err := c.nodes[i].PeerConfigStatus(context.Background(), &peer.ConfigStatusRequest{})
 	if err != nil || !a.Known {
 		return 0
 	}
@@ -154,9 +154,9 @@
 	if c.svc.HeldBack() == 0 {
 		t.Fatal("nothing is on its way")
 	}
-	c.applied(1, &peer.ConfigApply{ID: "b", Changes: []dynconfig.Change{{Document: document(dynconfig.KindCordon, "y", dynconfig.Cordon{Zone: "y"})}}})
+	c.applied(1, &peer.ConfigApplyRequest{ID: "b", Changes: []dynconfig.Change{{Document: document(dynconfig.KindCordon, "y", dynconfig.Cordon{Zone: "y"})}}})
 	c.svc.Arrive()
-	read, err := c.nodes[2].PeerConfigRead(context.Background(), &peer.ConfigRead{History: true})
+	read, err := c.nodes[2].PeerConfigRead(context.Background(), &peer.ConfigReadRequest{History: true})
 	if err != nil || len(read.Documents) != 2 || read.Generation != 2 || len(read.History) != 2 {
 		t.Errorf("after the late arrival: %+v %v", read, err)
 	}
@@ -171,17 +171,17 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		a, err := c.nodes[1].PeerConfigApply(ctx, cordonX(why))
-		if err != nil || a.Outcome != peer.ConfigRefused || !strings.Contains(a.Why, "update it first") {
+		if err != nil || a.Outcome != peer.ConfigRefused || !strings.Contains(a.Reason, "update it first") {
 			t.Errorf("%s: %+v %v", why, a, err)
 		}
 	}
-	hello := &peer.Hello{From: c.sets[2].Label}
-	if _, err := c.nodes[1].PeerHello(context.Background(), hello); err != nil {
+	hello := &peer.Heartbeat{From: c.sets[2].Label}
+	if _, err := c.nodes[1].PeerHeartbeat(context.Background(), hello); err != nil {
 		t.Fatal(err)
 	}
 	refused("an earlier version says hello")
-	hello.Configures = true
-	if _, err := c.nodes[1].PeerHello(context.Background(), hello); err != nil {
+	hello.SupportsConfig = true
+	if _, err := c.nodes[1].PeerHeartbeat(context.Background(), hello); err != nil {
 		t.Fatal(err)
 	}
 	c.applied(1, cordonX("after the update"))
@@ -208,7 +208,7 @@
 	})
 	limit := 2.0
 	d := document(dynconfig.KindTeam, "red", dynconfig.Team{CPUsMax: &limit, CPUs: &limit})
-	g := c.applied(0, &peer.ConfigApply{ID: "a", Changes: []dynconfig.Change{{Document: d}}}).Generation
+	g := c.applied(0, &peer.ConfigApplyRequest{ID: "a", Changes: []dynconfig.Change{{Document: d}}}).Generation
 	for i := range c.nodes {
 		c.until("in force", func() bool { return c.generation(i) == g })
 		c.until("its repeat is known", func() bool {
@@ -230,8 +230,8 @@
 // at another controller, takes over, and nothing of the first is in force or in the history.
 func TestApplyAfterAnAbandonedOne(t *testing.T) {
 	c := configCluster(t, nil)
-	large := func(id string) *peer.ConfigApply {
-		q := &peer.ConfigApply{ID: id}
+	large := func(id string) *peer.ConfigApplyRequest {
+		q := &peer.ConfigApplyRequest{ID: id}
 		for i := range 20 {
 			d := document(dynconfig.KindCordon, fmt.Sprint("c", i), dynconfig.Cordon{Zone: "y", Reason: id})
 			q.Changes = append(q.Changes, dynconfig.Change{Document: d})
@@ -256,7 +256,7 @@
 	}
 	c.applied(1, removeX("x is not there")) // changes nothing
 	c.applied(1, cordonX("third"))
-	read, err := c.nodes[2].PeerConfigRead(context.Background(), &peer.ConfigRead{History: true})
+	read, err := c.nodes[2].PeerConfigRead(context.Background(), &peer.ConfigReadRequest{History: true})
 	if err != nil || read.Generation != 2 || len(read.Documents) != 21 || read.History[0].Apply != "third" || len(read.History[0].Changes) != 1 {
 		t.Fatalf("generation %d, %d documents, history %+v, %v", read.Generation, len(read.Documents), read.History, err)
 	}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -33,7 +33,7 @@
 	if c == nil {
 		return false
 	}
-	if c.inside && m.report.Token > 0 {
+	if c.inside && m.report.FencingToken > 0 {
 		k.waiting = false
 		k.Renew()
 	}
--- a/internal/simulation/hammer_test.go
+++ b/internal/simulation/hammer_test.go
@@ -29,21 +29,21 @@
 			seq, token := uint64(0), uint64(0)
 			for n.Add(1) <= int64(b.N) {
 				seq++
-				r := wire.Report{Host: fmt.Sprintf("n-%06d", k), Addr: "127.0.0.1:9", Type: "s", Zone: "x", Session: 1, Seq: seq, Token: token}
+				r := wire.Heartbeat{Host: fmt.Sprintf("n-%06d", k), Addr: "127.0.0.1:9", Type: "s", Zone: "x", Incarnation: 1, Sequence: seq, FencingToken: token}
 				for t := range 4 {
-					r.Tasks = append(r.Tasks, wire.TaskReport{Task: fmt.Sprintf("j-%06d/%d", k, t), Attempt: 1, State: wire.TaskExited, Cause: wire.CauseStopped})
+					r.Tasks = append(r.Tasks, wire.TaskStatus{Task: fmt.Sprintf("j-%06d/%d", k, t), Attempt: 1, State: wire.TaskExited, Cause: wire.CauseStopped})
 				}
 				body, _ := wire.Marshal(r)
-				resp, err := client.Post("http://"+c.addrs[k%3]+wire.PathReport, "application/msgpack", bytes.NewReader(body))
+				resp, err := client.Post("http://"+c.addrs[k%3]+wire.PathHeartbeat, "application/msgpack", bytes.NewReader(body))
 				if err != nil {
 					b.Error(err)
 					return
 				}
 				out, _ := io.ReadAll(resp.Body)
 				resp.Body.Close()
-				var a wire.ReportAnswer
+				var a wire.HeartbeatResponse
 				if resp.StatusCode == 200 && wire.Unmarshal(out, &a) == nil {
-					token = max(token, a.Token)
+					token = max(token, a.FencingToken)
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -101,7 +101,7 @@
 		case "submit":
 			code, _ = c.ask(node, http.MethodPost, wire.PathJobs, c.submission(in.id, 1), &st)
 		case "withdraw":
-			code, _ = c.ask(node, http.MethodPost, wire.PathJobs+"/"+in.id+"/"+wire.CancelVerb, nil, &st)
+			code, _ = c.ask(node, http.MethodPost, wire.PathJobs+"/"+in.id+"/"+wire.CancelAction, nil, &st)
 		default:
 			code, _ = c.ask(node, http.MethodGet, wire.PathJobs+"/"+in.id, nil, &st)
 		}
--- a/internal/simulation/meetings_test.go
+++ b/internal/simulation/meetings_test.go
@@ -74,7 +74,7 @@
 // front stands between a node and the services.
 func (w *ways) front(t testing.TB, i int, services string) string {
 	srv := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		cloud := strings.HasPrefix(r.URL.Path, wire.PathRentals) || r.URL.Path == wire.PathCatalog
+		cloud := strings.HasPrefix(r.URL.Path, wire.PathMachines) || r.URL.Path == wire.PathCatalog
 		if !cloud && w.refused[i].Load() {
 			rw.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -83,7 +83,7 @@
 			for !cloud && w.refused[i].Load() && r.Context().Err() == nil { // open watches wait as during an outage
 				time.Sleep(20 * time.Millisecond)
 			}
-			if r.URL.Path == wire.PathReturn && code == 200 {
+			if r.URL.Path == wire.PathScaleIn && code == 200 {
 				w.once.Do(func() { close(w.gone) })
 			}
 		}}, r, services)
@@ -197,7 +197,7 @@
 	default:
 	}
 	if m.lost {
-		m.lost, m.session, m.seq, m.tasks = false, m.session+1, 0, map[string]wire.TaskReport{}
+		m.lost, m.session, m.seq, m.tasks = false, m.session+1, 0, map[string]wire.TaskStatus{}
 	}
 	sent := time.Now()
 	if m.report(i) == 200 {
@@ -229,7 +229,7 @@
 
 func (m *meet) cancel(i int) {
 	var st wire.JobStatus
-	code, _ := m.ask(i, http.MethodPost, wire.PathJobs+"/j-1/"+wire.CancelVerb, nil, &st)
+	code, _ := m.ask(i, http.MethodPost, wire.PathJobs+"/j-1/"+wire.CancelAction, nil, &st)
 	if code == 200 && st.Status == wire.JobCancelled {
 		m.hears(i)
 	}
--- a/internal/simulation/node_test.go
+++ b/internal/simulation/node_test.go
@@ -41,7 +41,7 @@
 	nodes []*controller.Node
 	sets  []*config.Settings
 	stop  []func()                   // ends a node and waits for it
-	tasks map[string]wire.TaskReport // of the one worker
+	tasks map[string]wire.TaskStatus // of the one worker
 	clear map[string]bool            // tasks that were cleared when they were done
 	token uint64
 	// For how long a user waits, 0 for any time: where the worker reports in between the
@@ -53,7 +53,7 @@
 
 func newCluster(t testing.TB, size int, set func(*config.Settings)) *cluster {
 	t.Helper()
-	c := &cluster{t: t, svc: emulator.NewServices(world(t, 1).Catalog), tasks: map[string]wire.TaskReport{}, clear: map[string]bool{}, session: 1}
+	c := &cluster{t: t, svc: emulator.NewServices(world(t, 1).Catalog), tasks: map[string]wire.TaskStatus{}, clear: map[string]bool{}, session: 1}
 	change := set
 	srv := httptest.NewServer(c.svc)
 	t.Cleanup(srv.Close)
@@ -133,25 +133,25 @@
 // report sends the worker's report to a node and carries out its orders.
 func (c *cluster) report(i int) int {
 	c.seq++
-	r := wire.Report{Host: "n-1", Addr: "127.0.0.1:9", Type: "s", Zone: "x", Session: c.session, Seq: c.seq, Token: c.token}
+	r := wire.Heartbeat{Host: "n-1", Addr: "127.0.0.1:9", Type: "s", Zone: "x", Incarnation: c.session, Sequence: c.seq, FencingToken: c.token}
 	for _, t := range c.tasks {
 		r.Tasks = append(r.Tasks, t)
 	}
-	var a wire.ReportAnswer
-	code, _ := c.ask(i, http.MethodPost, wire.PathReport, r, &a)
-	if code != 200 || a.Token < c.token {
+	var a wire.HeartbeatResponse
+	code, _ := c.ask(i, http.MethodPost, wire.PathHeartbeat, r, &a)
+	if code != 200 || a.FencingToken < c.token {
 		return code
 	}
-	c.token = a.Token
-	for _, o := range a.Orders {
+	c.token = a.FencingToken
+	for _, o := range a.Commands {
 		switch o.Op {
 		case wire.Launch:
 			if c.clear[o.Task] {
 				c.t.Fatalf("%s is started again, and was cleared when it was done", o.Task)
 			}
-			c.tasks[o.Task] = wire.TaskReport{Task: o.Task, Attempt: o.Attempt, State: wire.TaskRunning}
+			c.tasks[o.Task] = wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: wire.TaskRunning}
 		case wire.Stop:
-			c.tasks[o.Task] = wire.TaskReport{Task: o.Task, Attempt: o.Attempt, State: wire.TaskExited, Cause: wire.CauseStopped}
+			c.tasks[o.Task] = wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: wire.TaskExited, Cause: wire.CauseStopped}
 		case wire.Clear:
 			if tr := c.tasks[o.Task]; tr.Cause == wire.CauseDone {
 				c.clear[o.Task] = true
@@ -274,7 +274,7 @@
 		return true
 	})
 	c.until("results are cleared", func() bool { c.report(0); return len(c.tasks) == 0 })
-	if code, _ := c.ask(1, http.MethodPost, wire.PathJobs+"/j-1/"+wire.CancelVerb, nil, &st); code != 200 || st.Status != wire.JobDone {
+	if code, _ := c.ask(1, http.MethodPost, wire.PathJobs+"/j-1/"+wire.CancelAction, nil, &st); code != 200 || st.Status != wire.JobDone {
 		t.Errorf("cancelling a job that is done: %d %s", code, st.Status)
 	}
 
@@ -288,7 +288,7 @@
 	// once the worker, which goes on reporting, was told to stop the task.
 	c.until("it is cancelled", func() bool {
 		c.report(0)
-		code, _ := c.ask(1, http.MethodPost, wire.PathJobs+"/j-3/"+wire.CancelVerb, nil, &st)
+		code, _ := c.ask(1, http.MethodPost, wire.PathJobs+"/j-3/"+wire.CancelAction, nil, &st)
 		return code == 200 && st.Status == wire.JobCancelled
 	})
 	if got, there := c.tasks["j-3/0"]; there && got.State != wire.TaskExited {
@@ -313,7 +313,7 @@
 			return code == 201 || code == 200
 		})
 		c.until("cancelled", func() bool {
-			code, _ := c.ask(0, http.MethodPost, wire.PathJobs+"/"+id+"/"+wire.CancelVerb, nil, nil)
+			code, _ := c.ask(0, http.MethodPost, wire.PathJobs+"/"+id+"/"+wire.CancelAction, nil, nil)
 			return code == 200
 		})
 	}
@@ -340,7 +340,7 @@
 	told := func(i int) bool {
 		t.Helper()
 		var st wire.JobStatus
-		code, _ := c.ask(i, http.MethodPost, wire.PathJobs+"/j-1/"+wire.CancelVerb, nil, &st)
+		code, _ := c.ask(i, http.MethodPost, wire.PathJobs+"/j-1/"+wire.CancelAction, nil, &st)
 		if code == 200 && c.tasks["j-1/0"].State == wire.TaskRunning {
 			t.Fatalf("node %d: %s, and the task runs", i, st.Status)
 		}
--- a/internal/simulation/restart_test.go
+++ b/internal/simulation/restart_test.go
@@ -24,7 +24,7 @@
 
 func (c *troubled) step() {
 	c.t.Helper()
-	before := map[string]wire.TaskReport{}
+	before := map[string]wire.TaskStatus{}
 	for k, v := range c.tasks {
 		before[k] = v
 	}
--- a/internal/simulation/takeover_bench_test.go
+++ b/internal/simulation/takeover_bench_test.go
@@ -41,30 +41,30 @@
 	rnd := rand.New(rand.NewPCG(uint64(i), 7))
 	told := make(chan uint64, 1) // a token that came with a direct command
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		var d wire.DirectOrders
+		var d wire.CommandBatch
 		if b, err := io.ReadAll(req.Body); err == nil && wire.Unmarshal(b, &d) == nil {
 			select {
-			case told <- d.Token:
+			case told <- d.FencingToken:
 			default:
 			}
 		}
-		b, _ := wire.Marshal(wire.Report{Host: "n"})
+		b, _ := wire.Marshal(wire.Heartbeat{Host: "n"})
 		_, _ = w.Write(b)
 	}))
 	defer srv.Close()
-	r := wire.Report{Host: fmt.Sprintf("n-%06d", i), Addr: strings.TrimPrefix(srv.URL, "http://"), Type: "s", Zone: "x", Session: 1}
+	r := wire.Heartbeat{Host: fmt.Sprintf("n-%06d", i), Addr: strings.TrimPrefix(srv.URL, "http://"), Type: "s", Zone: "x", Incarnation: 1}
 	at := i
 	for !k.stop.Load() {
 		began := time.Now()
-		r.Seq++
+		r.Sequence++
 		body, _ := wire.Marshal(r)
 		changed := false
-		resp, err := k.client.Post("http://"+k.c.addrs[at%len(k.c.addrs)]+wire.PathReport, "application/msgpack", bytes.NewReader(body))
-		var a wire.ReportAnswer
+		resp, err := k.client.Post("http://"+k.c.addrs[at%len(k.c.addrs)]+wire.PathHeartbeat, "application/msgpack", bytes.NewReader(body))
+		var a wire.HeartbeatResponse
 		if err == nil {
 			b, _ := io.ReadAll(resp.Body)
 			_ = resp.Body.Close()
-			if resp.StatusCode != 200 || wire.Unmarshal(b, &a) != nil || a.Token < r.Token {
+			if resp.StatusCode != 200 || wire.Unmarshal(b, &a) != nil || a.FencingToken < r.FencingToken {
 				err = io.EOF
 			}
 		}
@@ -73,21 +73,21 @@
 			time.Sleep(time.Second)
 			continue
 		}
-		changed = a.Token > r.Token
-		r.Token = a.Token
+		changed = a.FencingToken > r.FencingToken
+		r.FencingToken = a.FencingToken
 		for t := range r.Tasks { // each runs until the next report
 			if r.Tasks[t].State == wire.TaskRunning {
 				r.Tasks[t].State, r.Tasks[t].Cause = wire.TaskExited, wire.CauseDone
 			}
 		}
-		for _, o := range a.Orders {
-			r.Tasks = slices.DeleteFunc(r.Tasks, func(t wire.TaskReport) bool { return t.Task == o.Task })
+		for _, o := range a.Commands {
+			r.Tasks = slices.DeleteFunc(r.Tasks, func(t wire.TaskStatus) bool { return t.Task == o.Task })
 			if o.Op == wire.Launch {
 				changed = true
-				r.Tasks = append(r.Tasks, wire.TaskReport{Task: o.Task, Attempt: o.Attempt, State: wire.TaskRunning})
+				r.Tasks = append(r.Tasks, wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: wire.TaskRunning})
 				k.mu.Lock()
-				if _, had := k.first[a.Token]; !had {
-					k.first[a.Token] = time.Now()
+				if _, had := k.first[a.FencingToken]; !had {
+					k.first[a.FencingToken] = time.Now()
 				}
 				k.mu.Unlock()
 			}
@@ -99,8 +99,8 @@
 		select {
 		case <-time.After(time.Until(began.Add(wait))):
 		case token := <-told:
-			if token > r.Token {
-				r.Token = token
+			if token > r.FencingToken {
+				r.FencingToken = token
 				time.Sleep(time.Until(began.Add(500 * time.Millisecond)))
 			}
 		}
--- a/internal/simulation/trouble_test.go
+++ b/internal/simulation/trouble_test.go
@@ -203,7 +203,7 @@
 				fail := func(step int) {
 					t.Helper()
 					if len(w.Broken) > 0 {
-						for _, x := range w.Core.Waits(8) {
+						for _, x := range w.Core.WaitingJobs(8) {
 							t.Logf("%+v: %+v", x, w.jobs[x.Job])
 						}
 						t.Log(w.Core.Dump())
--- a/internal/simulation/warm_test.go
+++ b/internal/simulation/warm_test.go
@@ -143,7 +143,7 @@
 		t.Fatal(err)
 	}
 	defer late.Close()
-	if did, err := late.HandOver(ctx, before); did || err != nil {
+	if did, err := late.TransferLeadership(ctx, before); did || err != nil {
 		t.Errorf("a request for an earlier term: %v, %v", did, err)
 	}
 }
