--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -35,7 +35,7 @@
 
 type message struct {
 	at     int64
-	report wire.Report
+	report wire.Heartbeat
 	sent   int64
 	nonce  int
 	w      *worker
@@ -46,7 +46,7 @@
 type said struct {
 	at     int64
 	core   *sched.Core
-	report wire.Report
+	report wire.Heartbeat
 }
 
 // news is an end that the watch has yet to bring to the leader.
@@ -65,7 +65,7 @@
 type hired struct {
 	at    int64
 	core  *sched.Core
-	hire  wire.Hire
+	hire  wire.ScaleOutRequest
 	hosts []string
 }
 
@@ -94,7 +94,7 @@
 	arrived  map[string]int64
 	ends     map[string]string
 	chunks   map[string]map[int]string
-	ledger   map[string]sched.Entry
+	ledger   map[string]sched.LedgerEntry
 
 	config     configured
 	configNews []configNews
@@ -137,7 +137,7 @@
 	w := &World{Most: 12, Lag: 400_000, Link: 20_000,
 		Rng: rand.New(rand.NewPCG(seed, 1)), Now: 1_000 * second, Set: set, Catalog: cat,
 		workers: map[string]*worker{}, jobs: map[string]wire.Job{}, arrived: map[string]int64{}, ends: map[string]string{},
-		chunks: map[string]map[int]string{}, ledger: map[string]sched.Entry{},
+		chunks: map[string]map[int]string{}, ledger: map[string]sched.LedgerEntry{},
 		forgotten: map[string]bool{}, zones: map[string]*cut{}, faulty: map[*emulator.Machine]bool{},
 	}
 	w.fleet = emulator.NewFleet(seed, set, cat, 1<<20, emulator.SimulatedAddr)
@@ -189,15 +189,15 @@
 			c.SetProgress(id, i, t)
 		}
 	}
-	c.Load(w.ledger)
+	c.RecoverLedger(w.ledger)
 	for _, id := range keys(w.jobs) {
 		if st := w.ends[id]; st != "" {
-			c.Ended(id, st, w.Now)
+			c.JobEnded(id, st, w.Now)
 		}
 	}
 	for _, h := range keys(w.workers) {
 		if k := w.workers[h]; k.heard > 0 && w.Rng.IntN(4) > 0 {
-			c.Told(h, k.heard) // a peer had heard it
+			c.PeerContact(h, k.heard) // a peer had heard it
 		}
 	}
 	w.Core = c
@@ -231,7 +231,7 @@
 	w.checkConfig(cm)
 	w.revision++
 	for _, e := range cm.Entries {
-		w.ledger[e.Name] = e.Entry
+		w.ledger[e.Name] = e.LedgerEntry
 	}
 	for _, n := range cm.Drop {
 		delete(w.ledger, n)
@@ -242,9 +242,9 @@
 // checkLimits checks a batch's transaction against the limits of the state service, which
 // would refuse it for good.
 func (w *World) checkLimits(cm *sched.Commit) {
-	txn := controller.CommitTxn(cm, wire.Cond{Key: "term", Version: w.token})
+	txn := controller.CommitTxn(cm, wire.Condition{Key: "term", Version: w.token})
 	for i := range cm.Jobs { // at worst a manifest of its own for each job
-		txn.If = append(txn.If, wire.Cond{Key: fmt.Sprintf("a/m/%02x", i), Version: w.revision})
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: fmt.Sprintf("a/m/%02x", i), Version: w.revision})
 	}
 	if err := w.Set.TxnLimits().Check(txn); err != nil {
 		w.broken("a transaction beyond the limits: %v", err)
@@ -373,7 +373,7 @@
 	if w.cutOff(k, m) || w.Now < k.mute {
 		return
 	}
-	if w.Now < k.echo && r.Token > 0 && !w.alone {
+	if w.Now < k.echo && r.FencingToken > 0 && !w.alone {
 		k.waiting = false
 		k.Renew()
 		return
@@ -387,10 +387,10 @@
 	for len(w.net) > 0 && w.net[0].at <= w.Now {
 		m := w.net[0]
 		w.net = w.net[1:]
-		if m.report.Token > w.Core.Token() {
+		if m.report.FencingToken > w.Core.Token() {
 			continue // not entitled: 421
 		}
-		a := w.Core.Report(&m.report, w.Now)
+		a := w.Core.Heartbeat(&m.report, w.Now)
 		k := m.w
 		k.heard = w.Now
 		v := k.View()
@@ -398,10 +398,10 @@
 			continue
 		}
 		k.waiting = false
-		if a.Token > v.Token {
+		if a.FencingToken > v.Token {
 			k.nextAt = min(k.nextAt, w.Now+second/2)
 		}
-		k.Answered(&a, m.report.Session, m.sent)
+		k.Answered(&a, m.report.Incarnation, m.sent)
 	}
 }
 
@@ -413,7 +413,7 @@
 	for len(w.watch) > 0 && w.watch[0].at <= w.Now {
 		id := w.watch[0].id
 		w.watch = w.watch[1:]
-		c.Ended(id, w.ends[id], w.Now)
+		c.JobEnded(id, w.ends[id], w.Now)
 	}
 	if w.commit == nil && w.Rng.IntN(3) == 0 {
 		if cm := c.Schedule(w.Now); cm != nil {
@@ -426,37 +426,37 @@
 		cm, stored := w.commit, w.stored
 		w.commit, w.stored = nil, false
 		if stored || (w.Calm || w.Rng.IntN(20) > 0) && w.apply(cm) {
-			c.Committed(cm, w.Now)
+			c.CommitStored(cm, w.Now)
 		} else {
 			for _, id := range cm.Jobs {
 				if w.ends[id] != "" {
-					c.Ended(id, w.ends[id], w.Now)
+					c.JobEnded(id, w.ends[id], w.Now)
 				}
 			}
 			w.tell(c, w.config) // read to see which condition failed
-			c.Refused(cm, w.Now)
+			c.CommitRejected(cm, w.Now)
 		}
 	}
 	w.direct(c)
 	left := w.said[:0]
 	for _, s := range w.said {
 		if s.core == c && s.at <= w.Now {
-			c.Answered(&s.report, w.Now)
+			c.CommandAnswered(&s.report, w.Now)
 		} else if s.core == c {
 			left = append(left, s)
 		}
 	}
 	w.said = left
-	for _, id := range c.Ends() {
+	for _, id := range c.TakeEnds() {
 		if w.ends[id] == "" {
 			w.fleet.Told(wire.JobStatus{ID: id, Status: wire.JobDone})
 			w.ends[id] = wire.JobDone
 			w.Done++
 		}
-		c.Ended(id, w.ends[id], w.Now)
+		c.JobEnded(id, w.ends[id], w.Now)
 	}
 	if w.Rng.IntN(10) == 0 {
-		for _, ch := range c.Progress(4) {
+		for _, ch := range c.ProgressToStore(4) {
 			if w.chunks[ch.Job] == nil {
 				w.chunks[ch.Job] = map[int]string{}
 			}
@@ -464,7 +464,7 @@
 			c.ProgressStored(ch)
 		}
 	}
-	for _, f := range c.Forgotten() {
+	for _, f := range c.TakeForgotten() {
 		w.deletes = append(w.deletes, news{f.Job, w.Now + int64(w.Rng.IntN(int(w.Lag)))})
 		if hosts := w.fleet.Holding(f.Job); len(hosts) > 0 {
 			w.broken("forgotten too early: tasks of %s are on %v", f.Job, hosts)
@@ -480,16 +480,16 @@
 	}
 	w.deletes = later
 	if w.Rng.IntN(10) == 0 {
-		c.Survey(w.Now, w.controllers())
-		if back := c.Returns(w.Now, c.Blind(w.Now)); len(back) > 0 {
+		c.DetectFailures(w.Now, w.controllers())
+		if back := c.ScaleIn(w.Now, c.Blind(w.Now)); len(back) > 0 {
 			for _, h := range back {
 				w.giveBack(h)
 			}
-			c.Gone(back, w.Now)
+			c.MachinesReturned(back, w.Now)
 		}
 	}
 	if w.Rng.IntN(20) == 0 {
-		for _, h := range c.Hires(w.Now) {
+		for _, h := range c.ScaleOut(w.Now) {
 			var hosts []string
 			for i := 0; i < h.Count && w.has(h.Type, h.Zone) < w.Most/2; i++ {
 				k := w.Boot(h.Type, h.Zone, h.Spot)
@@ -517,8 +517,8 @@
 
 // direct brings a core's direct commands to the workers.
 func (w *World) direct(c *sched.Core) {
-	for _, d := range c.Directs() {
-		for _, o := range d.Orders.Orders {
+	for _, d := range c.TakeDirectCommands() {
+		for _, o := range d.Batch.Commands {
 			if o.Op != wire.Stop { // it may be executed minutes late
 				w.broken("a %s of %s was sent straight to a worker", o.Op, o.Task)
 			}
@@ -528,7 +528,7 @@
 			if v := k.View(); h+":1" != d.Addr || w.cut(v.Zone) != nil || w.Now < k.deaf || w.Rng.IntN(2) == 0 {
 				continue
 			}
-			if r := w.fleet.Command(d.Addr, &d.Orders); r != nil && w.Rng.IntN(4) > 0 {
+			if r := w.fleet.Command(d.Addr, &d.Batch); r != nil && w.Rng.IntN(4) > 0 {
 				w.said = append(w.said, said{w.Now + int64(w.Rng.IntN(int(2*second))), c, *r})
 			}
 		}
@@ -557,18 +557,18 @@
 		}
 	}
 	if !taken {
-		old.Slept(gap, w.Now)
+		old.ResumeAfterStall(gap, w.Now)
 		return
 	}
 	for _, h := range keys(w.workers) {
 		v := w.workers[h].View()
-		old.Report(&wire.Report{Host: h, Addr: h + ":1", Type: v.Type, Zone: v.Zone, Spot: v.Spot, Session: v.Session, Seq: v.Seq, Token: old.Token()}, w.Now)
+		old.Heartbeat(&wire.Heartbeat{Host: h, Addr: h + ":1", Type: v.Type, Zone: v.Zone, Spot: v.Spot, Incarnation: v.Session, Sequence: v.Seq, FencingToken: old.Token()}, w.Now)
 	}
 	if cm := old.Schedule(w.Now); cm != nil {
-		old.Refused(cm, w.Now)
+		old.CommitRejected(cm, w.Now)
 	}
 	w.direct(old)
-	back := old.Returns(w.Now, old.Blind(w.Now))
+	back := old.ScaleIn(w.Now, old.Blind(w.Now))
 	for _, h := range back[:min(3, len(back))] {
 		w.giveBack(h)
 	}
@@ -584,7 +584,7 @@
 		w.lists = w.lists[1:]
 	}
 	if w.Rng.IntN(40) == 0 && len(w.lists) > 0 {
-		w.Core.Machines(w.lists[w.Rng.IntN(len(w.lists))].hosts, w.Now)
+		w.Core.MachinesListed(w.lists[w.Rng.IntN(len(w.lists))].hosts, w.Now)
 	}
 	left := w.hires[:0]
 	for _, h := range w.hires {
@@ -593,7 +593,7 @@
 		case h.at > w.Now:
 			left = append(left, h)
 		default:
-			w.Core.Hired(h.hire, h.hosts, w.Now)
+			w.Core.ScaledOut(h.hire, h.hosts, w.Now)
 		}
 	}
 	w.hires = left
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -65,7 +65,7 @@
 		j.Spread = false
 	}
 	if r.IntN(2) == 0 {
-		j.CheckpointEvery, j.SaveS = 5, 2
+		j.CheckpointIntervalS, j.CheckpointDurationS = 5, 2
 	}
 	if r.IntN(4) == 0 {
 		j.GPUs = 1
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -84,7 +84,7 @@
 	if len(differ) > 0 {
 		return d, fmt.Errorf("%w: %d, such as %s", ErrDiffers, len(differ), differ[0])
 	}
-	_, err = r.multi(ctx, wire.Txn{Then: []wire.Change{{Delete: markKey}}})
+	_, err = r.multi(ctx, wire.Txn{Mutations: []wire.Mutation{{Delete: markKey}}})
 	return d, err
 }
 
@@ -118,9 +118,9 @@
 
 // multi runs a transaction until its outcome is known or the context ends; a conflict
 // after an unknown outcome may be its own doing.
-func (r *restorer) multi(ctx context.Context, t wire.Txn) (wire.TxnAnswer, error) {
+func (r *restorer) multi(ctx context.Context, t wire.Txn) (wire.TxnResponse, error) {
 	for {
-		a, err := r.Multi(ctx, t)
+		a, err := r.Txn(ctx, t)
 		if !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrUnknown) {
 			r.d.Revision = max(r.d.Revision, a.Revision)
 			return a, err
@@ -159,7 +159,7 @@
 
 // put writes the mark anew.
 func (r *restorer) put(ctx context.Context, m mark, version uint64) (uint64, error) {
-	a, err := r.multi(ctx, wire.Txn{If: []wire.Cond{{Key: markKey, Version: version}}, Then: []wire.Change{{Put: markKey, Value: m}}})
+	a, err := r.multi(ctx, wire.Txn{Conditions: []wire.Condition{{Key: markKey, Version: version}}, Mutations: []wire.Mutation{{Put: markKey, Value: m}}})
 	if errors.Is(err, kvstore.ErrConflict) { // a copy whose answer was lost, or another restore
 		e, found, gerr := r.Get(ctx, markKey)
 		var have mark
@@ -176,8 +176,8 @@
 	for len(keys) > 0 {
 		var t wire.Txn
 		for _, k := range keys {
-			t.If = append(t.If, wire.Cond{Key: k})
-			t.Then = append(t.Then, wire.Change{Put: k, Value: snap.Keys[k]})
+			t.Conditions = append(t.Conditions, wire.Condition{Key: k})
+			t.Mutations = append(t.Mutations, wire.Mutation{Put: k, Value: snap.Keys[k]})
 		}
 		a, err := r.multi(ctx, t)
 		if err == nil {
@@ -187,7 +187,7 @@
 		if !errors.Is(err, kvstore.ErrConflict) {
 			return differ, err
 		}
-		for _, k := range a.Failed {
+		for _, k := range a.FailedKeys {
 			e, found, err := r.Get(ctx, k)
 			switch {
 			case err != nil:
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -134,13 +134,13 @@
 var All = []string{""}
 
 // Entries returns the keys with a prefix, in order.
-func (s *Snapshot) Entries(prefix string) (out []wire.Entry) {
+func (s *Snapshot) Entries(prefix string) (out []wire.KeyValue) {
 	for k, v := range s.Keys {
 		if strings.HasPrefix(k, prefix) {
-			out = append(out, wire.Entry{Key: k, Value: v, Version: s.Versions[k]})
+			out = append(out, wire.KeyValue{Key: k, Value: v, Version: s.Versions[k]})
 		}
 	}
-	slices.SortFunc(out, func(a, b wire.Entry) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(out, func(a, b wire.KeyValue) int { return strings.Compare(a.Key, b.Key) })
 	return out
 }
 
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -26,7 +26,7 @@
 // and transactions that fail. Between two requests others may write.
 type service struct {
 	rev    uint64
-	keys   map[string]wire.Entry
+	keys   map[string]wire.KeyValue
 	events []wire.Event
 	keep   int // changes that are remembered
 	before func()
@@ -34,7 +34,7 @@
 	after  bool
 }
 
-func newService() *service { return &service{rev: 1, keys: map[string]wire.Entry{}, keep: 1000} }
+func newService() *service { return &service{rev: 1, keys: map[string]wire.KeyValue{}, keep: 1000} }
 
 func (s *service) come() {
 	if s.before != nil {
@@ -45,7 +45,7 @@
 func (s *service) put(k string, v any) {
 	b, _ := wire.Marshal(v)
 	s.rev++
-	s.keys[k] = wire.Entry{Key: k, Value: b, Version: s.rev}
+	s.keys[k] = wire.KeyValue{Key: k, Value: b, Version: s.rev}
 	s.note(wire.Event{Put: k, Value: b, Version: s.rev})
 }
 
@@ -60,15 +60,15 @@
 	s.events = s.events[max(0, len(s.events)-s.keep):]
 }
 
-func (s *service) Get(_ context.Context, k string) (wire.Entry, bool, error) {
+func (s *service) Get(_ context.Context, k string) (wire.KeyValue, bool, error) {
 	s.come()
 	e, ok := s.keys[k]
 	return e, ok, nil
 }
 
-func (s *service) Page(_ context.Context, prefix, after string, most int) (wire.Entries, error) {
+func (s *service) Page(_ context.Context, prefix, after string, most int) (wire.KeyValuePage, error) {
 	s.come()
-	out := wire.Entries{Revision: s.rev}
+	out := wire.KeyValuePage{Revision: s.rev}
 	for _, k := range slices.Sorted(maps.Keys(s.keys)) {
 		if strings.HasPrefix(k, prefix) && k > after {
 			if len(out.Items) == min(most, 7) { // small pages
@@ -95,27 +95,27 @@
 	return out, nil
 }
 
-func (s *service) Multi(_ context.Context, t wire.Txn) (wire.TxnAnswer, error) {
+func (s *service) Txn(_ context.Context, t wire.Txn) (wire.TxnResponse, error) {
 	s.come()
 	var err error
 	if s.fail != nil {
 		if err = s.fail(); err != nil && !s.after {
-			return wire.TxnAnswer{}, err
+			return wire.TxnResponse{}, err
 		}
 	}
-	var a wire.TxnAnswer
-	for _, c := range t.If {
+	var a wire.TxnResponse
+	for _, c := range t.Conditions {
 		if s.keys[c.Key].Version != c.Version {
-			a.Failed = append(a.Failed, c.Key)
+			a.FailedKeys = append(a.FailedKeys, c.Key)
 		}
 	}
 	switch {
-	case err != nil && len(a.Failed) > 0:
-		return wire.TxnAnswer{}, err
-	case len(a.Failed) > 0:
+	case err != nil && len(a.FailedKeys) > 0:
+		return wire.TxnResponse{}, err
+	case len(a.FailedKeys) > 0:
 		return a, kvstore.ErrConflict
 	}
-	for _, c := range t.Then {
+	for _, c := range t.Mutations {
 		if c.Delete != "" {
 			s.drop(c.Delete)
 		} else {
@@ -318,7 +318,7 @@
 		for _, after := range []bool{false, true} {
 			s := newService()
 			s.put("term", 1)
-			term := wire.Cond{Key: "term", Version: s.keys["term"].Version}
+			term := wire.Condition{Key: "term", Version: s.keys["term"].Version}
 			n := 0
 			s.after = after
 			s.fail = func() error {
@@ -365,7 +365,7 @@
 		}
 	}
 	s := newService()
-	if err := someSnapshot(3).Store(background, s, StoreOptions{Term: wire.Cond{Key: "term", Version: 7}, Ops: 4, Value: 300}); !errors.Is(err, kvstore.ErrConflict) || len(s.keys) > 0 {
+	if err := someSnapshot(3).Store(background, s, StoreOptions{Term: wire.Condition{Key: "term", Version: 7}, Ops: 4, Value: 300}); !errors.Is(err, kvstore.ErrConflict) || len(s.keys) > 0 {
 		t.Errorf("without the term: %v", err)
 	}
 }
--- a/internal/snapshot/stored.go
+++ b/internal/snapshot/stored.go
@@ -36,7 +36,7 @@
 
 // StoreOptions bound how a copy is stored.
 type StoreOptions struct {
-	Term  wire.Cond                                        // holds as long as nobody else stores
+	Term  wire.Condition                                   // holds as long as nobody else stores
 	Ops   int                                              // changes in a transaction
 	Value int                                              // bytes of a value in its text form
 	Pace  func(ctx context.Context, changes int) (ok bool) // waits after so many changes; nil: not at all
@@ -58,22 +58,22 @@
 	if heads[0].Revision > heads[1].Revision {
 		g = 1
 	}
-	run := func(changes []wire.Change) error {
-		_, err := to.Multi(ctx, wire.Txn{If: []wire.Cond{o.Term}, Then: changes})
+	run := func(changes []wire.Mutation) error {
+		_, err := to.Txn(ctx, wire.Txn{Conditions: []wire.Condition{o.Term}, Mutations: changes})
 		if err == nil && o.Pace != nil && !o.Pace(ctx, len(changes)) {
 			return ctx.Err()
 		}
 		return err
 	}
-	if err := run([]wire.Change{{Delete: headKey(g)}}); err != nil {
+	if err := run([]wire.Mutation{{Delete: headKey(g)}}); err != nil {
 		return err
 	}
 	text := base64.StdEncoding.EncodeToString(b)
 	each := o.Value * 9 / 10
 	parts := (len(text) + each - 1) / each
-	var batch []wire.Change
+	var batch []wire.Mutation
 	for i := range parts {
-		batch = append(batch, wire.Change{Put: partKey(g, i), Value: text[i*each : min((i+1)*each, len(text))]})
+		batch = append(batch, wire.Mutation{Put: partKey(g, i), Value: text[i*each : min((i+1)*each, len(text))]})
 		if len(batch) == o.Ops || (len(batch)+1)*each > txnRoom || i == parts-1 {
 			if err := run(batch); err != nil {
 				return err
@@ -84,20 +84,20 @@
 	if err := s.trim(ctx, to, g, parts, o.Ops, run); err != nil {
 		return err
 	}
-	return run([]wire.Change{{Put: headKey(g), Value: head{s.Revision, parts, hex.EncodeToString(checksum([]byte(text), nil))}}})
+	return run([]wire.Mutation{{Put: headKey(g), Value: head{s.Revision, parts, hex.EncodeToString(checksum([]byte(text), nil))}}})
 }
 
 // trim deletes what a longer copy has left.
-func (s *Snapshot) trim(ctx context.Context, to Store, g, parts, ops int, run func([]wire.Change) error) error {
+func (s *Snapshot) trim(ctx context.Context, to Store, g, parts, ops int, run func([]wire.Mutation) error) error {
 	for {
 		page, err := to.Page(ctx, partPrefix(g), partKey(g, parts-1), ops)
 		if err != nil || len(page.Items) == 0 {
 			return err
 		}
-		var batch []wire.Change
+		var batch []wire.Mutation
 		for _, e := range page.Items {
 			if e.Key != headKey(g) {
-				batch = append(batch, wire.Change{Delete: e.Key})
+				batch = append(batch, wire.Mutation{Delete: e.Key})
 			}
 		}
 		if len(batch) == 0 {
--- a/internal/standby/copy.go
+++ b/internal/standby/copy.go
@@ -69,7 +69,7 @@
 
 // Begin takes a whole read of the state: all keys, and the revision that a watch goes on
 // from. Some of the entries may be newer than that revision; the watch brings them again.
-func (c *Copy) Begin(entries []wire.Entry, revision uint64, now Micros) {
+func (c *Copy) Begin(entries []wire.KeyValue, revision uint64, now Micros) {
 	c.items, c.owned, c.bytes, c.doubt, c.audited, c.audits = map[string]Item{}, map[string]string{}, 0, "", "", 0
 	c.revision, c.whole, c.seen = revision, true, now
 	for _, e := range entries {
@@ -240,7 +240,7 @@
 // Audit compares a page that the store gave for a range with the copy, which must have
 // been followed up to the page's revision at least. What has changed since the page was
 // read can't be compared. It returns how many keys were.
-func (c *Copy) Audit(r Range, page wire.Entries, prefixes []string) int {
+func (c *Copy) Audit(r Range, page wire.KeyValuePage, prefixes []string) int {
 	if c.doubt != "" || c.revision < page.Revision {
 		return 0
 	}
--- a/internal/standby/copy_test.go
+++ b/internal/standby/copy_test.go
@@ -17,7 +17,7 @@
 
 // history is a store with all that ever changed in it.
 type history struct {
-	keys   map[string]wire.Entry
+	keys   map[string]wire.KeyValue
 	events []wire.Event
 	rev    uint64
 }
@@ -37,7 +37,7 @@
 			continue
 		}
 		v, _ := msgpack.Marshal(r.IntN(1000))
-		h.keys[k] = wire.Entry{Key: k, Value: v, Version: h.rev}
+		h.keys[k] = wire.KeyValue{Key: k, Value: v, Version: h.rev}
 		h.events = append(h.events, wire.Event{Put: k, Value: v, Version: h.rev})
 	}
 	if len(h.events) == 0 || h.events[len(h.events)-1].Version != h.rev {
@@ -55,7 +55,7 @@
 	return ev
 }
 
-func (h *history) page(prefix, after string, most int) (p wire.Entries) {
+func (h *history) page(prefix, after string, most int) (p wire.KeyValuePage) {
 	p.Revision = h.rev
 	for k, e := range h.keys {
 		if strings.HasPrefix(k, prefix) && k > after {
@@ -88,7 +88,7 @@
 
 // begin reads a store page by page while it changes, as a standby does.
 func (h *history) begin(r *rand.Rand, limit int) *Copy {
-	var all []wire.Entry
+	var all []wire.KeyValue
 	var first uint64
 	for _, p := range prefixes {
 		for after := ""; ; {
@@ -159,7 +159,7 @@
 	for seed := uint64(1); seed <= 400; seed++ {
 		r := rand.New(rand.NewPCG(seed, 23))
 		fault := faults[seed%uint64(len(faults))]
-		h := &history{keys: map[string]wire.Entry{}}
+		h := &history{keys: map[string]wire.KeyValue{}}
 		for range 30 {
 			h.change(r)
 		}
@@ -236,7 +236,7 @@
 func TestAuditsFindWhatIsWrong(t *testing.T) {
 	for seed := uint64(1); seed <= 200; seed++ {
 		r := rand.New(rand.NewPCG(seed, 24))
-		h := &history{keys: map[string]wire.Entry{}}
+		h := &history{keys: map[string]wire.KeyValue{}}
 		for range 60 {
 			h.change(r)
 		}
@@ -295,7 +295,7 @@
 	}
 	v, _ := msgpack.Marshal(strings.Repeat("x", 10))
 	c.Decode = func(string, []byte) (any, error) { return nil, nil }
-	c.Begin([]wire.Entry{{Key: "l/1", Value: v, Version: 1}}, 1, 1)
+	c.Begin([]wire.KeyValue{{Key: "l/1", Value: v, Version: 1}}, 1, 1)
 	for i := range 20 {
 		c.Apply(wire.Events{Revision: uint64(i + 2), Events: []wire.Event{{Put: fmt.Sprint("l/", i), Value: v, Version: uint64(i + 2)}}}, 2)
 	}
@@ -303,7 +303,7 @@
 		t.Errorf("doubt: %q", c.Doubt())
 	}
 	c.Decode = func(string, []byte) (any, error) { return nil, errors.New("torn") }
-	c.Begin([]wire.Entry{{Key: "l/1", Value: v, Version: 1}}, 1, 1)
+	c.Begin([]wire.KeyValue{{Key: "l/1", Value: v, Version: 1}}, 1, 1)
 	if !strings.Contains(c.Doubt(), "torn") {
 		t.Errorf("doubt: %q", c.Doubt())
 	}
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -21,11 +21,11 @@
 // Orders sends stops and tokens to a worker. Launches never take this way: a
 // command may be held back and executed minutes later, and only a launch in a
 // report's answer is known to be either executed or dropped by the next report.
-func (c *Client) Orders(ctx context.Context, addr string, o wire.DirectOrders) (wire.Report, error) {
-	var r wire.Report
-	if o.Orders == nil {
-		o.Orders = []wire.Order{}
+func (c *Client) Orders(ctx context.Context, addr string, o wire.CommandBatch) (wire.Heartbeat, error) {
+	var r wire.Heartbeat
+	if o.Commands == nil {
+		o.Commands = []wire.Command{}
 	}
-	err := c.calls.Call(ctx, 2*time.Second, http.MethodPost, "http://"+addr+wire.PathOrders, o, &r)
+	err := c.calls.Call(ctx, 2*time.Second, http.MethodPost, "http://"+addr+wire.PathCommands, o, &r)
 	return r, err
 }
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -26,7 +26,7 @@
 	c := New(8)
 	for range 60 {
 		srv := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			b, _ := wire.Marshal(wire.Report{Host: "n-1"})
+			b, _ := wire.Marshal(wire.Heartbeat{Host: "n-1"})
 			_, _ = w.Write(b)
 		}))
 		srv.Config.ConnState = func(_ net.Conn, st http.ConnState) {
@@ -41,7 +41,7 @@
 		}
 		srv.Start()
 		t.Cleanup(srv.Close)
-		r, err := c.Orders(context.Background(), strings.TrimPrefix(srv.URL, "http://"), wire.DirectOrders{Token: 1, Session: 1})
+		r, err := c.Orders(context.Background(), strings.TrimPrefix(srv.URL, "http://"), wire.CommandBatch{FencingToken: 1, Incarnation: 1})
 		if err != nil || r.Host != "n-1" {
 			t.Fatal(r, err)
 		}
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -138,22 +138,22 @@
 	}
 	f := &fields{m: m}
 	j := &Job{
-		ID:              f.text("Id", maxID),
-		Class:           f.text("Jobclass", maxName),
-		Team:            f.text("Owner", maxName),
-		Shape:           f.oneOf("Shape", Array, Gang, Service),
-		Priority:        f.oneOf("Urgency", Production, High, Normal, Low),
-		CPUs:            f.amount("Cores"),
-		GPUs:            f.amount("Gpus"),
-		MemoryGB:        f.amount("RamGb"),
-		Image:           f.text("Bundle", maxImage),
-		ImageGB:         f.amount("SizeGb"),
-		OneZone:         f.flag("SamePlace"),
-		Spread:          f.flag("Spread"),
-		Spot:            f.flag("Loaners"),
-		EstimateS:       f.amount("ExpectedS"),
-		CheckpointEvery: f.amount("SnapshotEveryS"),
-		SaveS:           f.amount("SnapshotS"),
+		ID:                  f.text("Id", maxID),
+		Class:               f.text("Jobclass", maxName),
+		Team:                f.text("Owner", maxName),
+		Shape:               f.oneOf("Shape", Array, Gang, Service),
+		Priority:            f.oneOf("Urgency", Production, High, Normal, Low),
+		CPUs:                f.amount("Cores"),
+		GPUs:                f.amount("Gpus"),
+		MemoryGB:            f.amount("RamGb"),
+		Image:               f.text("Bundle", maxImage),
+		ImageGB:             f.amount("SizeGb"),
+		OneZone:             f.flag("SamePlace"),
+		Spread:              f.flag("Spread"),
+		Spot:                f.flag("Loaners"),
+		EstimateS:           f.amount("ExpectedS"),
+		CheckpointIntervalS: f.amount("SnapshotEveryS"),
+		CheckpointDurationS: f.amount("SnapshotS"),
 	}
 	if !ValidID(j.ID) {
 		f.fail("Id", "has the wrong form")
--- a/wire/limits.go
+++ b/wire/limits.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// MaxTxn is the most bytes of a transaction, counted in JSON (protocol, "Limits and errors").
-const MaxTxn = 64 << 10
+// MaxTxnBytes is the most bytes of a transaction, counted in JSON (protocol, "Limits and errors").
+const MaxTxnBytes = 64 << 10
 
 // ConditionsPerChange is how many conditions a transaction may have for each change that the
 // state service allows it.
@@ -21,13 +21,13 @@
 // Check returns an error that names the first limit that the transaction exceeds. The state
 // service answers such a transaction with 400.
 func (l TxnLimits) Check(txn Txn) error {
-	if l.Changes > 0 && len(txn.Then) > l.Changes {
-		return fmt.Errorf("%d changes, of %d at most", len(txn.Then), l.Changes)
+	if l.Changes > 0 && len(txn.Mutations) > l.Changes {
+		return fmt.Errorf("%d changes, of %d at most", len(txn.Mutations), l.Changes)
 	}
-	if most := ConditionsPerChange * l.Changes; l.Changes > 0 && len(txn.If) > most {
-		return fmt.Errorf("%d conditions, of %d at most", len(txn.If), most)
+	if most := ConditionsPerChange * l.Changes; l.Changes > 0 && len(txn.Conditions) > most {
+		return fmt.Errorf("%d conditions, of %d at most", len(txn.Conditions), most)
 	}
-	for _, change := range txn.Then {
+	for _, change := range txn.Mutations {
 		if change.Delete != "" || l.ValueBytes == 0 {
 			continue
 		}
@@ -43,8 +43,8 @@
 	if err != nil {
 		return err
 	}
-	if size > MaxTxn {
-		return fmt.Errorf("%d bytes in all, of %d at most", size, MaxTxn)
+	if size > MaxTxnBytes {
+		return fmt.Errorf("%d bytes in all, of %d at most", size, MaxTxnBytes)
 	}
 	return nil
 }
--- a/wire/state.go
+++ b/wire/state.go
@@ -2,31 +2,31 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// Entry is a key of the state service. Version is the revision of its most
+// KeyValue is a key of the state service. Version is the revision of its most
 // recent change.
-type Entry struct {
+type KeyValue struct {
 	Key     string             `msgpack:"K"`
 	Value   msgpack.RawMessage `msgpack:"Value"`
 	Version uint64             `msgpack:"Stamp"`
 	Lease   uint64             `msgpack:"Tenancy,omitempty"`
 }
 
-// Entries is a page of keys.
-type Entries struct {
-	Items    []Entry `msgpack:"Entries"`
-	More     bool    `msgpack:"More"`
-	Revision uint64  `msgpack:"Epoch"`
+// KeyValuePage is a page of keys.
+type KeyValuePage struct {
+	Items    []KeyValue `msgpack:"Entries"`
+	More     bool       `msgpack:"More"`
+	Revision uint64     `msgpack:"Epoch"`
 }
 
-// Cond is a condition of a transaction; version 0 means that the key must not
+// Condition is a condition of a transaction; version 0 means that the key must not
 // exist.
-type Cond struct {
+type Condition struct {
 	Key     string `msgpack:"K"`
 	Version uint64 `msgpack:"Stamp"`
 }
 
-// Change is a put (Put and Value set) or a delete of a transaction.
-type Change struct {
+// Mutation is a put (Put and Value set) or a delete of a transaction.
+type Mutation struct {
 	Put    string `msgpack:"Write,omitempty"`
 	Value  any    `msgpack:"Value,omitempty"`
 	Lease  uint64 `msgpack:"Tenancy,omitempty"`
@@ -35,15 +35,15 @@
 
 // Txn is an atomic transaction.
 type Txn struct {
-	If   []Cond   `msgpack:"When"`
-	Then []Change `msgpack:"Writes,omitempty"`
+	Conditions []Condition `msgpack:"When"`
+	Mutations  []Mutation  `msgpack:"Writes,omitempty"`
 }
 
-// TxnAnswer answers a transaction: with 200 the revision, with 409 also the
+// TxnResponse answers a transaction: with 200 the revision, with 409 also the
 // keys that did not match.
-type TxnAnswer struct {
-	Revision uint64   `msgpack:"Epoch"`
-	Failed   []string `msgpack:"failed,omitempty"`
+type TxnResponse struct {
+	Revision   uint64   `msgpack:"Epoch"`
+	FailedKeys []string `msgpack:"failed,omitempty"`
 }
 
 // Lease is a lease of the state service.
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -7,19 +7,19 @@
 
 // Paths of the HTTP interfaces.
 const (
-	PathJobs    = "/v2/runs"
-	PathHealth  = "/healthz"
-	PathReport  = "/hello"
-	PathOrders  = "/orders"
-	PathInspect = "/inspect"
-	PathCatalog = "/catalog"
-	PathRentals = "/rentals"
-	PathReturn  = "/rentals/return"
-	CancelVerb  = "withdraw"
+	PathJobs      = "/v2/runs"
+	PathHealth    = "/healthz"
+	PathHeartbeat = "/hello"
+	PathCommands  = "/orders"
+	PathInspect   = "/inspect"
+	PathCatalog   = "/catalog"
+	PathMachines  = "/rentals"
+	PathScaleIn   = "/rentals/return"
+	CancelAction  = "withdraw"
 )
 
-// MaxBody is the protocol's limit for request bodies, in bytes.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the protocol's limit for request bodies, in bytes.
+const MaxBodyBytes = 64 << 10
 
 // Shapes of jobs.
 const (
@@ -55,14 +55,14 @@
 
 // Causes of exit.
 const (
-	CauseDone    = "done"
-	CauseStopped = "stopped"
-	CausePeers   = "peers"
-	CauseAlone   = "incomplete"
-	CauseError   = "error"
-	CauseNoRoom  = "no_room"
-	CauseBusy    = "in_use"
-	CauseUnknown = "no_such"
+	CauseDone           = "done"
+	CauseStopped        = "stopped"
+	CauseGangMemberLost = "peers"
+	CauseGangIncomplete = "incomplete"
+	CauseError          = "error"
+	CauseNoRoom         = "no_room"
+	CauseImageInUse     = "in_use"
+	CauseUnknown        = "no_such"
 )
 
 // Commands to workers.
@@ -74,33 +74,33 @@
 
 // States of machines in the cloud's list.
 const (
-	HostBooting = "booting"
-	HostRunning = "running"
-	HostFailed  = "failed"
+	MachineBooting = "booting"
+	MachineRunning = "running"
+	MachineFailed  = "failed"
 )
 
 // Job is a submission. Durations are seconds, as on the wire.
 type Job struct {
-	ID              string   `msgpack:"Id"`
-	Class           string   `msgpack:"Jobclass"`
-	Team            string   `msgpack:"Owner"`
-	Shape           string   `msgpack:"Shape"`
-	Priority        string   `msgpack:"Urgency"`
-	Tasks           int      `msgpack:"Pieces"`
-	CPUs            float64  `msgpack:"Cores"`
-	GPUs            float64  `msgpack:"Gpus"`
-	MemoryGB        float64  `msgpack:"RamGb"`
-	Image           string   `msgpack:"Bundle"`
-	ImageGB         float64  `msgpack:"SizeGb"`
-	Types           []string `msgpack:"Builds"`
-	Zone            *string  `msgpack:"District"`
-	OneZone         bool     `msgpack:"SamePlace"`
-	Spread          bool     `msgpack:"Spread"`
-	Spot            bool     `msgpack:"Loaners"`
-	EstimateS       float64  `msgpack:"ExpectedS"`
-	CheckpointEvery float64  `msgpack:"SnapshotEveryS"`
-	SaveS           float64  `msgpack:"SnapshotS"`
-	DeadlineS       *float64 `msgpack:"DueS"`
+	ID                  string   `msgpack:"Id"`
+	Class               string   `msgpack:"Jobclass"`
+	Team                string   `msgpack:"Owner"`
+	Shape               string   `msgpack:"Shape"`
+	Priority            string   `msgpack:"Urgency"`
+	Tasks               int      `msgpack:"Pieces"`
+	CPUs                float64  `msgpack:"Cores"`
+	GPUs                float64  `msgpack:"Gpus"`
+	MemoryGB            float64  `msgpack:"RamGb"`
+	Image               string   `msgpack:"Bundle"`
+	ImageGB             float64  `msgpack:"SizeGb"`
+	Types               []string `msgpack:"Builds"`
+	Zone                *string  `msgpack:"District"`
+	OneZone             bool     `msgpack:"SamePlace"`
+	Spread              bool     `msgpack:"Spread"`
+	Spot                bool     `msgpack:"Loaners"`
+	EstimateS           float64  `msgpack:"ExpectedS"`
+	CheckpointIntervalS float64  `msgpack:"SnapshotEveryS"`
+	CheckpointDurationS float64  `msgpack:"SnapshotS"`
+	DeadlineS           *float64 `msgpack:"DueS"`
 }
 
 // JobStatus answers submissions, queries and cancellations.
@@ -114,8 +114,8 @@
 // Final reports whether a status can never change again.
 func Final(status string) bool { return status == JobDone || status == JobCancelled }
 
-// TaskReport is one task on a machine.
-type TaskReport struct {
+// TaskStatus is one task on a machine.
+type TaskStatus struct {
 	Task    string `msgpack:"Piece"`
 	Attempt uint64 `msgpack:"Try"`
 	State   string `msgpack:"Status"`
@@ -123,32 +123,32 @@
 	Saved   bool   `msgpack:"Saved,omitempty"`
 }
 
-// Report is what a worker says about its machine.
-type Report struct {
-	Host    string       `msgpack:"Host"`
-	Addr    string       `msgpack:"Addr"`
-	Type    string       `msgpack:"Build"`
-	Zone    string       `msgpack:"District"`
-	Spot    bool         `msgpack:"Loaners"`
-	Session uint64       `msgpack:"Tenure"`
-	Seq     uint64       `msgpack:"Tick"`
-	Token   uint64       `msgpack:"Warrant"`
-	NoticeS *float64     `msgpack:"RecallS"`
-	Tasks   []TaskReport `msgpack:"Pieces"`
+// Heartbeat is what a worker says about its machine.
+type Heartbeat struct {
+	Host              string       `msgpack:"Host"`
+	Addr              string       `msgpack:"Addr"`
+	Type              string       `msgpack:"Build"`
+	Zone              string       `msgpack:"District"`
+	Spot              bool         `msgpack:"Loaners"`
+	Incarnation       uint64       `msgpack:"Tenure"`
+	Sequence          uint64       `msgpack:"Tick"`
+	FencingToken      uint64       `msgpack:"Warrant"`
+	PreemptionNoticeS *float64     `msgpack:"RecallS"`
+	Tasks             []TaskStatus `msgpack:"Pieces"`
 }
 
-// Order is one command to a worker.
-type Order struct {
+// Command is one command to a worker.
+type Command struct {
 	Op      string   `msgpack:"Verb"`
 	Task    string   `msgpack:"Piece"`
 	Attempt uint64   `msgpack:"Try"`
 	GraceS  *float64 `msgpack:"WindupS,omitempty"`
 }
 
-// ReportAnswer answers a report with 200.
-type ReportAnswer struct {
-	Token  uint64  `msgpack:"Warrant"`
-	Orders []Order `msgpack:"Orders"`
+// HeartbeatResponse answers a report with 200.
+type HeartbeatResponse struct {
+	FencingToken uint64    `msgpack:"Warrant"`
+	Commands     []Command `msgpack:"Orders"`
 }
 
 // Redirect answers a report with 421.
@@ -156,11 +156,11 @@
 	To string `msgpack:"Overseer,omitempty"`
 }
 
-// DirectOrders is the body of a command sent straight to a worker.
-type DirectOrders struct {
-	Token   uint64  `msgpack:"Warrant"`
-	Session uint64  `msgpack:"Tenure"`
-	Orders  []Order `msgpack:"Orders"`
+// CommandBatch is the body of a command sent straight to a worker.
+type CommandBatch struct {
+	FencingToken uint64    `msgpack:"Warrant"`
+	Incarnation  uint64    `msgpack:"Tenure"`
+	Commands     []Command `msgpack:"Orders"`
 }
 
 // MachineType is one entry of the cloud's catalog.
@@ -182,18 +182,18 @@
 	Types []MachineType `msgpack:"Builds"`
 }
 
-// Hire asks the cloud for machines.
-type Hire struct {
-	Request string `msgpack:"Hire"`
-	Type    string `msgpack:"Build"`
-	Zone    string `msgpack:"District"`
-	Spot    bool   `msgpack:"Loaners"`
-	Count   int    `msgpack:"Count"`
+// ScaleOutRequest asks the cloud for machines.
+type ScaleOutRequest struct {
+	RequestID string `msgpack:"Hire"`
+	Type      string `msgpack:"Build"`
+	Zone      string `msgpack:"District"`
+	Spot      bool   `msgpack:"Loaners"`
+	Count     int    `msgpack:"Count"`
 }
 
-// Hosts names machines: the answer to a Hire and the body of a return.
-type Hosts struct {
-	Hosts []string `msgpack:"Hosts"`
+// MachineIDs names machines: the answer to a Hire and the body of a return.
+type MachineIDs struct {
+	IDs []string `msgpack:"Hosts"`
 }
 
 // Machine is one entry of the cloud's list.
@@ -207,10 +207,10 @@
 	AgeS  float64 `msgpack:"AgeS"`
 }
 
-// Machines is a page of the cloud's list.
-type Machines struct {
-	Hosts []Machine `msgpack:"Hosts"`
-	More  bool      `msgpack:"More"`
+// MachinePage is a page of the cloud's list.
+type MachinePage struct {
+	Machines []Machine `msgpack:"Hosts"`
+	More     bool      `msgpack:"More"`
 }
 
 // Error is the body of a refusal.
