--- a/cmd/dalefront/main.go
+++ b/cmd/dalefront/main.go
@@ -131,7 +131,7 @@
 	signal.Notify(hand, syscall.SIGUSR1)
 	go func() {
 		for range hand {
-			n.HandOver()
+			n.TransferLeadership()
 		}
 	}()
 	return n.Run(context.Background())
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -36,7 +36,7 @@
 	Submit(ctx context.Context, j *wire.Job) (wire.JobStatus, bool, error)
 	Status(ctx context.Context, id string) (wire.JobStatus, error)
 	Cancel(ctx context.Context, id string) (wire.JobStatus, error)
-	Report(ctx context.Context, r *wire.Heartbeat) (wire.HeartbeatResponse, error)
+	Heartbeat(ctx context.Context, r *wire.Heartbeat) (wire.HeartbeatResponse, error)
 	Ready() error // or why no requests can be taken
 }
 
@@ -146,7 +146,7 @@
 			refuse(w, wire.ErrMalformed)
 			return
 		}
-		a, err := s.Report(ctx, &rep)
+		a, err := s.Heartbeat(ctx, &rep)
 		if err != nil {
 			refuse(w, err)
 			return
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -31,7 +31,7 @@
 func (f *fake) Cancel(_ context.Context, id string) (wire.JobStatus, error) {
 	return wire.JobStatus{ID: id, Status: wire.JobCancelled}, f.err
 }
-func (f *fake) Report(context.Context, *wire.Heartbeat) (wire.HeartbeatResponse, error) {
+func (f *fake) Heartbeat(context.Context, *wire.Heartbeat) (wire.HeartbeatResponse, error) {
 	return wire.HeartbeatResponse{FencingToken: 7}, f.err
 }
 func (f *fake) Ready() error { return f.err }
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -18,8 +18,8 @@
 // absence of an end is also conditional on the manifest that the archive was read
 // from: it changes whenever ends of the same shard are archived.
 
-// guarded adds the manifests that stand for jobs, each once.
-func (n *Node) guarded(conds []wire.Condition, ids ...string) []wire.Condition {
+// withArchiveGuards adds the manifests that stand for jobs, each once.
+func (n *Controller) withArchiveGuards(conds []wire.Condition, ids ...string) []wire.Condition {
 	for _, id := range ids {
 		if g := n.archive.Guard(id); !slices.Contains(conds, g) {
 			conds = append(conds, g)
@@ -31,7 +31,7 @@
 // unlessEnded runs a transaction that must not take effect if the job has an end in
 // the archive; then it returns that end. The transaction's own conditions see to an
 // end that is not archived.
-func (n *Node) unlessEnded(ctx context.Context, id string, txn wire.Txn) (wire.JobStatus, error) {
+func (n *Controller) unlessEnded(ctx context.Context, id string, txn wire.Txn) (wire.JobStatus, error) {
 	own := txn.Conditions
 	for tries := 0; ; tries++ {
 		a, err := n.archive.Look(ctx, id)
@@ -42,7 +42,7 @@
 			return n.archived(a.Record), nil
 		}
 		txn.Conditions = append(slices.Clone(own), a.Cond)
-		res, err := n.state.Txn(ctx, txn)
+		res, err := n.store.Txn(ctx, txn)
 		if !errors.Is(err, kvstore.ErrConflict) || tries == 3 {
 			return wire.JobStatus{}, err
 		}
@@ -56,21 +56,21 @@
 }
 
 // archived remembers an answer of the archive.
-func (n *Node) archived(rec archive.Record) wire.JobStatus {
+func (n *Controller) archived(rec archive.Record) wire.JobStatus {
 	st := wire.JobStatus{ID: rec.ID, Status: rec.Status, Done: rec.Done}
-	n.remember(st)
+	n.rememberFinal(st)
 	return st
 }
 
-// lookBack answers a lookup of which neither the job nor its end was found. The
+// lookUpArchive answers a lookup of which neither the job nor its end was found. The
 // archive only grows: without an answer now it had none when the keys were looked
 // at, and the job was never accepted.
-func (n *Node) lookBack(ctx context.Context, l lookup, moved bool) verdict {
+func (n *Controller) lookUpArchive(ctx context.Context, l lookup, moved bool) lookupResult {
 	select {
-	case n.lookBacks <- struct{}{}:
-		defer func() { <-n.lookBacks }()
+	case n.archiveSlots <- struct{}{}:
+		defer func() { <-n.archiveSlots }()
 	case <-ctx.Done():
-		return verdict{err: api.ErrNotNow}
+		return lookupResult{err: api.ErrNotNow}
 	}
 	look := n.archive.Look
 	if moved {
@@ -79,17 +79,17 @@
 	a, err := look(ctx, l.id)
 	switch {
 	case err != nil:
-		return verdict{err: err}
+		return lookupResult{err: err}
 	case a.Found:
-		return verdict{accepted: true, ended: true, archived: true, st: n.archived(a.Record)}
+		return lookupResult{accepted: true, ended: true, archived: true, st: n.archived(a.Record)}
 	case l.known: // it can't be: an accepted job leaves something
-		return verdict{err: api.ErrNotNow}
+		return lookupResult{err: api.ErrNotNow}
 	}
-	return verdict{}
+	return lookupResult{}
 }
 
 // warmArchive reads the manifests, of which there may be some hundred.
-func (n *Node) warmArchive(ctx context.Context) {
+func (n *Controller) warmArchive(ctx context.Context) {
 	for ctx.Err() == nil && n.archive.Warm(ctx) != nil {
 		select {
 		case <-ctx.Done():
@@ -101,14 +101,14 @@
 // compact moves old ends into the archive while this node holds the term, below a
 // share of what the state service takes.
 func (r *leadership) compact(ctx context.Context) {
-	n := r.n
-	after := config.Micro(*n.set.Operator.ArchiveAfterS)
+	n := r.controller
+	after := config.Micro(*n.settings.Operator.ArchiveAfterS)
 	if after <= 0 {
 		return
 	}
-	d := &n.set.Deployment.State
-	share := *n.set.Operator.ArchiveShare
-	c := archive.NewCompactor(n.archive, endSource(r.termCond, n.now), archive.Limits{Ops: d.TxnOps, Value: int(d.ValueKB * 1024), After: after})
+	d := &n.settings.Deployment.State
+	share := *n.settings.Operator.ArchiveShare
+	c := archive.NewCompactor(n.archive, endSource(r.termCondition, n.now), archive.Limits{Ops: d.TxnOps, Value: int(d.ValueKB * 1024), After: after})
 	told := 0
 	rest := min(5*time.Second, time.Duration(after)*time.Microsecond) // a takeover comes first
 	for {
@@ -118,7 +118,7 @@
 		case <-time.After(rest):
 		}
 		rest = time.Second
-		if !n.state.Reachable(3*time.Second) || !n.awake() {
+		if !n.store.Reachable(3*time.Second) || !n.ranRecently() {
 			continue
 		}
 		before := c.Counts
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -24,7 +24,7 @@
 type scene struct {
 	t       *testing.T
 	svc     *emulator.Services
-	n       *Node
+	n       *Controller
 	compact *archive.Compactor
 	reader  *archive.Reader
 	before  func(request int64) // runs before each of the node's requests
@@ -47,7 +47,7 @@
 		set.Deployment.Teams = []config.Team{{Name: "a"}}
 		set.Deployment.State.ValueKB, set.Deployment.State.TxnOps = 16, 12
 	})
-	s.n.takeCatalog(wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 4, Zones: []string{"x"}}}})
+	s.n.setCatalog(wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 4, Zones: []string{"x"}}}})
 	direct := httptest.NewServer(s.svc)
 	t.Cleanup(direct.Close)
 	s.svc.Set(termKey, termRecord{Node: "b", Mark: "b.1"})
@@ -85,13 +85,13 @@
 	s.t.Fatal("no end of archiving")
 }
 
-var sceneOps = map[string]func(*Node, string) (wire.JobStatus, error){
-	"poll": func(n *Node, id string) (wire.JobStatus, error) { return n.Status(context.Background(), id) },
-	"submit": func(n *Node, id string) (wire.JobStatus, error) {
+var sceneOps = map[string]func(*Controller, string) (wire.JobStatus, error){
+	"poll": func(n *Controller, id string) (wire.JobStatus, error) { return n.Status(context.Background(), id) },
+	"submit": func(n *Controller, id string) (wire.JobStatus, error) {
 		st, _, err := n.Submit(context.Background(), sceneJob(id))
 		return st, err
 	},
-	"withdraw": func(n *Node, id string) (wire.JobStatus, error) { return n.Cancel(context.Background(), id) },
+	"withdraw": func(n *Controller, id string) (wire.JobStatus, error) { return n.Cancel(context.Background(), id) },
 }
 
 func sceneJob(id string) *wire.Job {
@@ -100,7 +100,7 @@
 
 // check asks until it gets an answer, which must be the job's end, and looks whether
 // anything of the job came back to life.
-func (s *scene) check(what string, op func(*Node, string) (wire.JobStatus, error), id string, want endRecord) {
+func (s *scene) check(what string, op func(*Controller, string) (wire.JobStatus, error), id string, want endRecord) {
 	s.t.Helper()
 	for tries := 0; ; tries++ {
 		st, err := op(s.n, id)
--- a/internal/controller/cancelled.go
+++ b/internal/controller/cancellation.go
@@ -24,7 +24,7 @@
 
 // Cancel implements api.Service. Done and cancelled share one key that is created once, so the
 // first one is final.
-func (n *Node) Cancel(ctx context.Context, id string) (wire.JobStatus, error) {
+func (n *Controller) Cancel(ctx context.Context, id string) (wire.JobStatus, error) {
 	st, err := n.Status(ctx, id)
 	if err != nil || wire.Final(st.Status) {
 		return st, err
@@ -36,21 +36,21 @@
 	case end.Status == wire.JobDone:
 		return end.answer(id), nil
 	}
-	return n.awaitGone(ctx, id, end)
+	return n.awaitRecordDeleted(ctx, id, end)
 }
 
-// awaitGone waits until a cancelled job's record is gone. An error means that it is not, or that
+// awaitRecordDeleted waits until a cancelled job's record is gone. An error means that it is not, or that
 // nobody can tell: the end stays in the state service, its tasks are being stopped, and the
 // user's repeat gets the answer.
-func (n *Node) awaitGone(ctx context.Context, id string, end endRecord) (wire.JobStatus, error) {
+func (n *Controller) awaitRecordDeleted(ctx context.Context, id string, end endRecord) (wire.JobStatus, error) {
 	select {
-	case n.cancels <- struct{}{}:
-		defer func() { <-n.cancels }()
+	case n.cancelSlots <- struct{}{}:
+		defer func() { <-n.cancelSlots }()
 	default:
 		return wire.JobStatus{}, api.ErrOverload
 	}
 	for pause := goneEvery; ; pause = min(2*pause, goneAtMost) {
-		v := n.look(ctx, id, true)
+		v := n.lookUpJob(ctx, id, true)
 		switch {
 		case v.err != nil:
 			return wire.JobStatus{}, api.ErrNotNow
@@ -58,7 +58,7 @@
 			return v.st, nil
 		case v.ended && !v.accepted:
 			st := end.answer(id)
-			n.remember(st)
+			n.rememberFinal(st)
 			return st, nil
 		}
 		select {
@@ -73,33 +73,33 @@
 // other tidying, since their users wait for it. Without an answer it is done again: under one
 // term it comes to the same.
 func (r *leadership) deleteCancelled(keys []string) {
-	n := r.n
+	n := r.controller
 	err := r.deleteNow(keys)
 	if err != nil {
-		rest(r.ctx, goneEvery)
+		sleepContext(r.ctx, goneEvery)
 	}
-	n.post(func() {
+	n.postToOwner(func() {
 		r.busyCancelled = false
 		if n.leadership != r {
 			return
 		}
 		if errors.Is(err, kvstore.ErrConflict) {
-			r.end()
+			r.stepDown()
 			return
 		}
 		if err != nil {
-			r.cancelled = append(r.cancelled, keys...)
+			r.cancelledRecords = append(r.cancelledRecords, keys...)
 		}
-		n.dirty = n.dirty || len(r.cancelled) > 0
+		n.passPending = n.passPending || len(r.cancelledRecords) > 0
 	})
 }
 
 // deleteNow deletes keys on condition of the term.
 func (r *leadership) deleteNow(keys []string) error {
-	txn := wire.Txn{Conditions: []wire.Condition{r.termCond()}}
+	txn := wire.Txn{Conditions: []wire.Condition{r.termCondition()}}
 	for _, k := range keys {
 		txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: k})
 	}
-	_, err := r.n.state.Txn(r.ctx, txn)
+	_, err := r.controller.store.Txn(r.ctx, txn)
 	return err
 }
--- a/internal/controller/store.go
+++ b/internal/controller/commit.go
@@ -35,20 +35,20 @@
 // again under the same conditions: its entries are created once, so that only one
 // copy can ever be applied.
 func (r *leadership) commit(cm *sched.Commit) {
-	n := r.n
-	txn := CommitTxn(cm, r.termCond(), generationCond(cm.Generation))
-	txn.Conditions = n.guarded(txn.Conditions, cm.Jobs...)
+	n := r.controller
+	txn := CommitTxn(cm, r.termCondition(), generationCond(cm.Generation))
+	txn.Conditions = n.withArchiveGuards(txn.Conditions, cm.Jobs...)
 	unknown := false
 	for r.ctx.Err() == nil {
-		a, err := n.state.Txn(r.ctx, txn)
+		a, err := n.store.Txn(r.ctx, txn)
 		switch {
 		case err == nil:
-			r.commitDone(cm, true)
+			r.commitFinished(cm, true)
 			return
 		case errors.Is(err, kvstore.ErrUnknown):
 			unknown = true
 		case errors.Is(err, kvstore.ErrConflict):
-			r.conflict(cm, a.FailedKeys)
+			r.resolveConflict(cm, a.FailedKeys)
 			return
 		case !unknown:
 			// Refused: it was not executed and never will be.
@@ -57,16 +57,16 @@
 			} else {
 				n.log.Error("commit is not accepted", "err", err, "conditions", len(txn.Conditions), "changes", len(txn.Mutations))
 			}
-			r.commitDone(cm, false)
+			r.commitFinished(cm, false)
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-func (r *leadership) commitDone(cm *sched.Commit, ok bool) {
-	n := r.n
-	n.post(func() {
+func (r *leadership) commitFinished(cm *sched.Commit, ok bool) {
+	n := r.controller
+	n.postToOwner(func() {
 		if n.leadership != r {
 			return
 		}
@@ -78,18 +78,18 @@
 			r.core.CommitRejected(cm, n.now())
 		}
 		r.serveWaiters()
-		n.dirty = true
+		n.passPending = true
 	})
 }
 
-// conflict finds out why a batch failed: the term is lost, a job has ended, or
+// resolveConflict finds out why a batch failed: the term is lost, a job has ended, or
 // an earlier copy of the same batch was applied after all.
-func (r *leadership) conflict(cm *sched.Commit, failed []string) {
-	n := r.n
+func (r *leadership) resolveConflict(cm *sched.Commit, failed []string) {
+	n := r.controller
 	for r.ctx.Err() == nil {
 		again, applied := false, false
 		for _, k := range failed {
-			e, found, err := n.state.Get(r.ctx, k)
+			e, found, err := n.store.Get(r.ctx, k)
 			if err != nil {
 				again = true
 				break
@@ -97,7 +97,7 @@
 			switch {
 			case k == termKey:
 				if !found || e.Version != r.token {
-					n.post(func() { r.end() })
+					n.postToOwner(func() { r.stepDown() })
 					return
 				}
 			case k == dynconfig.GenerationKey:
@@ -107,9 +107,9 @@
 					again = true
 				}
 			case strings.HasPrefix(k, endPrefix) && found:
-				n.post(func() {
+				n.postToOwner(func() {
 					if n.leadership == r {
-						r.ended(strings.TrimPrefix(k, endPrefix), e.Value)
+						r.jobEnded(strings.TrimPrefix(k, endPrefix), e.Value)
 					}
 				})
 			case strings.HasPrefix(k, ledgerPrefix):
@@ -123,7 +123,7 @@
 			}
 		}
 		if !again {
-			r.commitDone(cm, applied)
+			r.commitFinished(cm, applied)
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -133,25 +133,25 @@
 // storeEnds makes jobs done, unless they were cancelled before: all in one
 // transaction, or one by one if that fails.
 func (r *leadership) storeEnds(ids []string, done []int) {
-	n := r.n
+	n := r.controller
 	ctx, cancel := context.WithTimeout(r.ctx, 4*time.Second)
 	defer cancel()
-	conds := []wire.Condition{r.termCond()}
+	conds := []wire.Condition{r.termCondition()}
 	txn := wire.Txn{Conditions: conds}
 	at := n.now()
 	for i, id := range ids {
 		txn.Conditions = append(txn.Conditions, wire.Condition{Key: endKey(id)})
 		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: endKey(id), Value: endRecord{Status: wire.JobDone, At: at, Done: done[i]}})
 	}
-	txn.Conditions = n.guarded(txn.Conditions, ids...)
-	_, together := n.state.Txn(ctx, txn)
+	txn.Conditions = n.withArchiveGuards(txn.Conditions, ids...)
+	_, together := n.store.Txn(ctx, txn)
 	ends := make([]endRecord, len(ids))
 	errs := make([]error, len(ids))
 	failed := false
 	for i, id := range ids {
 		if together == nil {
 			ends[i] = endRecord{Status: wire.JobDone, Done: done[i]}
-			n.remember(ends[i].answer(id))
+			n.rememberFinal(ends[i].answer(id))
 			continue
 		}
 		if errs[i] = together; errors.Is(together, kvstore.ErrConflict) || errors.Is(together, kvstore.ErrUnknown) {
@@ -162,7 +162,7 @@
 	if failed {
 		time.Sleep(150 * time.Millisecond)
 	}
-	n.post(func() {
+	n.postToOwner(func() {
 		r.busyEnds = false
 		if n.leadership != r {
 			return
@@ -174,8 +174,8 @@
 				r.core.JobEnded(id, ends[i].Status, n.now())
 			}
 		}
-		r.effects()
-		n.dirty = true
+		r.dispatchEffects()
+		n.passPending = true
 	})
 }
 
@@ -183,22 +183,22 @@
 // copy of an earlier transaction that got no answer may be applied after it, and would take
 // back what tasks have been cleared for since. Owner goroutine.
 func (r *leadership) progressTxn(cs []sched.ProgressChunk) wire.Txn {
-	txn := wire.Txn{Conditions: []wire.Condition{r.termCond()}}
+	txn := wire.Txn{Conditions: []wire.Condition{r.termCondition()}}
 	for _, c := range cs {
 		key := chunkKey(c.Job, c.Index)
-		txn.Conditions = append(txn.Conditions, wire.Condition{Key: key, Version: r.chunkAt[key]})
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: key, Version: r.chunkVersions[key]})
 		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: key, Value: c.Text})
 	}
 	return txn
 }
 
 func (r *leadership) storeProgress(cs []sched.ProgressChunk, txn wire.Txn) {
-	n := r.n
-	a, err := n.state.Txn(r.ctx, txn)
+	n := r.controller
+	a, err := n.store.Txn(r.ctx, txn)
 	changed := map[string]uint64{} // versions that are another than thought
 	if errors.Is(err, kvstore.ErrConflict) {
 		for _, k := range a.FailedKeys {
-			if e, found, err := n.state.Get(r.ctx, k); err == nil && found && k != termKey {
+			if e, found, err := n.store.Get(r.ctx, k); err == nil && found && k != termKey {
 				changed[k] = e.Version
 			} else if err == nil && k != termKey {
 				changed[k] = 0
@@ -209,19 +209,19 @@
 	// change stored before them, and a result that is not stored yet is only
 	// reported once more.
 	time.Sleep(time.Second)
-	n.post(func() {
+	n.postToOwner(func() {
 		r.busyProgress = false
-		maps.Copy(r.chunkAt, changed)
+		maps.Copy(r.chunkVersions, changed)
 		if n.leadership != r || err != nil {
 			return
 		}
 		for _, c := range cs {
-			r.chunkAt[chunkKey(c.Job, c.Index)] = a.Revision
+			r.chunkVersions[chunkKey(c.Job, c.Index)] = a.Revision
 			if _, _, _, known := r.core.Counts(c.Job); !known {
-				r.tidy = append(r.tidy, chunkKey(c.Job, c.Index)) // forgotten meanwhile
+				r.staleKeys = append(r.staleKeys, chunkKey(c.Job, c.Index)) // forgotten meanwhile
 				continue
 			}
-			r.chunks[c.Job] = max(r.chunks[c.Job], c.Index+1)
+			r.chunkCounts[c.Job] = max(r.chunkCounts[c.Job], c.Index+1)
 			r.core.ProgressStored(c)
 		}
 	})
@@ -231,20 +231,20 @@
 // in twenty seconds.
 const learnEvery = 20_000_000
 
-func (r *leadership) storeLearned(l sched.Statistics) {
-	n := r.n
-	_, _ = n.state.Txn(r.ctx, wire.Txn{Conditions: []wire.Condition{r.termCond()}, Mutations: []wire.Mutation{{Put: learnedKey, Value: l}}})
-	n.post(func() { r.busyLearned = false })
+func (r *leadership) storeStatistics(l sched.Statistics) {
+	n := r.controller
+	_, _ = n.store.Txn(r.ctx, wire.Txn{Conditions: []wire.Condition{r.termCondition()}, Mutations: []wire.Mutation{{Put: learnedKey, Value: l}}})
+	n.postToOwner(func() { r.busyStatistics = false })
 }
 
 func (r *leadership) deleteKeys(keys []string) {
-	n := r.n
+	n := r.controller
 	err := r.deleteNow(keys)
 	time.Sleep(time.Second)
-	n.post(func() {
-		r.busyTidy = false
+	n.postToOwner(func() {
+		r.busyStaleKeys = false
 		if err != nil && !errors.Is(err, kvstore.ErrConflict) {
-			r.tidy = append(r.tidy, keys...)
+			r.staleKeys = append(r.staleKeys, keys...)
 		}
 	})
 }
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -15,8 +15,8 @@
 	"dalefront/wire"
 )
 
-// inForce is the configuration that this node decides by. It is never changed, only replaced.
-type inForce struct {
+// activeConfig is the configuration that this node decides by. It is never changed, only replaced.
+type activeConfig struct {
 	settings *config.Settings // of the platform, with the documents merged
 	cordons  []dynconfig.Cordon
 	number   uint64 // of the generation
@@ -29,8 +29,8 @@
 // configuration follows the stored configuration. Being behind costs time and never safety:
 // launches are stored on condition of the generation that they were decided by.
 type configuration struct {
-	n       *Node
-	now     atomic.Pointer[inForce]
+	n       *Controller
+	active  atomic.Pointer[activeConfig]
 	refused atomic.Int64  // batches decided by a generation that was no longer in force
 	behind  chan struct{} // a peer has shown a newer generation
 
@@ -40,14 +40,14 @@
 	earlier  map[string]bool  // peers of a version that knows no such configuration
 }
 
-func newConfiguration(n *Node) *configuration {
+func newConfiguration(n *Controller) *configuration {
 	c := &configuration{n: n, behind: make(chan struct{}, 1), earlier: map[string]bool{}}
-	c.now.Store(&inForce{settings: n.set})
+	c.active.Store(&activeConfig{settings: n.settings})
 	return c
 }
 
 // current is the configuration to decide by.
-func (c *configuration) current() *inForce { return c.now.Load() }
+func (c *configuration) current() *activeConfig { return c.active.Load() }
 
 // generationCond makes a transaction fail once the configuration has changed.
 func generationCond(version uint64) wire.Condition {
@@ -64,7 +64,7 @@
 // follow keeps up with the configuration until the context ends.
 func (c *configuration) follow(ctx context.Context) {
 	// Each opening of the watch is a request: a burst of changes is told together.
-	every := time.Duration(8 / max(c.n.set.Deployment.State.RPS, 1) * float64(time.Second))
+	every := time.Duration(8 / max(c.n.settings.Deployment.State.RPS, 1) * float64(time.Second))
 	go c.catchUp(ctx)
 	for ctx.Err() == nil {
 		c.mu.Lock()
@@ -72,20 +72,20 @@
 		c.mu.Unlock()
 		if !followed {
 			if c.refresh(ctx) != nil {
-				rest(ctx, configPause)
+				sleepContext(ctx, configPause)
 			}
 			continue
 		}
-		events, err := c.n.state.Changes(ctx, dynconfig.Prefix, revision, configHold)
+		events, err := c.n.store.Changes(ctx, dynconfig.Prefix, revision, configHold)
 		switch {
 		case errors.Is(err, kvstore.ErrCompacted):
-			c.lose()
+			c.markUnknown()
 		case err != nil:
-			rest(ctx, configPause)
+			sleepContext(ctx, configPause)
 		default:
-			c.told(revision, events)
+			c.applyEvents(revision, events)
 			if len(events.Events) > 0 {
-				rest(ctx, every)
+				sleepContext(ctx, every)
 			}
 		}
 	}
@@ -100,20 +100,20 @@
 		case <-c.behind:
 		}
 		if c.refresh(ctx) != nil {
-			rest(ctx, configPause)
+			sleepContext(ctx, configPause)
 		}
 	}
 }
 
-// lose forgets what was followed: it is to be read again.
-func (c *configuration) lose() {
+// markUnknown forgets what was followed: it is to be read again.
+func (c *configuration) markUnknown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state = nil
 }
 
-// told takes the answer of a watch that was opened at a revision.
-func (c *configuration) told(from uint64, events wire.Events) {
+// applyEvents takes the answer of a watch that was opened at a revision.
+func (c *configuration) applyEvents(from uint64, events wire.Events) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state == nil || c.revision != from {
@@ -172,7 +172,7 @@
 // nothing. A page is of one moment; if it takes several, the generation must be the same before
 // and after, as nothing that is in force changes without it.
 func (c *configuration) read(ctx context.Context) (*dynconfig.State, uint64, error) {
-	store := c.n.state
+	store := c.n.store
 	for range configReads {
 		page, err := store.Page(ctx, dynconfig.Prefix, "", configPage)
 		if err != nil {
@@ -209,15 +209,15 @@
 	if old.known && old.version == s.GenerationVersion {
 		return
 	}
-	next := &inForce{number: s.Generation.Number, version: s.GenerationVersion, known: true, since: c.n.now()}
-	next.settings, next.cordons, next.unknown = dynconfig.Merge(c.n.set, s.Documents())
+	next := &activeConfig{number: s.Generation.Number, version: s.GenerationVersion, known: true, since: c.n.now()}
+	next.settings, next.cordons, next.unknown = dynconfig.Merge(c.n.settings, s.Documents())
 	if old.known && old.number == next.number {
 		next.since = old.since
 	} else if next.number > 0 {
 		c.n.log.Info("configuration", "generation", next.number, "cordons", len(next.cordons), "not_usable", next.unknown)
 	}
-	c.now.Store(next)
-	go c.n.post(c.configureCore)
+	c.active.Store(next)
+	go c.n.postToOwner(c.configureCore)
 }
 
 // configureCore hands the newest configuration to the core. Owner goroutine.
@@ -228,11 +228,11 @@
 	}
 	now := c.current()
 	r.core.Configure(now.settings, now.cordons, now.version, c.n.now())
-	c.n.dirty = true
+	c.n.passPending = true
 }
 
-// heard takes what a peer's hello says of the configuration.
-func (c *configuration) heard(label string, h *peer.Heartbeat) {
+// recordPeerConfig takes what a peer's hello says of the configuration.
+func (c *configuration) recordPeerConfig(label string, h *peer.Heartbeat) {
 	c.mu.Lock()
 	c.earlier[label] = !h.SupportsConfig
 	c.mu.Unlock()
@@ -258,13 +258,13 @@
 }
 
 // PeerConfigStatus implements peer.Server.
-func (n *Node) PeerConfigStatus(context.Context, *peer.ConfigStatusRequest) (*peer.ConfigStatusResponse, error) {
+func (n *Controller) PeerConfigStatus(context.Context, *peer.ConfigStatusRequest) (*peer.ConfigStatusResponse, error) {
 	now := n.config.current()
-	return &peer.ConfigStatusResponse{Label: n.set.Label, Known: now.known, Generation: now.number, Since: now.since, Unknown: now.unknown}, nil
+	return &peer.ConfigStatusResponse{Label: n.settings.Label, Known: now.known, Generation: now.number, Since: now.since, Unknown: now.unknown}, nil
 }
 
 // PeerConfigRead implements peer.Server.
-func (n *Node) PeerConfigRead(ctx context.Context, q *peer.ConfigReadRequest) (*peer.ConfigReadResponse, error) {
+func (n *Controller) PeerConfigRead(ctx context.Context, q *peer.ConfigReadRequest) (*peer.ConfigReadResponse, error) {
 	s, _, err := n.config.read(ctx)
 	if err != nil {
 		return &peer.ConfigReadResponse{Reason: err.Error()}, nil
@@ -280,7 +280,7 @@
 
 // history reads what is kept of the generations up to that of a state, the newest first.
 func (c *configuration) history(ctx context.Context, s *dynconfig.State) ([]dynconfig.History, error) {
-	entries, _, err := c.n.state.List(ctx, dynconfig.HistoryPrefix)
+	entries, _, err := c.n.store.List(ctx, dynconfig.HistoryPrefix)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controller/configapply.go
+++ b/internal/controller/configapply.go
@@ -16,7 +16,7 @@
 // applier carries out one apply: it reads, plans, and stores the plan on condition that
 // nothing has changed since it read; otherwise it begins again.
 type applier struct {
-	n     *Node
+	n     *Controller
 	q     *dynconfig.Request
 	ask   *peer.ConfigApplyRequest
 	first uint64 // generation at the first read; 0: not read yet
@@ -29,14 +29,14 @@
 var errEarlierVersion = errors.New("runs a version that knows no configuration at run time: update it first")
 
 // PeerConfigApply implements peer.Server.
-func (n *Node) PeerConfigApply(ctx context.Context, ask *peer.ConfigApplyRequest) (*peer.ConfigApplyResponse, error) {
+func (n *Controller) PeerConfigApply(ctx context.Context, ask *peer.ConfigApplyRequest) (*peer.ConfigApplyResponse, error) {
 	ctx, cancel := context.WithTimeout(kvstore.Urgent(ctx), peer.ApplyLimit)
 	defer cancel()
 	if ask.ID == "" {
 		return &peer.ConfigApplyResponse{Outcome: peer.ConfigInvalid, Reason: "the apply has no name"}, nil
 	}
 	for i := range ask.Changes {
-		if err := dynconfig.Check(n.set, &ask.Changes[i]); err != nil {
+		if err := dynconfig.Check(n.settings, &ask.Changes[i]); err != nil {
 			return &peer.ConfigApplyResponse{Outcome: peer.ConfigInvalid, Reason: err.Error()}, nil
 		}
 	}
@@ -55,7 +55,7 @@
 			return answer
 		}
 		last = err
-		rest(ctx, applyPause)
+		sleepContext(ctx, applyPause)
 	}
 	if a.unknown != nil {
 		return &peer.ConfigApplyResponse{Outcome: peer.ConfigUnknown, Reason: "the state service gave no answer: it may have been applied, or may yet be"}
@@ -86,7 +86,7 @@
 			return answer, err
 		}
 	}
-	plan, err := s.Plan(a.q, keys, a.n.set.TxnLimits())
+	plan, err := s.Plan(a.q, keys, a.n.settings.TxnLimits())
 	if err != nil {
 		return a.unplanned(s, err)
 	}
@@ -132,7 +132,7 @@
 // keys of the history. An apply that is asked for the first time can only be there since its
 // first read.
 func (a *applier) history(ctx context.Context, s *dynconfig.State) (*peer.ConfigApplyResponse, []string, error) {
-	oldest, err := a.n.state.Page(ctx, dynconfig.HistoryPrefix, "", oldestHistory)
+	oldest, err := a.n.store.Page(ctx, dynconfig.HistoryPrefix, "", oldestHistory)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -143,7 +143,7 @@
 	if a.ask.Again {
 		from = 0
 	}
-	newest, err := a.n.state.Page(ctx, dynconfig.HistoryPrefix, dynconfig.HistoryBefore(from), configPage)
+	newest, err := a.n.store.Page(ctx, dynconfig.HistoryPrefix, dynconfig.HistoryBefore(from), configPage)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -162,7 +162,7 @@
 // claim takes the generation's key over from an apply that is writing, or that ended while it
 // wrote.
 func (a *applier) claim(ctx context.Context, s *dynconfig.State) error {
-	_, err := a.n.state.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCond(s.GenerationVersion)}, Mutations: s.Claim(a.q.ID)})
+	_, err := a.n.store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCond(s.GenerationVersion)}, Mutations: s.Claim(a.q.ID)})
 	return err
 }
 
@@ -181,7 +181,7 @@
 // term is the condition that the leader, if there is one, stores launches on condition of the
 // generation, and stays the leader until the change is stored.
 func (a *applier) term(ctx context.Context) (wire.Condition, error) {
-	e, found, err := a.n.state.Get(ctx, termKey)
+	e, found, err := a.n.store.Get(ctx, termKey)
 	if err != nil {
 		return wire.Condition{}, err
 	}
@@ -191,7 +191,7 @@
 		if err := wire.Unmarshal(e.Value, &t); err != nil {
 			return wire.Condition{}, err
 		}
-		if !t.Configures {
+		if !t.SupportsConfig {
 			old = []string{t.Node}
 		}
 	}
@@ -205,18 +205,18 @@
 func (a *applier) store(ctx context.Context, s *dynconfig.State, plan *dynconfig.Plan, term wire.Condition) error {
 	version := s.GenerationVersion
 	if plan.Stage != nil {
-		answer, err := a.n.state.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCond(version)}, Mutations: plan.Stage})
+		answer, err := a.n.store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCond(version)}, Mutations: plan.Stage})
 		if err != nil {
 			return err
 		}
 		version = answer.Revision
 	}
 	for _, batch := range plan.Batches {
-		if _, err := a.n.state.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCond(version)}, Mutations: batch}); err != nil {
+		if _, err := a.n.store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCond(version)}, Mutations: batch}); err != nil {
 			return err
 		}
 	}
-	_, err := a.n.state.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCond(version), term}, Mutations: plan.Switch})
+	_, err := a.n.store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCond(version), term}, Mutations: plan.Switch})
 	if errors.Is(err, kvstore.ErrUnknown) {
 		a.unknown = &version
 	}
@@ -229,12 +229,12 @@
 		return
 	}
 	var txn wire.Txn
-	for _, k := range keys[:min(len(keys), a.n.set.Deployment.State.TxnOps)] {
+	for _, k := range keys[:min(len(keys), a.n.settings.Deployment.State.TxnOps)] {
 		txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: k})
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), peer.ApplyLimit)
 		defer cancel()
-		_, _ = a.n.state.Txn(ctx, txn) // the next apply finds what is left
+		_, _ = a.n.store.Txn(ctx, txn) // the next apply finds what is left
 	}()
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -27,65 +27,65 @@
 	"dalefront/wire"
 )
 
-// Node is one controller.
-type Node struct {
-	set    *config.Settings
-	log    *slog.Logger
-	state  *kvstore.Client
-	cloud  *cloud.Client
-	worker *workerclient.Client
-	peers  map[string]*peer.Client
-	cal    *calendar.Calendar // recurring jobs, nil if none are configured
+// Controller is one controller.
+type Controller struct {
+	settings *config.Settings
+	log      *slog.Logger
+	store    *kvstore.Client
+	cloud    *cloud.Client
+	worker   *workerclient.Client
+	peers    map[string]*peer.Client
+	calendar *calendar.Calendar // recurring jobs, nil if none are configured
 	// Final answers of old jobs. It is asked whether or not this node's settings
 	// have ends archived: another leader may have done so.
-	archive *archive.Reader
-	snapKey []byte // of the snapshots written to disk, nil for none
-	start   time.Time
-	wall    int64
+	archive         *archive.Reader
+	snapshotKey     []byte // of the snapshots written to disk, nil for none
+	startedAt       time.Time
+	startWallMicros int64
 
-	events  chan func()   // run by the owner
-	submits chan struct{} // bounds the submissions that are being stored
-	cancels chan struct{} // bounds the users that wait for their jobs' tasks to be gone
-	lookups chan lookup   // questions of users that wait for the next read
+	ownerQueue  chan func()   // run by the owner
+	submitSlots chan struct{} // bounds the submissions that are being stored
+	cancelSlots chan struct{} // bounds the users that wait for their jobs' tasks to be gone
+	lookupQueue chan lookup   // questions of users that wait for the next read
 
-	lookBacks chan struct{} // bounds the questions to the archive
+	archiveSlots chan struct{} // bounds the questions to the archive
 
 	// Owned by the owner goroutine.
-	leadership *leadership
-	dirty      bool
-	work       work
+	leadership  *leadership
+	passPending bool
+	loopStats   loopStats
 
-	warm   *warm
-	config *configuration
+	follower *follower
+	config   *configuration
 
-	beat atomic.Int64 // when the owner goroutine last came by
+	lastTurn atomic.Int64 // when the owner goroutine last came by
 
 	draining atomic.Bool
 	drained  chan struct{} // closed when this node is to end
 
-	mu       sync.Mutex
-	leader   string // who holds the term, as far as known
-	token    uint64 // highest token known
-	shown    gauges
-	grant    uint64 // the token under which a leader let this node renew leases
-	gaveUp   uint64 // the last term that this node gave up by itself
-	leading  uint64 // this node's token while it acts, otherwise 0
-	catalog  *wire.Catalog
-	finals   map[string]wire.JobStatus
-	finalQ   []string
-	known    map[string]struct{}  // jobs known to be accepted
-	peerAt   map[string]time.Time // when a peer last answered
-	heardAt  map[string]time.Time // when a worker last reported to this node
-	sendOn   *rate.Limiter        // workers that are sent on to another node
-	sendOnAt time.Time            // when its rate was last set
-	born     uint64               // names this process
-	started  map[string]*starts   // of the peers' processes
-	stand    standby.View         // who stands by
-	unfitAt  map[string]time.Time // when a peer said that it could not follow
-	acting   acting               // which process said hello as leader
-	answers  int                  // hellos that were answered
-	ends     int                  // how often this node was started anew lately, as a peer said
-	endsAt   time.Time            // when
+	mu              sync.Mutex
+	leader          string // who holds the term, as far as known
+	token           uint64 // highest token known
+	gauges          gauges
+	renewalToken    uint64 // the token under which a leader let this node renew leases
+	resignedToken   uint64 // the last term that this node gave up by itself
+	leadingToken    uint64 // this node's token while it acts, otherwise 0
+	catalog         *wire.Catalog
+	finalStatuses   map[string]wire.JobStatus
+	finalOrder      []string
+	knownJobs       map[string]struct{}     // jobs known to be accepted
+	peerSeenAt      map[string]time.Time    // when a peer last answered
+	workerSeenAt    map[string]time.Time    // when a worker last reported to this node
+	redirectLimiter *rate.Limiter           // workers that are sent on to another node
+	sendOnAt        time.Time               // when its rate was last set
+	processID       uint64                  // names this process
+	peerProcesses   map[string]*peerProcess // of the peers' processes
+	standbyView     standby.View            // who stands by
+	peerUnfitAt     map[string]time.Time    // when a peer said that it could not follow
+	leaderProcess   leaderProcess           // which process said hello as leader
+	peerAnswers     int                     // hellos that were answered
+	ownRestarts     int                     // how often this node was started anew lately, as a peer said
+	ownRestartsAt   time.Time               // when
 }
 
 const (
@@ -115,38 +115,38 @@
 )
 
 // New returns a node; Run starts it.
-func New(set *config.Settings, log *slog.Logger) (*Node, error) {
+func New(set *config.Settings, log *slog.Logger) (*Controller, error) {
 	d := &set.Deployment
 	now := time.Now()
-	n := &Node{
-		set: set, log: log,
-		state:  kvstore.New(set.Endpoints.State, d.State.RPS, d.State.WriteRPS, len(set.Members)+1),
-		cloud:  cloud.New(set.Endpoints.Cloud, d.Cloud.RPS, cloudShare),
-		worker: workerclient.New(d.Resources.Sockets / socketsPerIdle),
-		peers:  map[string]*peer.Client{},
-		start:  now, wall: now.UnixMicro(),
-		events: make(chan func(), max(minEvents, d.Resources.Sockets)),
+	n := &Controller{
+		settings: set, log: log,
+		store:     kvstore.New(set.Endpoints.State, d.State.RPS, d.State.WriteRPS, len(set.Members)+1),
+		cloud:     cloud.New(set.Endpoints.Cloud, d.Cloud.RPS, cloudShare),
+		worker:    workerclient.New(d.Resources.Sockets / socketsPerIdle),
+		peers:     map[string]*peer.Client{},
+		startedAt: now, startWallMicros: now.UnixMicro(),
+		ownerQueue: make(chan func(), max(minEvents, d.Resources.Sockets)),
 		// What the state service takes in two seconds; more are sent away at
 		// once, since they could not be told in time.
-		submits: make(chan struct{}, max(minSubmits, int(2*d.State.WriteRPS))),
-		cancels: make(chan struct{}, max(minCancels, d.Resources.Sockets/4)),
-		lookups: make(chan lookup, maxLookups), lookBacks: make(chan struct{}, maxLookBacks),
-		finals: map[string]wire.JobStatus{}, known: map[string]struct{}{}, peerAt: map[string]time.Time{}, heardAt: map[string]time.Time{},
-		sendOn: rate.NewLimiter(minSendOn, sendOnBurst*minSendOn), drained: make(chan struct{}),
-		born: newBorn(), started: map[string]*starts{}, unfitAt: map[string]time.Time{},
-	}
-	n.archive = archive.NewReader(n.state)
-	n.warm = newWarm(n)
+		submitSlots: make(chan struct{}, max(minSubmits, int(2*d.State.WriteRPS))),
+		cancelSlots: make(chan struct{}, max(minCancels, d.Resources.Sockets/4)),
+		lookupQueue: make(chan lookup, maxLookups), archiveSlots: make(chan struct{}, maxLookBacks),
+		finalStatuses: map[string]wire.JobStatus{}, knownJobs: map[string]struct{}{}, peerSeenAt: map[string]time.Time{}, workerSeenAt: map[string]time.Time{},
+		redirectLimiter: rate.NewLimiter(minSendOn, sendOnBurst*minSendOn), drained: make(chan struct{}),
+		processID: newProcessID(), peerProcesses: map[string]*peerProcess{}, peerUnfitAt: map[string]time.Time{},
+	}
+	n.archive = archive.NewReader(n.store)
+	n.follower = newFollower(n)
 	n.config = newConfiguration(n)
 	if file := set.Operator.Calendar; file != "" {
 		var err error
-		if n.cal, err = calendar.Load(file); err != nil {
+		if n.calendar, err = calendar.Load(file); err != nil {
 			return nil, err
 		}
 	}
 	if file := set.Operator.SnapshotKey; file != "" {
 		var err error
-		if n.snapKey, err = snapshot.KeyFile(file); err != nil {
+		if n.snapshotKey, err = snapshot.KeyFile(file); err != nil {
 			return nil, err
 		}
 	}
@@ -162,48 +162,50 @@
 
 // now is the time of day at the start plus steady time since: intervals are
 // steady, and arrivals stored by other nodes can be compared within the bound.
-func (n *Node) now() config.Micros { return n.wall + time.Since(n.start).Microseconds() }
+func (n *Controller) now() config.Micros {
+	return n.startWallMicros + time.Since(n.startedAt).Microseconds()
+}
 
 // Run serves until the context ends or a listener fails.
-func (n *Node) Run(ctx context.Context) error {
+func (n *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	users, err := net.Listen("tcp", n.set.ServeOn)
+	users, err := net.Listen("tcp", n.settings.ServeOn)
 	if err != nil {
 		return err
 	}
-	mesh, err := net.Listen("tcp", n.set.MeshAddr)
+	mesh, err := net.Listen("tcp", n.settings.MeshAddr)
 	if err != nil {
 		return err
 	}
-	srv := api.NewServer(api.Handler(n, n.metrics()), n.set.Deployment.Resources.Sockets)
-	rpc := peer.NewServer(n, n.set.Deployment.Resources.Sockets)
+	srv := api.NewServer(api.Handler(n, n.metrics()), n.settings.Deployment.Resources.Sockets)
+	rpc := peer.NewServer(n, n.settings.Deployment.Resources.Sockets)
 	failed := make(chan error, 2)
 	go func() { failed <- srv.Serve(users) }()
 	go func() { failed <- rpc.Serve(mesh) }()
-	go n.own(ctx)
-	go n.learnCatalog(ctx)
-	go n.termLoop(ctx)
-	go n.probe(ctx)
-	go n.warm.follow(ctx)
+	go n.runOwner(ctx)
+	go n.refreshCatalog(ctx)
+	go n.electionLoop(ctx)
+	go n.probeStore(ctx)
+	go n.follower.follow(ctx)
 	go n.config.follow(ctx)
-	go n.warm.watchLeader(ctx)
+	go n.follower.watchLeader(ctx)
 	go n.warmArchive(ctx)
 	pace := n.lookupPace()
 	for i := 0; i < lookupers; i++ {
 		go n.lookupLoop(ctx, pace)
 	}
 	for label, p := range n.peers {
-		go n.greet(ctx, label, p)
+		go n.heartbeatPeer(ctx, label, p)
 	}
-	n.log.Info("serving", "node", n.set.Label, "users", n.set.ServeOn, "mesh", n.set.MeshAddr)
+	n.log.Info("serving", "node", n.settings.Label, "users", n.settings.ServeOn, "mesh", n.settings.MeshAddr)
 	select {
 	case <-ctx.Done():
 		_ = srv.Close()
 		rpc.Stop()
 		return nil
 	case <-n.drained:
-		n.windUp(ctx, srv)
+		n.shutDown(ctx, srv)
 		rpc.Stop()
 		return nil
 	case err := <-failed:
@@ -211,69 +213,69 @@
 	}
 }
 
-// own is the goroutine that owns the core. It schedules once events have
+// runOwner is the goroutine that owns the core. It schedules once events have
 // settled for a moment, so that a burst of reports leads to one pass.
-func (n *Node) own(ctx context.Context) {
+func (n *Controller) runOwner(ctx context.Context) {
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
-	work := &n.work
+	work := &n.loopStats
 	settle := time.NewTimer(time.Hour)
 	defer settle.Stop()
 	armed := false
 	var took time.Duration
-	n.beat.Store(n.now())
+	n.lastTurn.Store(n.now())
 	for {
-		n.beat.Store(n.now())
+		n.lastTurn.Store(n.now())
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-n.events:
-			n.woke()
-			work.measure(workEvents, f)
-			if n.dirty && !armed {
+		case f := <-n.ownerQueue:
+			n.detectStall()
+			work.measure(loopEvents, f)
+			if n.passPending && !armed {
 				armed = true
 				settle.Reset(max(20*time.Millisecond, 3*took))
 			}
 		case <-settle.C:
-			n.woke()
+			n.detectStall()
 			armed = false
-			n.dirty = false
+			n.passPending = false
 			if n.leadership != nil {
-				took = min(work.measure(workPasses, n.leadership.pass), 100*time.Millisecond) // a small share of the processor
+				took = min(work.measure(loopPasses, n.leadership.schedule), 100*time.Millisecond) // a small share of the processor
 			}
 		case <-tick.C:
-			n.woke()
+			n.detectStall()
 			if n.leadership != nil {
-				work.measure(workTicks, n.leadership.tick)
+				work.measure(loopTicks, n.leadership.tick)
 			}
 		}
 	}
 }
 
-// standstill is the longest gap between two turns of the owner goroutine that is
+// stallThreshold is the longest gap between two turns of the owner goroutine that is
 // not taken for a standstill of the whole process.
-const standstill = int64(time.Second / time.Microsecond)
+const stallThreshold = int64(time.Second / time.Microsecond)
 
-// awake says whether the owner goroutine came by lately. After a standstill
+// ranRecently says whether the owner goroutine came by lately. After a standstill
 // whatever wakes first must not act for a term that another node may hold by now.
-func (n *Node) awake() bool { return n.now()-n.beat.Load() < standstill }
+func (n *Controller) ranRecently() bool { return n.now()-n.lastTurn.Load() < stallThreshold }
 
-// woke notices a standstill: it runs before anything else that a turn does, since
+// detectStall notices a standstill: it runs before anything else that a turn does, since
 // to this node everything timed looks overdue and all workers look silent.
-func (n *Node) woke() {
+func (n *Controller) detectStall() {
 	now := n.now()
-	gap := now - n.beat.Load()
-	n.beat.Store(now)
-	if gap >= standstill && n.leadership != nil {
-		n.leadership.doubts(gap)
+	gap := now - n.lastTurn.Load()
+	n.lastTurn.Store(now)
+	if gap >= stallThreshold && n.leadership != nil {
+		n.leadership.suspend(gap)
 	}
 }
 
-// do runs f on the owner goroutine and waits for it. A full queue is refused.
-func (n *Node) do(ctx context.Context, f func()) bool {
+// runOnOwner runs f on the owner goroutine and waits for it. A full queue is refused.
+func (n *Controller) runOnOwner(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
 	select {
-	case n.events <- func() { f(); close(done) }:
+	case n.ownerQueue <- func() { f(); close(done) }:
 	default:
 		return false
 	}
@@ -285,19 +287,19 @@
 	}
 }
 
-// post runs f on the owner goroutine later; results of I/O must not be lost, so
+// postToOwner runs f on the owner goroutine later; results of I/O must not be lost, so
 // it waits for room.
-func (n *Node) post(f func()) { n.events <- f }
+func (n *Controller) postToOwner(f func()) { n.ownerQueue <- f }
 
-func (n *Node) view() (leader string, token, leading uint64) {
+func (n *Controller) termView() (leader string, token, leading uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.leader, n.token, n.leading
+	return n.leader, n.token, n.leadingToken
 }
 
-// learn takes what somebody says about the term. A higher token always wins:
+// observeTerm takes what somebody says about the term. A higher token always wins:
 // if this node acted under a lower one, it steps down.
-func (n *Node) learn(leader string, token uint64) {
+func (n *Controller) observeTerm(leader string, token uint64) {
 	n.mu.Lock()
 	higher := token > n.token
 	if higher {
@@ -305,31 +307,31 @@
 	} else if token == n.token && leader != "" {
 		n.leader = leader
 	}
-	deposed := n.leading != 0 && token > n.leading
+	deposed := n.leadingToken != 0 && token > n.leadingToken
 	if deposed {
-		n.leading = 0
+		n.leadingToken = 0
 	}
 	n.mu.Unlock()
 	if deposed {
 		n.log.Info("step down", "for", leader, "token", token)
-		n.post(func() {
+		n.postToOwner(func() {
 			if n.leadership != nil && n.leadership.token < token {
-				n.leadership.end()
+				n.leadership.stepDown()
 			}
 		})
 	}
 }
 
-// learnCatalog reads the machine types from the cloud, and prices again from
+// refreshCatalog reads the machine types from the cloud, and prices again from
 // time to time. A node that starts while the cloud is in trouble uses the copy
 // that a leader stored: it must be able to take jobs all the same.
-func (n *Node) learnCatalog(ctx context.Context) {
+func (n *Controller) refreshCatalog(ctx context.Context) {
 	for wait := 300 * time.Millisecond; ; {
 		cat, err := n.cloud.Catalog(ctx)
 		if err == nil && len(cat.Types) > 0 {
-			n.takeCatalog(cat)
-			if _, _, leading := n.view(); leading != 0 {
-				_, _ = n.state.Txn(ctx, wire.Txn{
+			n.setCatalog(cat)
+			if _, _, leading := n.termView(); leading != 0 {
+				_, _ = n.store.Txn(ctx, wire.Txn{
 					Conditions: []wire.Condition{{Key: termKey, Version: leading}},
 					Mutations:  []wire.Mutation{{Put: catalogKey, Value: cat}},
 				})
@@ -339,10 +341,10 @@
 			}
 		} else {
 			wait = min(2*wait, 3*time.Second)
-			if _, known := n.types(); !known {
-				e, found, serr := n.state.Get(ctx, catalogKey)
+			if _, known := n.machineTypes(); !known {
+				e, found, serr := n.store.Get(ctx, catalogKey)
 				if serr == nil && found && wire.Unmarshal(e.Value, &cat) == nil && len(cat.Types) > 0 {
-					n.takeCatalog(cat)
+					n.setCatalog(cat)
 				}
 			}
 		}
@@ -354,18 +356,18 @@
 	}
 }
 
-func (n *Node) takeCatalog(cat wire.Catalog) {
+func (n *Controller) setCatalog(cat wire.Catalog) {
 	n.mu.Lock()
 	n.catalog = &cat
 	n.mu.Unlock()
-	n.post(func() {
+	n.postToOwner(func() {
 		if n.leadership != nil {
 			n.leadership.core.SetCatalog(cat)
 		}
 	})
 }
 
-func (n *Node) types() (wire.Catalog, bool) {
+func (n *Controller) machineTypes() (wire.Catalog, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.catalog == nil {
@@ -375,8 +377,8 @@
 }
 
 // PeerRelay implements peer.Server.
-func (n *Node) PeerRelay(ctx context.Context, r *peer.RelayRequest) (*peer.RelayResponse, error) {
-	a, ok := n.report(ctx, &r.Report)
+func (n *Controller) PeerRelay(ctx context.Context, r *peer.RelayRequest) (*peer.RelayResponse, error) {
+	a, ok := n.handleHeartbeat(ctx, &r.Report)
 	if !ok {
 		return &peer.RelayResponse{Status: http.StatusMisdirectedRequest}, nil
 	}
@@ -384,17 +386,17 @@
 }
 
 // PeerCounts implements peer.Server.
-func (n *Node) PeerCounts(ctx context.Context, c *peer.CountsRequest) (*peer.CountsResponse, error) {
-	return &peer.CountsResponse{Jobs: n.counts(ctx, c.JobIDs)}, nil
+func (n *Controller) PeerCounts(ctx context.Context, c *peer.CountsRequest) (*peer.CountsResponse, error) {
+	return &peer.CountsResponse{Jobs: n.localCounts(ctx, c.JobIDs)}, nil
 }
 
-// counts reads jobs' display counts from the core, if this node has it.
-func (n *Node) counts(ctx context.Context, ids []string) (sts []wire.JobStatus) {
+// localCounts reads jobs' display counts from the core, if this node has it.
+func (n *Controller) localCounts(ctx context.Context, ids []string) (sts []wire.JobStatus) {
 	var out []wire.JobStatus
-	if _, _, leading := n.view(); leading == 0 {
+	if _, _, leading := n.termView(); leading == 0 {
 		return nil
 	}
-	if n.do(ctx, func() {
+	if n.runOnOwner(ctx, func() {
 		if n.leadership == nil {
 			return
 		}
@@ -409,27 +411,27 @@
 	return nil
 }
 
-// report hands a report to the core if this node is entitled to act: it holds
+// handleHeartbeat hands a report to the core if this node is entitled to act: it holds
 // the term as far as it knows, and neither the worker nor a peer has shown a
 // higher token. While the state service is out of reach it goes on renewing
 // leases, since it starts nothing without it.
-func (n *Node) report(ctx context.Context, r *wire.Heartbeat) (a wire.HeartbeatResponse, ok bool) {
-	_, token, leading := n.view()
+func (n *Controller) handleHeartbeat(ctx context.Context, r *wire.Heartbeat) (a wire.HeartbeatResponse, ok bool) {
+	_, token, leading := n.termView()
 	if r.FencingToken > token {
-		n.learn("", r.FencingToken)
+		n.observeTerm("", r.FencingToken)
 	}
 	if leading == 0 || r.FencingToken > leading {
 		return a, false
 	}
 	var fresh chan []wire.Command
-	done := n.do(ctx, func() {
-		if n.leadership == nil || n.leadership.doubt > 0 || ctx.Err() != nil {
+	done := n.runOnOwner(ctx, func() {
+		if n.leadership == nil || n.leadership.stalledFor > 0 || ctx.Err() != nil {
 			return
 		}
 		a, ok = n.leadership.core.Heartbeat(r, n.now()), true
 		hungry := n.leadership.core.WantsLaunches(r.Host)
-		n.dirty = n.dirty || hungry || n.leadership.core.TakePassNeeded()
-		if hungry && len(n.leadership.waiters) < n.mostWaiters() {
+		n.passPending = n.passPending || hungry || n.leadership.core.TakePassNeeded()
+		if hungry && len(n.leadership.waiters) < n.maxWaiters() {
 			fresh = make(chan []wire.Command, 1)
 			n.leadership.waiters = append(n.leadership.waiters, waiter{r.Host, n.leadership.passes, fresh})
 		}
@@ -456,13 +458,15 @@
 		case <-ctx.Done():
 		}
 	}
-	_, _, leading = n.view()
-	return a, leading == a.FencingToken && n.awake()
+	_, _, leading = n.termView()
+	return a, leading == a.FencingToken && n.ranRecently()
 }
 
-// mostWaiters is how many reports may wait for launches at a time: each holds a socket
+// maxWaiters is how many reports may wait for launches at a time: each holds a socket
 // here or at a peer.
-func (n *Node) mostWaiters() int { return max(minWaiters, n.set.Deployment.Resources.Sockets/2) }
+func (n *Controller) maxWaiters() int {
+	return max(minWaiters, n.settings.Deployment.Resources.Sockets/2)
+}
 
 // waiter is a report whose answer waits a moment for launches.
 type waiter struct {
@@ -473,15 +477,15 @@
 
 const launchWait = 600 * time.Millisecond
 
-// Report implements api.Service: the leader answers itself, other nodes relay
+// Heartbeat implements api.Service: the leader answers itself, other nodes relay
 // to it, so that no worker has to find it.
-func (n *Node) Report(ctx context.Context, r *wire.Heartbeat) (wire.HeartbeatResponse, error) {
-	n.hears(r.Host)
-	if a, ok := n.report(ctx, r); ok {
+func (n *Controller) Heartbeat(ctx context.Context, r *wire.Heartbeat) (wire.HeartbeatResponse, error) {
+	n.recordWorkerContact(r.Host)
+	if a, ok := n.handleHeartbeat(ctx, r); ok {
 		return a, nil
 	}
-	leader, token, leading := n.view()
-	if leading != 0 || leader == "" || leader == n.set.Label || r.FencingToken > token {
+	leader, token, leading := n.termView()
+	if leading != 0 || leader == "" || leader == n.settings.Label || r.FencingToken > token {
 		return wire.HeartbeatResponse{}, api.ErrNotNow
 	}
 	p := n.peers[leader]
@@ -490,10 +494,10 @@
 	}
 	a, err := p.Relay(ctx, &peer.RelayRequest{Report: *r})
 	if err != nil {
-		if token, ok := n.mayRenew(r); ok {
+		if token, ok := n.mayRenewLease(r); ok {
 			return wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}, nil
 		}
-		if to := n.another(leader); to != "" {
+		if to := n.redirectTarget(leader); to != "" {
 			return wire.HeartbeatResponse{}, api.Elsewhere{Node: to}
 		}
 		return wire.HeartbeatResponse{}, api.ErrNotNow
@@ -504,26 +508,26 @@
 	return a.Answer, nil
 }
 
-// another names a peer that is alive, for a worker whose report the leader did
+// redirectTarget names a peer that is alive, for a worker whose report the leader did
 // not take. Left to itself the worker tries the nodes in turn and waits 4 s for
 // each that is silent; behind two such nodes its lease runs out. It bounds how many
 // are sent on, since they come back at once while nobody can act: a part of those that
 // report to this node, or a few at a small site.
-func (n *Node) another(but string) string {
-	if !n.sendOn.Allow() {
+func (n *Controller) redirectTarget(but string) string {
+	if !n.redirectLimiter.Allow() {
 		return ""
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	first, next := "", ""
-	for label, at := range n.peerAt {
+	for label, at := range n.peerSeenAt {
 		if label == but || time.Since(at) > 2500*time.Millisecond {
 			continue
 		}
 		if first == "" || label < first {
 			first = label
 		}
-		if label > n.set.Label && (next == "" || label < next) {
+		if label > n.settings.Label && (next == "" || label < next) {
 			next = label
 		}
 	}
@@ -535,11 +539,11 @@
 
 // Ready implements api.Service: requests can be taken while the state service is in
 // reach and the machine types are known, unless the node is about to end.
-func (n *Node) Ready() error {
-	switch _, ok := n.types(); {
+func (n *Controller) Ready() error {
+	switch _, ok := n.machineTypes(); {
 	case n.draining.Load():
 		return errors.New("draining: this controller is about to end")
-	case !n.state.Reachable(3 * time.Second):
+	case !n.store.Reachable(3 * time.Second):
 		return errors.New("the state service is out of reach")
 	case !ok:
 		return errors.New("the machine types are not known yet: the cloud has not answered")
--- a/internal/controller/term.go
+++ b/internal/controller/election.go
@@ -13,52 +13,52 @@
 
 // termRecord is the value of the term key.
 type termRecord struct {
-	Node string `msgpack:"N"`
-	Mark string `msgpack:"M"`
-	Born uint64 `msgpack:"B,omitempty"` // of the process; earlier versions have none
+	Node      string `msgpack:"N"`
+	Mark      string `msgpack:"M"`
+	ProcessID uint64 `msgpack:"B,omitempty"` // of the process; earlier versions have none
 
 	// Launches are stored on condition of the configuration's generation. Earlier versions
 	// know none: while one of them leads, nothing is applied.
-	Configures bool `msgpack:"C,omitempty"`
+	SupportsConfig bool `msgpack:"C,omitempty"`
 }
 
 // lease is a lease of the state service, renewed in the background.
 type lease struct {
-	id   uint64
-	dead atomic.Bool
+	id      uint64
+	expired atomic.Bool
 }
 
 // keepLease opens a lease and renews it until it ends for certain.
-func (n *Node) keepLease(ctx context.Context, ttl time.Duration) (*lease, error) {
-	id, err := n.state.OpenLease(ctx, ttl)
+func (n *Controller) keepLease(ctx context.Context, ttl time.Duration) (*lease, error) {
+	id, err := n.store.OpenLease(ctx, ttl)
 	if err != nil {
 		return nil, err
 	}
 	h := &lease{id: id}
 	go func() {
-		for !h.dead.Load() {
+		for !h.expired.Load() {
 			select {
 			case <-ctx.Done():
 				return
 			case <-time.After(ttl / 4):
 			}
-			if err := n.state.RenewLease(ctx, id); errors.Is(err, kvstore.ErrNoLease) {
-				h.dead.Store(true)
+			if err := n.store.RenewLease(ctx, id); errors.Is(err, kvstore.ErrNoLease) {
+				h.expired.Store(true)
 			}
 		}
 	}()
 	return h, nil
 }
 
-// rest waits for so long, or until the context ends.
-func rest(ctx context.Context, d time.Duration) {
+// sleepContext waits for so long, or until the context ends.
+func sleepContext(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// termLoop follows the term and takes it when it is free. The key's version is
+// electionLoop follows the term and takes it when it is free. The key's version is
 // the token: every change of the state service raises the revision, so tokens
 // only rise.
 //
@@ -68,42 +68,42 @@
 // at once instead of after the lease has run out. What was sent under it may still arrive, as
 // it may after any takeover: writes are conditional on the version that is replaced, launches
 // are in the ledger, and any word to workers carries the lower token.
-func (n *Node) termLoop(ctx context.Context) {
-	ttl := time.Duration(*n.set.Operator.TermS * float64(time.Second))
+func (n *Controller) electionLoop(ctx context.Context) {
+	ttl := time.Duration(*n.settings.Operator.TermS * float64(time.Second))
 	for ctx.Err() == nil && !n.draining.Load() {
-		e, found, err := n.state.Get(ctx, termKey)
+		e, found, err := n.store.Get(ctx, termKey)
 		if err != nil {
-			rest(ctx, 400*time.Millisecond)
+			sleepContext(ctx, 400*time.Millisecond)
 			continue
 		}
 		left := uint64(0) // version of a term that nobody acts under any more
 		if found {
 			var t termRecord
 			_ = wire.Unmarshal(e.Value, &t)
-			n.learn(t.Node, e.Version)
-			if t.Node != n.set.Label && !n.awaitDrop(ctx, e.Version) {
+			n.observeTerm(t.Node, e.Version)
+			if t.Node != n.settings.Label && !n.awaitTermRelease(ctx, e.Version) {
 				continue
 			}
 			left = e.Version
 		}
-		if _, ok := n.types(); !ok {
-			rest(ctx, 50*time.Millisecond) // can't decide anything yet
+		if _, ok := n.machineTypes(); !ok {
+			sleepContext(ctx, 50*time.Millisecond) // can't decide anything yet
 			continue
 		}
-		if wait := n.headStart(); wait > 0 && left == 0 {
-			rest(ctx, wait)
-			if _, found, err := n.state.Get(ctx, termKey); err != nil || found {
+		if wait := n.candidateDelay(); wait > 0 && left == 0 {
+			sleepContext(ctx, wait)
+			if _, found, err := n.store.Get(ctx, termKey); err != nil || found {
 				continue
 			}
 		}
-		if !n.warm.ready() && n.yields(ctx) {
+		if !n.follower.ready() && n.yieldsElection(ctx) {
 			if left != 0 {
 				// Nobody acts under it any more, and somebody else is to.
-				_, err := n.state.Txn(ctx, wire.Txn{Conditions: []wire.Condition{{Key: termKey, Version: left}}, Mutations: []wire.Mutation{{Delete: termKey}}})
+				_, err := n.store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{{Key: termKey, Version: left}}, Mutations: []wire.Mutation{{Delete: termKey}}})
 				n.log.Info("gives up a term that an ended process has left", "token", left, "err", err)
 			}
-			rest(ctx, n.yieldFor())
-			if _, found, err := n.state.Get(ctx, termKey); err != nil || found {
+			sleepContext(ctx, n.yieldDuration())
+			if _, found, err := n.store.Get(ctx, termKey); err != nil || found {
 				continue
 			}
 			left = 0
@@ -112,41 +112,41 @@
 		// would cost the service more requests than the term itself.
 		h, err := n.keepLease(ctx, ttl)
 		if err != nil {
-			rest(ctx, 100*time.Millisecond)
+			sleepContext(ctx, 100*time.Millisecond)
 			continue
 		}
 		// The service never gives a lease's number twice, whatever the clocks say.
-		mark := fmt.Sprintf("%s.%d.%d", n.set.Label, n.wall, h.id)
-		a, err := n.state.Txn(ctx, wire.Txn{
+		mark := fmt.Sprintf("%s.%d.%d", n.settings.Label, n.startWallMicros, h.id)
+		a, err := n.store.Txn(ctx, wire.Txn{
 			Conditions: []wire.Condition{{Key: termKey, Version: left}},
-			Mutations:  []wire.Mutation{{Put: termKey, Value: termRecord{Node: n.set.Label, Mark: mark, Born: n.born, Configures: true}, Lease: h.id}},
+			Mutations:  []wire.Mutation{{Put: termKey, Value: termRecord{Node: n.settings.Label, Mark: mark, ProcessID: n.processID, SupportsConfig: true}, Lease: h.id}},
 		})
 		token := a.Revision
 		if errors.Is(err, kvstore.ErrUnknown) {
-			e, found, rerr := n.state.Get(ctx, termKey)
+			e, found, rerr := n.store.Get(ctx, termKey)
 			var t termRecord
 			if rerr == nil && found && wire.Unmarshal(e.Value, &t) == nil && t.Mark == mark {
 				token, err = e.Version, nil
 			}
 		}
 		if err != nil {
-			h.dead.Store(true) // left to run out
-			rest(ctx, 100*time.Millisecond)
+			h.expired.Store(true) // left to run out
+			sleepContext(ctx, 100*time.Millisecond)
 			continue
 		}
-		n.log.Info("term taken", "node", n.set.Label, "token", token, "replaced", left)
+		n.log.Info("term taken", "node", n.settings.Label, "token", token, "replaced", left)
 		n.lead(ctx, token, h)
-		h.dead.Store(true) // a term's lease is not used again
-		_ = n.state.EndLease(ctx, h.id)
-		if n.resigned(token) {
-			rest(ctx, 15*time.Second)
+		h.expired.Store(true) // a term's lease is not used again
+		_ = n.store.EndLease(ctx, h.id)
+		if n.hasResigned(token) {
+			sleepContext(ctx, 15*time.Second)
 		}
 	}
 }
 
-// awaitDrop returns once the term key may have changed since the version, or with true once
+// awaitTermRelease returns once the term key may have changed since the version, or with true once
 // the process that took the term is taken for ended: then it may be replaced.
-func (n *Node) awaitDrop(ctx context.Context, version uint64) bool {
+func (n *Controller) awaitTermRelease(ctx context.Context, version uint64) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	changed := make(chan struct{})
@@ -154,7 +154,7 @@
 	go func() {
 		defer close(changed)
 		for from := version; ctx.Err() == nil && time.Now().Before(deadline); {
-			ev, err := n.state.Changes(ctx, termKey, from, 4*time.Second)
+			ev, err := n.store.Changes(ctx, termKey, from, 4*time.Second)
 			if err != nil {
 				select {
 				case <-ctx.Done():
@@ -172,7 +172,7 @@
 		select {
 		case <-changed:
 			return false
-		case v := <-n.warm.replace:
+		case v := <-n.follower.replace:
 			if v == version {
 				return true
 			}
@@ -180,16 +180,16 @@
 	}
 }
 
-// probe asks the state service now and then when nothing else has: whether this
+// probeStore asks the state service now and then when nothing else has: whether this
 // node is healthy, and may use a grant, goes by what the service last answered.
-func (n *Node) probe(ctx context.Context) {
+func (n *Controller) probeStore(ctx context.Context) {
 	const every = 800 * time.Millisecond
 	for ctx.Err() == nil {
-		if !n.state.Reachable(every) {
-			if e, found, err := n.state.Get(kvstore.Urgent(ctx), termKey); err == nil && found {
+		if !n.store.Reachable(every) {
+			if e, found, err := n.store.Get(kvstore.Urgent(ctx), termKey); err == nil && found {
 				var t termRecord
 				_ = wire.Unmarshal(e.Value, &t)
-				n.learn(t.Node, e.Version)
+				n.observeTerm(t.Node, e.Version)
 			}
 		}
 		select {
--- a/internal/controller/standby.go
+++ b/internal/controller/follower.go
@@ -17,26 +17,26 @@
 	"dalefront/wire"
 )
 
-// warm is what a node does that stands by warm: it follows the stored state, and watches
+// follower is what a node does that stands by warm: it follows the stored state, and watches
 // the leader's process. docs/standby.md.
-type warm struct {
-	n *Node
+type follower struct {
+	n *Controller
 
-	mu        sync.Mutex
-	copy      *standby.Copy
-	doubtAt   time.Time // when it last began anew
-	unfitAt   time.Time // when it last did so not for the first time lately
-	suspicion standby.Suspicion
-	replaced  process   // whose term this node replaced last
-	rests     time.Time // until then nothing is read: this node takes over
+	mu          sync.Mutex
+	copy        *standby.Copy
+	restartedAt time.Time // when it last began anew
+	unfitAt     time.Time // when it last did so not for the first time lately
+	suspicion   standby.Suspicion
+	replaced    processRef // whose term this node replaced last
+	pausedUntil time.Time  // until then nothing is read: this node takes over
 
 	replace chan uint64 // the version of a term that may be replaced
 }
 
-// process is a process of a node.
-type process struct {
+// processRef is a process of a node.
+type processRef struct {
 	label string
-	born  uint64
+	id    uint64
 }
 
 // The share of the state service's requests that all standbys follow with, and the share
@@ -47,22 +47,22 @@
 	followMemory = 0.15
 )
 
-func newWarm(n *Node) *warm {
-	o := &n.set.Operator
-	w := &warm{n: n, replace: make(chan uint64, 1)}
+func newFollower(n *Controller) *follower {
+	o := &n.settings.Operator
+	w := &follower{n: n, replace: make(chan uint64, 1)}
 	if o.SuspectS != nil {
-		w.suspicion = standby.Suspicion{Nodes: len(n.set.Members) + 1, Wait: int64(*o.SuspectS * 1e6), Every: 10_000_000}
+		w.suspicion = standby.Suspicion{Nodes: len(n.settings.Members) + 1, Wait: int64(*o.SuspectS * 1e6), Every: 10_000_000}
 	}
 	return w
 }
 
-// followed lists the prefixes that a takeover needs, in the order in which they are read;
+// followedPrefixes lists the prefixes that a takeover needs, in the order in which they are read;
 // ends are kept of jobs whose records are there.
-var followed = []string{jobPrefix, donePrefix, ledgerPrefix, learnedKey, hirePrefix, schedulePrefix, dynconfig.Prefix}
+var followedPrefixes = []string{jobPrefix, donePrefix, ledgerPrefix, learnedKey, hirePrefix, schedulePrefix, dynconfig.Prefix}
 
-func (w *warm) newCopy() *standby.Copy {
+func (w *follower) newCopy() *standby.Copy {
 	keep := func(key string) bool {
-		for _, p := range followed {
+		for _, p := range followedPrefixes {
 			if strings.HasPrefix(key, p) {
 				return true
 			}
@@ -75,7 +75,7 @@
 		}
 		return ""
 	}
-	mb := w.n.set.Deployment.Resources.RAMMB
+	mb := w.n.settings.Deployment.Resources.RAMMB
 	return standby.NewCopy(keep, owner, decodeStored, standby.Limits{Bytes: int(mb * followMemory * (1 << 20))})
 }
 
@@ -103,31 +103,31 @@
 	return nil, nil
 }
 
-// rank is this node's place among those that stand by, -1 if it is none.
-func (n *Node) rank() int {
+// standbyRank is this node's place among those that stand by, -1 if it is none.
+func (n *Controller) standbyRank() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.stand.Rank(n.set.Label)
+	return n.standbyView.Rank(n.settings.Label)
 }
 
 // follow keeps a copy of the stored state while this node stands by.
-func (w *warm) follow(ctx context.Context) {
+func (w *follower) follow(ctx context.Context) {
 	n := w.n
-	standbys := float64(max(1, *n.set.Operator.Standbys))
-	every := seconds(standbys / (followShare * n.set.Deployment.State.RPS))
-	store := paced{n.state, seconds(standbys / (0.1 * n.set.Deployment.State.RPS))}
+	standbys := float64(max(1, *n.settings.Operator.Standbys))
+	every := seconds(standbys / (followShare * n.settings.Deployment.State.RPS))
+	store := paced{n.store, seconds(standbys / (0.1 * n.settings.Deployment.State.RPS))}
 	audit := time.Now()
 	for ctx.Err() == nil {
-		_, _, leading := n.view()
-		if n.rank() < 0 || leading != 0 || *n.set.Operator.Standbys == 0 {
+		_, _, leading := n.termView()
+		if n.standbyRank() < 0 || leading != 0 || *n.settings.Operator.Standbys == 0 {
 			w.mu.Lock()
 			w.copy = nil
 			w.mu.Unlock()
-			rest(ctx, 250*time.Millisecond)
+			sleepContext(ctx, 250*time.Millisecond)
 			continue
 		}
 		w.mu.Lock()
-		c, rests := w.copy, time.Until(w.rests)
+		c, rests := w.copy, time.Until(w.pausedUntil)
 		doubt := "it was not read yet"
 		var from uint64
 		if c != nil {
@@ -135,46 +135,46 @@
 		}
 		w.mu.Unlock()
 		if rests > 0 {
-			rest(ctx, rests)
+			sleepContext(ctx, rests)
 			continue
 		}
 		if doubt != "" {
 			if c != nil {
-				w.giveUp(doubt)
-				rest(ctx, time.Second+time.Duration(rand.Int64N(int64(2*time.Second))))
+				w.restart(doubt)
+				sleepContext(ctx, time.Second+time.Duration(rand.Int64N(int64(2*time.Second))))
 			}
 			if !w.begin(ctx, store) {
-				rest(ctx, time.Second)
+				sleepContext(ctx, time.Second)
 			}
 			continue
 		}
 		next := time.Now().Add(every)
-		ev, err := n.state.Changes(ctx, "", from, 2*time.Second)
-		w.took(c, ev, err)
+		ev, err := n.store.Changes(ctx, "", from, 2*time.Second)
+		w.applyEvents(c, ev, err)
 		if err != nil {
-			rest(ctx, 300*time.Millisecond)
+			sleepContext(ctx, 300*time.Millisecond)
 		} else if time.Since(audit) > 2*time.Second {
 			audit = time.Now()
 			w.audit(ctx, c)
 		}
-		rest(ctx, time.Until(next))
+		sleepContext(ctx, time.Until(next))
 	}
 }
 
-// giveUp throws a copy away that is in doubt.
-func (w *warm) giveUp(doubt string) {
+// restart throws a copy away that is in doubt.
+func (w *follower) restart(doubt string) {
 	w.n.log.Info("standby begins anew", "why", doubt)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.copy = nil
-	if time.Since(w.doubtAt) < 30*time.Second {
+	if time.Since(w.restartedAt) < 30*time.Second {
 		w.unfitAt = time.Now() // not for the first time lately
 	}
-	w.doubtAt = time.Now()
+	w.restartedAt = time.Now()
 }
 
 // begin reads the state whole and says whether it could.
-func (w *warm) begin(ctx context.Context, store paced) bool {
+func (w *follower) begin(ctx context.Context, store paced) bool {
 	n := w.n
 	began := time.Now()
 	c, err := w.read(ctx, store)
@@ -190,8 +190,8 @@
 	return true
 }
 
-// took feeds a copy with the answer of a watch.
-func (w *warm) took(c *standby.Copy, ev wire.Events, err error) {
+// applyEvents feeds a copy with the answer of a watch.
+func (w *follower) applyEvents(c *standby.Copy, ev wire.Events, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
@@ -203,26 +203,26 @@
 }
 
 // audit compares the next range of the copy with the store.
-func (w *warm) audit(ctx context.Context, c *standby.Copy) {
+func (w *follower) audit(ctx context.Context, c *standby.Copy) {
 	w.mu.Lock()
-	r := c.NextAudit(followed)
+	r := c.NextAudit(followedPrefixes)
 	w.mu.Unlock()
 	w.compare(ctx, c, r)
 }
 
 // compare reads a range of the store, brings the copy at least as far and compares it.
-func (w *warm) compare(ctx context.Context, c *standby.Copy, r standby.Range) (compared int) {
-	page, err := w.n.state.Page(ctx, r.Prefix, r.After, r.Most)
+func (w *follower) compare(ctx context.Context, c *standby.Copy, r standby.Range) (compared int) {
+	page, err := w.n.store.Page(ctx, r.Prefix, r.After, r.Most)
 	if err != nil || !w.catchUp(ctx, c, page.Revision) {
 		return 0
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return c.Audit(r, page, followed)
+	return c.Audit(r, page, followedPrefixes)
 }
 
 // catchUp brings a copy to a revision at least.
-func (w *warm) catchUp(ctx context.Context, c *standby.Copy, revision uint64) bool {
+func (w *follower) catchUp(ctx context.Context, c *standby.Copy, revision uint64) bool {
 	for range 5 {
 		w.mu.Lock()
 		at, doubt := c.Revision(), c.Doubt()
@@ -230,8 +230,8 @@
 		if doubt != "" || at >= revision {
 			return doubt == ""
 		}
-		ev, err := w.n.state.Changes(ctx, "", at, 0)
-		w.took(c, ev, err)
+		ev, err := w.n.store.Changes(ctx, "", at, 0)
+		w.applyEvents(c, ev, err)
 		if err != nil && !errors.Is(err, kvstore.ErrCompacted) {
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -240,11 +240,11 @@
 }
 
 // read reads the state whole.
-func (w *warm) read(ctx context.Context, store paced) (*standby.Copy, error) {
+func (w *follower) read(ctx context.Context, store paced) (*standby.Copy, error) {
 	n := w.n
 	var all, jobs []wire.KeyValue
 	var first uint64
-	for _, prefix := range followed {
+	for _, prefix := range followedPrefixes {
 		for after := ""; ; {
 			page, err := store.Page(ctx, prefix, after, copyPage)
 			if err != nil {
@@ -274,11 +274,11 @@
 
 // takeOver returns what the copy has of the stored state, brought up to the term that this
 // node has just taken, or nil and why the state has to be read instead.
-func (w *warm) takeOver(ctx context.Context, token uint64, h *lease) (*stored, string) {
+func (w *follower) takeOver(ctx context.Context, token uint64, h *lease) (*stored, string) {
 	n := w.n
 	w.mu.Lock()
 	c := w.copy
-	w.rests = time.Now().Add(3 * time.Second)
+	w.pausedUntil = time.Now().Add(3 * time.Second)
 	w.mu.Unlock()
 	if c == nil {
 		return nil, "this node did not stand by"
@@ -290,11 +290,11 @@
 	sample := c.Sample([]string{jobPrefix, ledgerPrefix}, rand.New(rand.NewPCG(rand.Uint64(), token)))
 	w.mu.Unlock()
 	compared := w.compare(ctx, c, sample)
-	_, highest, _ := n.view()
+	_, highest, _ := n.termView()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f := standby.Facts{Token: token, Highest: highest, Revision: c.Revision(), Doubt: c.Doubt(), Compared: compared, Keys: sample.Keys,
-		Awake: n.awake(), Reached: n.state.Reachable(time.Second), Lease: !h.dead.Load()}
+		Awake: n.ranRecently(), Reached: n.store.Reachable(time.Second), Lease: !h.expired.Load()}
 	if ok, why := standby.Passes(&f); !ok {
 		return nil, why
 	}
@@ -302,12 +302,12 @@
 	return storedOf(c), ""
 }
 
-// publish chooses who stands by, once a second. Owner goroutine.
-func (r *leadership) publish() {
-	n := r.n
-	count := *n.set.Operator.Standbys
+// publishStandbys chooses who stands by, once a second. Owner goroutine.
+func (r *leadership) publishStandbys() {
+	n := r.controller
+	count := *n.settings.Operator.Standbys
 	now := n.now()
-	members := make([]standby.Member, 0, len(n.set.Members))
+	members := make([]standby.Member, 0, len(n.settings.Members))
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clock := time.Now()
@@ -317,43 +317,43 @@
 		}
 		return max(1, now-time.Since(at).Microseconds())
 	}
-	for _, m := range n.set.Members {
-		x := standby.Member{Label: m.Label, Zone: m.Zone, Heard: ago(n.peerAt[m.Label]), Unfit: ago(n.unfitAt[m.Label])}
-		if s := n.started[m.Label]; s != nil {
-			x.Ends = s.lately(clock)
+	for _, m := range n.settings.Members {
+		x := standby.Member{Label: m.Label, Zone: m.Zone, Heard: ago(n.peerSeenAt[m.Label]), Unfit: ago(n.peerUnfitAt[m.Label])}
+		if s := n.peerProcesses[m.Label]; s != nil {
+			x.Ends = s.recentRestarts(clock)
 		}
 		members = append(members, x)
 	}
-	old := n.stand
+	old := n.standbyView
 	if old.Token != r.token {
 		old = standby.View{Token: r.token, Number: old.Number, Standbys: old.Standbys}
 	}
-	how := standby.Choosing{Zone: n.set.Zone, Count: count, Silent: 5_000_000, Rest: 30_000_000}
+	how := standby.Choosing{Zone: n.settings.Zone, Count: count, Silent: 5_000_000, Rest: 30_000_000}
 	next, changed := how.Choose(old, members, now)
-	n.stand = next
+	n.standbyView = next
 	if changed {
 		n.log.Info("who stands by", "standbys", fmt.Sprint(next.Standbys), "number", next.Number)
 	}
 }
 
-// takeView takes a view that a hello brought. The lock is held.
-func (n *Node) takeView(h *peer.Heartbeat) {
-	if h.StandbyView != nil && n.leading == 0 && len(h.StandbyView.Standbys) <= len(n.set.Members)+1 && h.StandbyView.Newer(&n.stand) {
-		n.stand = *h.StandbyView
+// acceptStandbyView takes a view that a hello brought. The lock is held.
+func (n *Controller) acceptStandbyView(h *peer.Heartbeat) {
+	if h.StandbyView != nil && n.leadingToken == 0 && len(h.StandbyView.Standbys) <= len(n.settings.Members)+1 && h.StandbyView.Newer(&n.standbyView) {
+		n.standbyView = *h.StandbyView
 	}
 }
 
-// headStart is how long this node lets those go first that stand by warm, or before it.
-func (n *Node) headStart() time.Duration {
+// candidateDelay is how long this node lets those go first that stand by warm, or before it.
+func (n *Controller) candidateDelay() time.Duration {
 	const each = 60 * time.Millisecond
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	before := 0
-	for _, label := range n.stand.Standbys {
-		if label == n.set.Label {
+	for _, label := range n.standbyView.Standbys {
+		if label == n.settings.Label {
 			break
 		}
-		if time.Since(n.peerAt[label]) < 2*time.Second {
+		if time.Since(n.peerSeenAt[label]) < 2*time.Second {
 			before++
 		}
 	}
@@ -362,7 +362,7 @@
 
 // watchLeader notices the end of the leader's process, while this node stands by, and
 // lets the term be replaced without waiting for the lease.
-func (w *warm) watchLeader(ctx context.Context) {
+func (w *follower) watchLeader(ctx context.Context) {
 	n := w.n
 	if w.suspicion.Wait <= 0 || len(n.peers) < 2 {
 		return
@@ -371,19 +371,19 @@
 	was := ""
 	connected := false
 	for ; ctx.Err() == nil; time.Sleep(look) {
-		leader, token, leading := n.view()
+		leader, token, leading := n.termView()
 		p := n.peers[leader]
-		if leading != 0 || p == nil || n.rank() < 0 {
+		if leading != 0 || p == nil || n.standbyRank() < 0 {
 			was, connected = "", false
 			continue
 		}
 		n.mu.Lock()
 		born := uint64(0)
-		if s := n.started[leader]; s != nil {
-			born = s.born
+		if s := n.peerProcesses[leader]; s != nil {
+			born = s.id
 		}
-		heard := time.Since(n.peerAt[leader])
-		acts := n.acting
+		heard := time.Since(n.peerSeenAt[leader])
+		acts := n.leaderProcess
 		n.mu.Unlock()
 		w.mu.Lock()
 		if acts.token == token && acts.process != 0 && born == acts.process && heard < time.Second {
@@ -401,7 +401,7 @@
 		if acts.token != token {
 			continue // it never said that it acts: nothing to replace
 		}
-		if !w.ended(ctx, leader, p, token, acts.process) {
+		if !w.leaderEnded(ctx, leader, p, token, acts.process) {
 			connected = p.Connected()
 			continue
 		}
@@ -413,9 +413,9 @@
 	}
 }
 
-// ended gathers evidence that the process of the leader has ended, and says whether it
+// leaderEnded gathers evidence that the process of the leader has ended, and says whether it
 // suffices to replace its term.
-func (w *warm) ended(ctx context.Context, leader string, p *peer.Client, token, born uint64) bool {
+func (w *follower) leaderEnded(ctx context.Context, leader string, p *peer.Client, token, born uint64) bool {
 	n := w.n
 	w.mu.Lock()
 	w.suspicion.Broke(n.now())
@@ -426,11 +426,11 @@
 		return false
 	}
 	for began := time.Now(); time.Since(began) < limit && ctx.Err() == nil; time.Sleep(30 * time.Millisecond) {
-		if _, now, _ := n.view(); now != token || !n.awake() {
+		if _, now, _ := n.termView(); now != token || !n.ranRecently() {
 			return false
 		}
 		p.ResetBackoff()
-		a, err := p.Probe(ctx, n.hello())
+		a, err := p.Probe(ctx, n.newHeartbeat())
 		if err == nil && a.ProcessID == born {
 			return false
 		}
@@ -448,7 +448,7 @@
 		enough := another || w.suspicion.Suspects(n.now())
 		if enough {
 			w.suspicion.Replaced(n.now())
-			w.replaced = process{leader, born}
+			w.replaced = processRef{leader, born}
 		}
 		w.mu.Unlock()
 		if enough {
@@ -460,7 +460,7 @@
 }
 
 // askOthers asks all other controllers whether they reach the leader's process.
-func (w *warm) askOthers(ctx context.Context, leader string, born uint64) {
+func (w *follower) askOthers(ctx context.Context, leader string, born uint64) {
 	n := w.n
 	var all sync.WaitGroup
 	for label, p := range n.peers {
@@ -468,7 +468,7 @@
 			continue
 		}
 		all.Go(func() {
-			h := n.hello()
+			h := n.newHeartbeat()
 			h.Probe, h.ProbeProcessID = leader, born
 			a, err := p.Heartbeat(ctx, h)
 			if err != nil || a.Probe != leader {
@@ -482,48 +482,48 @@
 	all.Wait()
 }
 
-// reaches answers whether this node reaches a process of another one.
-func (n *Node) reaches(ctx context.Context, label string, born uint64) bool {
-	if label == n.set.Label {
-		return n.born == born
+// reachesProcess answers whether this node reaches a process of another one.
+func (n *Controller) reachesProcess(ctx context.Context, label string, born uint64) bool {
+	if label == n.settings.Label {
+		return n.processID == born
 	}
 	p := n.peers[label]
 	if p == nil {
 		return false
 	}
 	p.ResetBackoff()
-	a, err := p.Probe(ctx, n.hello())
+	a, err := p.Probe(ctx, n.newHeartbeat())
 	return err == nil && a.ProcessID == born
 }
 
-// lives notes that a process said hello: if this node had taken it for ended and replaced
+// leaderIsAlive notes that a process said hello: if this node had taken it for ended and replaced
 // its term, that was wrong.
-func (w *warm) lives(label string, born uint64) {
+func (w *follower) leaderIsAlive(label string, born uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if born != 0 && w.replaced == (process{label, born}) {
-		w.replaced = process{}
+	if born != 0 && w.replaced == (processRef{label, born}) {
+		w.replaced = processRef{}
 		w.suspicion.Wrong()
 		w.n.log.Warn("the leader's process had not ended", "node", label)
 	}
 }
 
 // unfit says whether this node could not follow lately.
-func (w *warm) unfit() bool {
+func (w *follower) unfit() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.unfitAt.IsZero() && time.Since(w.unfitAt) < 10*time.Second
 }
 
 // ready says whether there is a copy that is good, as far as known.
-func (w *warm) ready() bool {
+func (w *follower) ready() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.copy != nil && w.copy.Doubt() == ""
 }
 
 // lag is how far the copy is behind, and whether there is one that is good.
-func (w *warm) lag() (keys, bytes int, us int64, ok bool) {
+func (w *follower) lag() (keys, bytes int, us int64, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.copy == nil || w.copy.Doubt() != "" {
--- a/internal/controller/warm_test.go
+++ b/internal/controller/follower_test.go
@@ -17,7 +17,7 @@
 
 // tended is a node at a played state service, in which it is the leader's writer too.
 type tended struct {
-	*Node
+	*Controller
 	t    testing.TB
 	svc  *emulator.Services
 	ctx  context.Context
@@ -40,8 +40,8 @@
 		o.EvictAfterS, o.CheckpointMBS, o.Standbys, o.SuspectS, o.TakeoverCopyS = &f, &f, &one, &f, &zero
 	})
 	n.catalog = &wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 8, MemoryGB: 64, Zones: []string{"x"}}}}
-	n.beat.Store(n.now())
-	w.Node, w.ctx = n, ctx
+	n.lastTurn.Store(n.now())
+	w.Controller, w.ctx = n, ctx
 	w.take()
 	return w
 }
@@ -49,7 +49,7 @@
 // write stores changes under the present term.
 func (w *tended) write(then ...wire.Mutation) {
 	w.t.Helper()
-	if _, err := w.state.Txn(w.ctx, wire.Txn{Conditions: []wire.Condition{{Key: termKey, Version: w.term}}, Mutations: then}); err != nil {
+	if _, err := w.store.Txn(w.ctx, wire.Txn{Conditions: []wire.Condition{{Key: termKey, Version: w.term}}, Mutations: then}); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -57,12 +57,12 @@
 // take replaces the term.
 func (w *tended) take() {
 	w.t.Helper()
-	a, err := w.state.Txn(w.ctx, wire.Txn{Conditions: []wire.Condition{{Key: termKey, Version: w.term}}, Mutations: []wire.Mutation{{Put: termKey, Value: termRecord{Node: "a", Mark: fmt.Sprint(w.term)}}}})
+	a, err := w.store.Txn(w.ctx, wire.Txn{Conditions: []wire.Condition{{Key: termKey, Version: w.term}}, Mutations: []wire.Mutation{{Put: termKey, Value: termRecord{Node: "a", Mark: fmt.Sprint(w.term)}}}})
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	w.term = a.Revision
-	w.learn("a", w.term)
+	w.observeTerm("a", w.term)
 }
 
 // live lets something happen to jobs, progress, ledger, ends, hires and what was learned.
@@ -85,9 +85,9 @@
 			w.write(wire.Mutation{Put: chunkKey(pick(), 0), Value: "AQAAAAAAAAA="})
 		case k < 8:
 			id := pick()
-			_, _ = w.state.Txn(w.ctx, wire.Txn{Conditions: []wire.Condition{{Key: endKey(id)}}, Mutations: []wire.Mutation{{Put: endKey(id), Value: endRecord{Status: wire.JobDone, At: w.now(), Done: 1}}}})
+			_, _ = w.store.Txn(w.ctx, wire.Txn{Conditions: []wire.Condition{{Key: endKey(id)}}, Mutations: []wire.Mutation{{Put: endKey(id), Value: endRecord{Status: wire.JobDone, At: w.now(), Done: 1}}}})
 		case k < 9:
-			if es, _, _ := w.state.List(w.ctx, ledgerPrefix); len(es) > 0 {
+			if es, _, _ := w.store.List(w.ctx, ledgerPrefix); len(es) > 0 {
 				w.write(wire.Mutation{Delete: es[r.IntN(len(es))].Key})
 			}
 		default:
@@ -95,7 +95,7 @@
 		}
 		if r.IntN(12) == 0 { // a job that is over and gone
 			id := pick()
-			if _, over, _ := w.state.Get(w.ctx, endKey(id)); over {
+			if _, over, _ := w.store.Get(w.ctx, endKey(id)); over {
 				w.write(wire.Mutation{Delete: jobKey(id)})
 			}
 		}
@@ -104,23 +104,23 @@
 
 // reignNow is a term of this node that has not loaded anything yet.
 func (w *tended) leadsNow() *leadership {
-	return &leadership{n: w.Node, token: w.term, ctx: w.ctx, cancel: func() {}, lease: &lease{}, chunks: map[string]int{}}
+	return &leadership{controller: w.Controller, token: w.term, ctx: w.ctx, cancel: func() {}, lease: &lease{}, chunkCounts: map[string]int{}}
 }
 
 // followed reads the state as a standby does, and lets things happen while it follows.
 func (w *tended) followed(rounds int) *standby.Copy {
 	w.t.Helper()
-	c, err := w.warm.read(w.ctx, paced{w.state, 0})
+	c, err := w.follower.read(w.ctx, paced{w.store, 0})
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.warm.copy = c
+	w.follower.copy = c
 	for range rounds {
 		w.live(w.rng.IntN(6))
-		ev, err := w.state.Changes(w.ctx, "", c.Revision(), 0)
-		w.warm.took(c, ev, err)
+		ev, err := w.store.Changes(w.ctx, "", c.Revision(), 0)
+		w.follower.applyEvents(c, ev, err)
 		if w.rng.IntN(4) == 0 {
-			w.warm.audit(w.ctx, c)
+			w.follower.audit(w.ctx, c)
 		}
 		if c.Doubt() != "" {
 			w.t.Fatal("a good copy is doubted: ", c.Doubt())
@@ -145,7 +145,7 @@
 			t.Fatal(err)
 		}
 		warm := w.leadsNow()
-		copied, why := w.warm.takeOver(w.ctx, w.term, warm.lease)
+		copied, why := w.follower.takeOver(w.ctx, w.term, warm.lease)
 		if copied == nil {
 			t.Fatalf("seed %d: %s", seed, why)
 		}
@@ -161,8 +161,8 @@
 			}
 		}
 		loads += len(a)
-		if fmt.Sprint(cold.tidy) != fmt.Sprint(warm.tidy) || fmt.Sprint(cold.chunks) != fmt.Sprint(warm.chunks) {
-			t.Fatalf("seed %d: to be tidied up: %v and %v", seed, cold.tidy, warm.tidy)
+		if fmt.Sprint(cold.staleKeys) != fmt.Sprint(warm.staleKeys) || fmt.Sprint(cold.chunkCounts) != fmt.Sprint(warm.chunkCounts) {
+			t.Fatalf("seed %d: to be tidied up: %v and %v", seed, cold.staleKeys, warm.staleKeys)
 		}
 	}
 	if loads < 300 {
@@ -182,13 +182,13 @@
 		{"entry lost", func(w *tended, c *standby.Copy, _ *lease) {
 			c.Keep = func(k string) bool { return !strings.HasPrefix(k, ledgerPrefix) && !strings.HasPrefix(k, jobPrefix) }
 			w.live(20) // what is created now is missed
-			ev, err := w.state.Changes(w.ctx, "", c.Revision(), 0)
-			w.warm.took(c, ev, err)
+			ev, err := w.store.Changes(w.ctx, "", c.Revision(), 0)
+			w.follower.applyEvents(c, ev, err)
 			c.Keep = func(string) bool { return true }
 		}},
-		{"hold lost", func(_ *tended, _ *standby.Copy, h *lease) { h.dead.Store(true) }},
-		{"standstill", func(w *tended, _ *standby.Copy, _ *lease) { w.beat.Store(w.now() - 3*standstill) }},
-		{"higher token", func(w *tended, _ *standby.Copy, _ *lease) { w.learn("b", w.term+1000) }},
+		{"hold lost", func(_ *tended, _ *standby.Copy, h *lease) { h.expired.Store(true) }},
+		{"standstill", func(w *tended, _ *standby.Copy, _ *lease) { w.lastTurn.Store(w.now() - 3*stallThreshold) }},
+		{"higher token", func(w *tended, _ *standby.Copy, _ *lease) { w.observeTerm("b", w.term+1000) }},
 		{"no store", func(w *tended, _ *standby.Copy, _ *lease) { w.svc.SetDown(true) }},
 		{"compacted", func(w *tended, c *standby.Copy, _ *lease) { c.Lost("compacted") }},
 	} {
@@ -197,11 +197,11 @@
 		copied := w.followed(5)
 		h := &lease{}
 		w.take()
-		w.beat.Store(w.now())
+		w.lastTurn.Store(w.now())
 		if c.do != nil {
 			c.do(w, copied, h)
 		}
-		s, why := w.warm.takeOver(w.ctx, w.term, h)
+		s, why := w.follower.takeOver(w.ctx, w.term, h)
 		if (s != nil) != (c.do == nil) {
 			t.Errorf("%s: a copy is used %v: %s", c.name, s != nil, why)
 		}
@@ -212,7 +212,7 @@
 func BenchmarkWarmTakeover(b *testing.B) {
 	for _, jobs := range []int{300, 3000, 10_000} {
 		w := newTended(b, 1)
-		w.set.Deployment.State.RPS = 1e6
+		w.settings.Deployment.State.RPS = 1e6
 		for i := range jobs {
 			id := fmt.Sprintf("j-%06d", i)
 			j := wire.Job{ID: id, Class: "c", Team: "a", Shape: wire.Array, Priority: wire.Normal, Tasks: 20, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 60}
@@ -224,7 +224,7 @@
 				var took, most config.Micros
 				n := 0
 				for b.Loop() {
-					w.beat.Store(w.now())
+					w.lastTurn.Store(w.now())
 					w.take()
 					r := w.leadsNow()
 					began := time.Now()
@@ -248,8 +248,8 @@
 		})
 		copied := w.followed(0)
 		run("warm", func(r *leadership) *stored {
-			w.warm.copy = copied
-			s, why := w.warm.takeOver(w.ctx, r.token, r.lease)
+			w.follower.copy = copied
+			s, why := w.follower.takeOver(w.ctx, r.token, r.lease)
 			if s == nil {
 				b.Fatal(why)
 			}
--- a/internal/controller/flap_test.go
+++ b/internal/controller/instability_test.go
@@ -118,12 +118,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.peers["b"], n.peerAt["b"] = p, time.Now()
-		n.counted(c.ends)
+		n.peers["b"], n.peerSeenAt["b"] = p, time.Now()
+		n.recordOwnRestarts(c.ends)
 		n.catalog = &wire.Catalog{}
 		ctx, cancel := context.WithCancel(context.Background())
-		go n.own(ctx)
-		go n.termLoop(ctx)
+		go n.runOwner(ctx)
+		go n.electionLoop(ctx)
 		var got termRecord
 		var version uint64
 		most := 500
@@ -155,39 +155,39 @@
 	now := time.Now()
 	ends := 0
 	for i, born := range []uint64{5, 5, 9, 9, 5, 7} { // a number that came before is another process too
-		ends = n.greeted("b", born, now.Add(time.Duration(i)*time.Second))
+		ends = n.recordPeerProcess("b", born, now.Add(time.Duration(i)*time.Second))
 	}
 	if ends != 3 {
 		t.Errorf("%d ends were counted, not 3", ends)
 	}
-	if got := n.greeted("b", 7, now.Add(endsCount+3*time.Second)); got != 2 {
+	if got := n.recordPeerProcess("b", 7, now.Add(restartWindow+3*time.Second)); got != 2 {
 		t.Errorf("%d ends are remembered after a minute", got)
 	}
 	for i := range 100 {
-		n.greeted("b", uint64(100+i), now.Add(endsCount))
+		n.recordPeerProcess("b", uint64(100+i), now.Add(restartWindow))
 	}
-	if got := n.greeted("b", 199, now.Add(endsCount)); got > mostEnds {
+	if got := n.recordPeerProcess("b", 199, now.Add(restartWindow)); got > maxCountedRestarts {
 		t.Errorf("%d ends are kept", got)
 	}
-	if n.greeted("nobody", 3, now) != 0 || len(n.started) != 1 {
+	if n.recordPeerProcess("nobody", 3, now) != 0 || len(n.peerProcesses) != 1 {
 		t.Error("a node that is no member is counted")
 	}
 
 	ctx := context.Background()
-	n.counted(mostEnds)
-	if n.yields(ctx) {
+	n.recordOwnRestarts(maxCountedRestarts)
+	if n.yieldsElection(ctx) {
 		t.Error("it lets others go first though none is there")
 	}
-	n.peerAt["b"] = time.Now()
-	if n.yields(ctx) {
+	n.peerSeenAt["b"] = time.Now()
+	if n.yieldsElection(ctx) {
 		t.Error("it lets one go first that ends as often")
 	}
-	n.started["b"] = &starts{born: 1}
-	if !n.yields(ctx) || n.yieldFor() > 2*time.Second {
-		t.Errorf("it does not let others go first, or for %v", n.yieldFor())
+	n.peerProcesses["b"] = &peerProcess{id: 1}
+	if !n.yieldsElection(ctx) || n.yieldDuration() > 2*time.Second {
+		t.Errorf("it does not let others go first, or for %v", n.yieldDuration())
 	}
-	n.endsAt = time.Now().Add(-2 * endsCount)
-	if n.yields(ctx) {
+	n.ownRestartsAt = time.Now().Add(-2 * restartWindow)
+	if n.yieldsElection(ctx) {
 		t.Error("what was counted is never forgotten")
 	}
 }
--- a/internal/controller/largesite_test.go
+++ b/internal/controller/largesite_test.go
@@ -21,26 +21,26 @@
 	for _, test := range []struct{ workers, atOnce int }{{0, 80}, {350, 80}, {480, 80}, {1_333, 222}, {2_667, 444}} {
 		t.Run(fmt.Sprint(test.workers), func(t *testing.T) {
 			n := testNode(t, func(http.ResponseWriter, *http.Request) {})
-			n.set.Label = "c"
-			n.peerAt = map[string]time.Time{"a": time.Now()}
+			n.settings.Label = "c"
+			n.peerSeenAt = map[string]time.Time{"a": time.Now()}
 			old := time.Now().Add(-time.Minute) // gone: they don't count
 			for i := range 10_000 {
-				n.heardAt[fmt.Sprintf("old-%d", i)] = old
+				n.workerSeenAt[fmt.Sprintf("old-%d", i)] = old
 			}
 			for i := range test.workers {
-				n.heardAt[fmt.Sprintf("n-%d", i)] = time.Now()
+				n.workerSeenAt[fmt.Sprintf("n-%d", i)] = time.Now()
 			}
-			n.hears("n-0")
+			n.recordWorkerContact("n-0")
 			// The limiter has room for a whole burst once that time has gone by.
 			at := time.Now().Add(sendOnBurst * time.Second)
 			sent := 0
-			for n.sendOn.AllowN(at, 1) {
+			for n.redirectLimiter.AllowN(at, 1) {
 				sent++
 			}
 			if sent != test.atOnce {
 				t.Errorf("%d workers are sent on at once, want %d", sent, test.atOnce)
 			}
-			if !n.sendOn.AllowN(at.Add(time.Second), test.atOnce/sendOnBurst) || n.sendOn.AllowN(at.Add(time.Second), 1) {
+			if !n.redirectLimiter.AllowN(at.Add(time.Second), test.atOnce/sendOnBurst) || n.redirectLimiter.AllowN(at.Add(time.Second), 1) {
 				t.Errorf("a second later it is not %d", test.atOnce/sendOnBurst)
 			}
 		})
@@ -73,11 +73,11 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r := &leadership{n: n, token: 5, ctx: ctx, cancel: cancel}
+	r := &leadership{controller: n, token: 5, ctx: ctx, cancel: cancel}
 	cat := wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 4, Zones: []string{"x"}}}}
-	r.core = sched.New(n.set, 5, n.now(), cat, func(string, ...any) {})
+	r.core = sched.New(n.settings, 5, n.now(), cat, func(string, ...any) {})
 	n.leadership = r
-	n.beat.Store(n.now())
+	n.lastTurn.Store(n.now())
 	var hosts []string
 	var list []wire.Machine
 	for i := range 3*cloud.MaxReturn + 20 {
@@ -96,8 +96,8 @@
 	if !slices.Equal(slices.Concat(asked...), hosts) {
 		t.Error("not each machine was given back once")
 	}
-	for len(n.events) > 0 {
-		(<-n.events)()
+	for len(n.ownerQueue) > 0 {
+		(<-n.ownerQueue)()
 	}
 	if known, _ := r.core.FleetSize(); r.core.Stats.ScaledIn != len(hosts)-cloud.MaxReturn || known != cloud.MaxReturn {
 		t.Errorf("%d machines are gone and %d are left; only those of the request that was refused should be", r.core.Stats.ScaledIn, known)
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -17,40 +17,40 @@
 // the loops that carry out its effects. All its writes are conditional on the
 // term key, so they fail once another node holds the term.
 type leadership struct {
-	n      *Node
-	token  uint64
-	lease  *lease
-	core   *sched.Core
-	ctx    context.Context
-	cancel context.CancelFunc
+	controller *Controller
+	token      uint64
+	lease      *lease
+	core       *sched.Core
+	ctx        context.Context
+	cancel     context.CancelFunc
 
 	// Owned by the owner goroutine.
-	doubt         int64 // after a standstill of so long: nothing is done until the term is confirmed
-	waiters       []waiter
-	passes        int // scheduling passes so far
-	busyCommit    bool
-	busyProgress  bool
-	busyTidy      bool
-	busyEnds      bool
-	busyLearned   bool
-	busyCloud     bool
-	busyCancelled bool
-	busyRecur     bool
-	recur         *recurring.Engine // nil without a calendar
-	ends          []string          // jobs whose end is to be stored
-	tidy          []string          // keys to delete
-	cancelled     []string          // records of cancelled jobs whose tasks are gone: their users wait
-	lastCloud     int64
-	lastLog       int64
-	lastListed    int64
-	lastLearned   int64
-	chunks        map[string]int    // progress chunks stored per job
-	chunkAt       map[string]uint64 // and the version of each key
+	stalledFor       int64 // after a standstill of so long: nothing is done until the term is confirmed
+	waiters          []waiter
+	passes           int // scheduling passes so far
+	busyCommit       bool
+	busyProgress     bool
+	busyStaleKeys    bool
+	busyEnds         bool
+	busyStatistics   bool
+	busyCloud        bool
+	busyCancelled    bool
+	busyRecur        bool
+	recurring        *recurring.Engine // nil without a calendar
+	pendingEnds      []string          // jobs whose end is to be stored
+	staleKeys        []string          // keys to delete
+	cancelledRecords []string          // records of cancelled jobs whose tasks are gone: their users wait
+	lastCloud        int64
+	lastLog          int64
+	lastListed       int64
+	lastStatistics   int64
+	chunkCounts      map[string]int    // progress chunks stored per job
+	chunkVersions    map[string]uint64 // and the version of each key
 
-	revision uint64 // where the watch begins
-	directs  chan sched.DirectCommand
-	cloudQ   chan func()
-	hireSeq  int
+	revision         uint64 // where the watch begins
+	directCommands   chan sched.DirectCommand
+	cloudQueue       chan func()
+	scaleOutSequence int
 }
 
 const (
@@ -66,27 +66,27 @@
 	cloudQueue = 64
 )
 
-// resigned says whether this node gave up the term of a token by itself.
-func (n *Node) resigned(token uint64) bool {
+// hasResigned says whether this node gave up the term of a token by itself.
+func (n *Controller) hasResigned(token uint64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.gaveUp == token
+	return n.resignedToken == token
 }
 
 // lead loads the stored state and acts as leader until the term is lost.
-func (n *Node) lead(ctx context.Context, token uint64, h *lease) {
+func (n *Controller) lead(ctx context.Context, token uint64, h *lease) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	plain := ctx
 	ctx = kvstore.Urgent(ctx)
-	r := &leadership{n: n, token: token, lease: h, ctx: ctx, cancel: cancel, chunks: map[string]int{}, chunkAt: map[string]uint64{},
-		directs: make(chan sched.DirectCommand, max(minDirects, n.set.Deployment.Resources.Sockets/4)), cloudQ: make(chan func(), cloudQueue)}
-	n.learn(n.set.Label, token)
+	r := &leadership{controller: n, token: token, lease: h, ctx: ctx, cancel: cancel, chunkCounts: map[string]int{}, chunkVersions: map[string]uint64{},
+		directCommands: make(chan sched.DirectCommand, max(minDirects, n.settings.Deployment.Resources.Sockets/4)), cloudQueue: make(chan func(), cloudQueue)}
+	n.observeTerm(n.settings.Label, token)
 	for {
-		if h.dead.Load() || ctx.Err() != nil {
+		if h.expired.Load() || ctx.Err() != nil {
 			return
 		}
-		if _, top, _ := n.view(); top > token {
+		if _, top, _ := n.termView(); top > token {
 			return
 		}
 		err := r.load()
@@ -97,18 +97,18 @@
 		time.Sleep(200 * time.Millisecond)
 	}
 	installed := make(chan bool, 1)
-	n.post(func() {
+	n.postToOwner(func() {
 		n.mu.Lock()
 		ok := n.token == token
 		if ok {
-			n.leading = token
-			n.leader = n.set.Label
+			n.leadingToken = token
+			n.leader = n.settings.Label
 		}
 		n.mu.Unlock()
 		if ok {
 			n.leadership = r
 			n.config.configureCore() // it may have changed while the state was loaded
-			n.dirty = true
+			n.passPending = true
 		}
 		installed <- ok
 	})
@@ -117,15 +117,15 @@
 	}
 	n.log.Info("acting as leader", "token", token)
 	for _, p := range n.peers {
-		go func() { _, _ = p.Heartbeat(ctx, n.hello()) }()
+		go func() { _, _ = p.Heartbeat(ctx, n.newHeartbeat()) }()
 	}
 	go r.watch()
 	go r.compact(plain)
 	go r.snapshots(plain)
-	go r.copies(plain)
+	go r.storeSnapshots(plain)
 	// A worker that is cut off holds a sender up for two seconds.
-	for range min(max(minSenders, n.set.Deployment.Resources.Sockets/socketsPerSender), maxSenders) {
-		go r.sendDirects()
+	for range min(max(minSenders, n.settings.Deployment.Resources.Sockets/socketsPerSender), maxSenders) {
+		go r.sendDirectCommands()
 	}
 	go r.runCloud()
 	check := time.NewTicker(100 * time.Millisecond)
@@ -134,49 +134,49 @@
 		select {
 		case <-ctx.Done():
 		case <-check.C:
-			if !h.dead.Load() {
+			if !h.expired.Load() {
 				continue
 			}
 			n.log.Info("term lost", "token", token)
 		}
-		n.post(func() { r.end() })
+		n.postToOwner(func() { r.stepDown() })
 		<-ctx.Done()
 		return
 	}
 }
 
-// doubts stops all acting after a standstill until the term was read again: in
+// suspend stops all acting after a standstill until the term was read again: in
 // the meantime another node may have taken it, and reports, returns and silences
 // seen from here are as old as the gap. Owner goroutine.
-func (r *leadership) doubts(gap int64) {
-	n := r.n
-	before := r.doubt
-	r.doubt += gap
+func (r *leadership) suspend(gap int64) {
+	n := r.controller
+	before := r.stalledFor
+	r.stalledFor += gap
 	n.mu.Lock()
-	if n.leading == r.token {
-		n.leading = 0
+	if n.leadingToken == r.token {
+		n.leadingToken = 0
 	}
 	n.mu.Unlock()
 	n.log.Info("stood still", "for_us", gap, "token", r.token)
 	if before == 0 {
-		go r.confirm()
+		go r.confirmTerm()
 	}
 }
 
-// confirm reads the term. While the state service is out of reach nobody can have
+// confirmTerm reads the term. While the state service is out of reach nobody can have
 // taken it, unless it is out of reach for this node alone; peers that know better
 // say so within their hello, and until the service answers nothing is started.
-func (r *leadership) confirm() {
-	n := r.n
+func (r *leadership) confirmTerm() {
+	n := r.controller
 	for tries := 0; r.ctx.Err() == nil; tries++ {
-		e, found, err := n.state.Get(r.ctx, termKey)
+		e, found, err := n.store.Get(r.ctx, termKey)
 		switch {
 		case err == nil && (!found || e.Version != r.token):
 			n.log.Info("term lost", "token", r.token)
-			n.post(func() { r.end() })
+			n.postToOwner(func() { r.stepDown() })
 			return
 		case err == nil || tries >= 12:
-			n.post(r.resume)
+			n.postToOwner(r.resume)
 			return
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -185,72 +185,74 @@
 
 // resume goes on after a standstill. Owner goroutine.
 func (r *leadership) resume() {
-	n := r.n
+	n := r.controller
 	if n.leadership != r {
 		return
 	}
 	n.mu.Lock()
 	if n.token == r.token {
-		n.leading = r.token
+		n.leadingToken = r.token
 	}
 	n.mu.Unlock()
-	r.core.ResumeAfterStall(r.doubt, n.now())
-	r.doubt = 0
-	n.dirty = true
+	r.core.ResumeAfterStall(r.stalledFor, n.now())
+	r.stalledFor = 0
+	n.passPending = true
 }
 
-// mine says whether the state service has just confirmed that the term is this node's: what
+// holdsTerm says whether the state service has just confirmed that the term is this node's: what
 // is said to the cloud is, unlike what is stored, not conditional on it. A node that the
 // service refuses alone may have been replaced, and a machine that it takes for silent may
 // work for the next leader.
-func (r *leadership) mine() bool {
-	n := r.n
-	if r.ctx.Err() != nil || !n.awake() {
+func (r *leadership) holdsTerm() bool {
+	n := r.controller
+	if r.ctx.Err() != nil || !n.ranRecently() {
 		return false
 	}
-	_, err := n.state.Txn(r.ctx, wire.Txn{Conditions: []wire.Condition{r.termCond()}})
+	_, err := n.store.Txn(r.ctx, wire.Txn{Conditions: []wire.Condition{r.termCondition()}})
 	if errors.Is(err, kvstore.ErrConflict) {
-		n.post(func() { r.end() })
+		n.postToOwner(func() { r.stepDown() })
 	}
-	return err == nil && n.awake()
+	return err == nil && n.ranRecently()
 }
 
-// end stops acting. It runs on the owner goroutine.
-func (r *leadership) end() {
-	n := r.n
+// stepDown stops acting. It runs on the owner goroutine.
+func (r *leadership) stepDown() {
+	n := r.controller
 	if n.leadership == r {
 		n.leadership = nil
 	}
 	n.mu.Lock()
-	if n.leading == r.token {
-		n.leading = 0
+	if n.leadingToken == r.token {
+		n.leadingToken = 0
 	}
-	n.shown = gauges{}
+	n.gauges = gauges{}
 	n.mu.Unlock()
 	r.cancel()
 }
 
-// termCond makes a transaction fail once another node holds the term.
-func (r *leadership) termCond() wire.Condition { return wire.Condition{Key: termKey, Version: r.token} }
+// termCondition makes a transaction fail once another node holds the term.
+func (r *leadership) termCondition() wire.Condition {
+	return wire.Condition{Key: termKey, Version: r.token}
+}
 
-func (r *leadership) ended(id string, value []byte) {
-	if rec, err := r.n.decodeEnd(id, value); err == nil {
-		r.core.JobEnded(id, rec.Status, r.n.now())
+func (r *leadership) jobEnded(id string, value []byte) {
+	if rec, err := r.controller.decodeEnd(id, value); err == nil {
+		r.core.JobEnded(id, rec.Status, r.controller.now())
 	}
 }
 
 // watch brings accepted and ended jobs.
 func (r *leadership) watch() {
-	n := r.n
+	n := r.controller
 	from := r.revision
 	// Each opening of the watch is a request: in a flood of small jobs every change
 	// would cost one.
-	every := time.Duration(8 / max(n.set.Deployment.State.RPS, 1) * float64(time.Second))
+	every := time.Duration(8 / max(n.settings.Deployment.State.RPS, 1) * float64(time.Second))
 	for r.ctx.Err() == nil {
-		ev, err := n.state.Changes(r.ctx, queuePrefix, from, 5*time.Second)
+		ev, err := n.store.Changes(r.ctx, queuePrefix, from, 5*time.Second)
 		if err != nil {
 			if errors.Is(err, kvstore.ErrCompacted) {
-				if rev, ok := r.reread(); ok {
+				if rev, ok := r.resyncQueue(); ok {
 					from = rev
 				}
 			}
@@ -265,40 +267,40 @@
 		if len(ev.Events) > 0 {
 			next = next.Add(every)
 		}
-		n.post(func() {
+		n.postToOwner(func() {
 			if n.leadership != r {
 				return
 			}
 			for _, e := range ev.Events {
-				r.take(e.Put, e.Value)
+				r.applyChange(e.Put, e.Value)
 			}
-			n.dirty = n.dirty || len(ev.Events) > 0
+			n.passPending = n.passPending || len(ev.Events) > 0
 		})
 		time.Sleep(time.Until(next))
 	}
 }
 
-// take applies one changed key of the queue.
-func (r *leadership) take(key string, value []byte) {
-	n := r.n
+// applyChange applies one changed key of the queue.
+func (r *leadership) applyChange(key string, value []byte) {
+	n := r.controller
 	if id, ok := strings.CutPrefix(key, jobPrefix); ok {
 		var rec jobRecord
 		if wire.Unmarshal(value, &rec) != nil {
 			return
 		}
-		if _, over := n.final(id); !over { // else its record is gone, or its core knows it
+		if _, over := n.rememberedFinal(id); !over { // else its record is gone, or its core knows it
 			n.setKnown(id)
 			r.core.AddJob(rec.Job, rec.Arrival, n.now())
 		}
 	} else if id, ok := strings.CutPrefix(key, endPrefix); ok {
-		r.ended(id, value)
+		r.jobEnded(id, value)
 	}
 }
 
-// reread reads the queue again after the watch fell too far behind.
-func (r *leadership) reread() (uint64, bool) {
-	n := r.n
-	jobs, rev, err := n.state.List(r.ctx, jobPrefix)
+// resyncQueue reads the queue again after the watch fell too far behind.
+func (r *leadership) resyncQueue() (uint64, bool) {
+	n := r.controller
+	jobs, rev, err := n.store.List(r.ctx, jobPrefix)
 	if err != nil {
 		return 0, false
 	}
@@ -306,23 +308,23 @@
 	if err != nil {
 		return 0, false
 	}
-	n.post(func() {
+	n.postToOwner(func() {
 		if n.leadership == r {
 			for _, e := range append(jobs, ends...) {
-				r.take(e.Key, e.Value)
+				r.applyChange(e.Key, e.Value)
 			}
 		}
 	})
 	return rev, true
 }
 
-// pass schedules and starts what follows from it. Owner goroutine.
-func (r *leadership) pass() {
-	n := r.n
-	if r.doubt > 0 {
+// schedule schedules and starts what follows from it. Owner goroutine.
+func (r *leadership) schedule() {
+	n := r.controller
+	if r.stalledFor > 0 {
 		return
 	}
-	if !r.busyCommit && n.state.Reachable(3*time.Second) {
+	if !r.busyCommit && n.store.Reachable(3*time.Second) {
 		r.passes++
 		if cm := r.core.Schedule(n.now()); cm != nil {
 			r.busyCommit = true
@@ -330,7 +332,7 @@
 		}
 	}
 	r.serveWaiters()
-	r.effects()
+	r.dispatchEffects()
 }
 
 // serveWaiters answers the reports that waited for launches: those whose
@@ -347,20 +349,20 @@
 	r.waiters = kept
 }
 
-func (r *leadership) effects() {
-	n := r.n
+func (r *leadership) dispatchEffects() {
+	n := r.controller
 	for _, d := range r.core.TakeDirectCommands() {
 		select {
-		case r.directs <- d:
+		case r.directCommands <- d:
 		default: // the next report's answer repeats it
 		}
 	}
-	r.ends = append(r.ends, r.core.TakeEnds()...)
-	if !r.busyEnds && len(r.ends) > 0 {
+	r.pendingEnds = append(r.pendingEnds, r.core.TakeEnds()...)
+	if !r.busyEnds && len(r.pendingEnds) > 0 {
 		// Half of a transaction: ends leave room for launches.
-		k := min(len(r.ends), max(1, n.set.Deployment.State.TxnOps/2))
-		ids := r.ends[:k:k]
-		r.ends = r.ends[k:]
+		k := min(len(r.pendingEnds), max(1, n.settings.Deployment.State.TxnOps/2))
+		ids := r.pendingEnds[:k:k]
+		r.pendingEnds = r.pendingEnds[k:]
 		r.busyEnds = true
 		done := make([]int, len(ids))
 		for i, id := range ids {
@@ -371,19 +373,19 @@
 	for _, f := range r.core.TakeForgotten() {
 		id := f.Job
 		if f.Status == wire.JobCancelled {
-			r.cancelled = append(r.cancelled, jobKey(id))
+			r.cancelledRecords = append(r.cancelledRecords, jobKey(id))
 		} else {
-			r.tidy = append(r.tidy, jobKey(id))
+			r.staleKeys = append(r.staleKeys, jobKey(id))
 		}
-		for i := range r.chunks[id] {
-			r.tidy = append(r.tidy, chunkKey(id, i))
-			delete(r.chunkAt, chunkKey(id, i))
+		for i := range r.chunkCounts[id] {
+			r.staleKeys = append(r.staleKeys, chunkKey(id, i))
+			delete(r.chunkVersions, chunkKey(id, i))
 		}
-		delete(r.chunks, id)
+		delete(r.chunkCounts, id)
 	}
-	if k := min(len(r.cancelled), n.set.Deployment.State.TxnOps); k > 0 && !r.busyCancelled && n.state.Reachable(3*time.Second) {
-		keys := r.cancelled[:k:k]
-		r.cancelled = r.cancelled[k:]
+	if k := min(len(r.cancelledRecords), n.settings.Deployment.State.TxnOps); k > 0 && !r.busyCancelled && n.store.Reachable(3*time.Second) {
+		keys := r.cancelledRecords[:k:k]
+		r.cancelledRecords = r.cancelledRecords[k:]
 		r.busyCancelled = true
 		go r.deleteCancelled(keys)
 	}
@@ -396,32 +398,32 @@
 
 // tick does what time brings: progress, tidying, the fleet. Owner goroutine.
 func (r *leadership) tick() {
-	n := r.n
+	n := r.controller
 	now := n.now()
-	if r.doubt > 0 {
+	if r.stalledFor > 0 {
 		return
 	}
-	r.pass()
-	reachable := n.state.Reachable(3 * time.Second)
+	r.schedule()
+	reachable := n.store.Reachable(3 * time.Second)
 	if !r.busyProgress && reachable {
-		if cs := r.core.ProgressToStore(min(n.set.Deployment.State.TxnOps, max(1, int(n.set.Deployment.State.WriteRPS/progressPart)))); len(cs) > 0 {
+		if cs := r.core.ProgressToStore(min(n.settings.Deployment.State.TxnOps, max(1, int(n.settings.Deployment.State.WriteRPS/progressPart)))); len(cs) > 0 {
 			r.busyProgress = true
 			go r.storeProgress(cs, r.progressTxn(cs))
 		}
 	}
-	if !r.busyTidy && reachable && len(r.tidy) > 0 {
-		k := min(len(r.tidy), n.set.Deployment.State.TxnOps, max(1, int(n.set.Deployment.State.WriteRPS/tidyPart)))
-		keys := r.tidy[:k:k]
-		r.tidy = r.tidy[k:]
-		r.busyTidy = true
+	if !r.busyStaleKeys && reachable && len(r.staleKeys) > 0 {
+		k := min(len(r.staleKeys), n.settings.Deployment.State.TxnOps, max(1, int(n.settings.Deployment.State.WriteRPS/tidyPart)))
+		keys := r.staleKeys[:k:k]
+		r.staleKeys = r.staleKeys[k:]
+		r.busyStaleKeys = true
 		go r.deleteKeys(keys)
 	}
 	if reachable {
-		r.recurring()
+		r.submitRecurring()
 	}
-	if !r.busyLearned && reachable && now-r.lastLearned >= learnEvery {
-		r.busyLearned, r.lastLearned = true, now
-		go r.storeLearned(r.core.Statistics(now))
+	if !r.busyStatistics && reachable && now-r.lastStatistics >= learnEvery {
+		r.busyStatistics, r.lastStatistics = true, now
+		go r.storeStatistics(r.core.Statistics(now))
 	}
 	blind := r.core.Blind(now)
 	// Without the state service nobody could take the term, and this node's word
@@ -429,22 +431,22 @@
 	if blind && len(n.peers) > 0 && reachable {
 		n.log.Info("most workers are silent: giving the term up", "token", r.token)
 		n.mu.Lock()
-		n.gaveUp = r.token
+		n.resignedToken = r.token
 		n.mu.Unlock()
-		r.end()
+		r.stepDown()
 		return
 	}
 	if !r.busyCloud && now-r.lastCloud >= 1_000_000 {
 		r.lastCloud = now
-		r.publish()
-		r.fleet(blind)
-		r.show()
+		r.publishStandbys()
+		r.scaleFleet(blind)
+		r.publishGauges()
 	}
 	if now-r.lastLog > 10_000_000 {
 		r.lastLog = now
 		jobs, tasks := r.core.Waiting()
 		n.log.Info("leader", "waiting_jobs", jobs, "waiting_tasks", tasks, "stats", fmt.Sprintf("%+v", r.core.Stats))
-		n.log.Info("work", n.work.take()...)
+		n.log.Info("work", n.loopStats.take()...)
 		classes, types := r.core.Usages()
 		for _, u := range classes {
 			n.log.Info("class", "name", u.Name, "tasks", u.Tasks)
@@ -452,38 +454,38 @@
 		for _, u := range types {
 			n.log.Info("machines", "type", u.Name, "up", u.Up, "idle", u.Idle, "kept", u.Reserved, "tasks", u.Tasks, "free_cpus", int(u.Free))
 		}
-		r.tellServed()
+		r.logServiceShares()
 		for _, w := range r.core.WaitingJobs(3) {
 			n.log.Info("waits", "job", w.Job, "class", w.Class, "team", w.Team, "tasks", w.Tasks, "age_us", w.Age, "why", w.Reason, "room", w.Room, "held", w.Reserved)
 		}
 	}
 }
 
-func (r *leadership) sendDirects() {
+func (r *leadership) sendDirectCommands() {
 	for {
 		select {
 		case <-r.ctx.Done():
 			return
-		case d := <-r.directs:
-			if !r.n.awake() {
+		case d := <-r.directCommands:
+			if !r.controller.ranRecently() {
 				continue // as old as the standstill; a report's answer repeats it
 			}
-			r.answered(r.n.worker.Orders(r.ctx, d.Addr, d.Batch))
+			r.commandAnswered(r.controller.worker.Orders(r.ctx, d.Addr, d.Batch))
 		}
 	}
 }
 
-// answered hands the core what a worker said to a direct command: its report, also where it
+// commandAnswered hands the core what a worker said to a direct command: its report, also where it
 // refused the command (409).
-func (r *leadership) answered(said wire.Heartbeat, _ error) {
+func (r *leadership) commandAnswered(said wire.Heartbeat, _ error) {
 	if said.Host == "" {
 		return
 	}
-	n := r.n
-	n.post(func() {
-		if n.leadership == r && r.doubt == 0 {
+	n := r.controller
+	n.postToOwner(func() {
+		if n.leadership == r && r.stalledFor == 0 {
 			r.core.CommandAnswered(&said, n.now())
-			n.dirty = n.dirty || r.core.TakePassNeeded()
+			n.passPending = n.passPending || r.core.TakePassNeeded()
 		}
 	})
 }
--- a/internal/controller/lookup.go
+++ b/internal/controller/lookup.go
@@ -18,7 +18,7 @@
 type lookup struct {
 	id    string
 	known bool // accepted, as this node knows
-	done  chan<- verdict
+	done  chan<- lookupResult
 }
 
 // conds is how many conditions it takes.
@@ -29,8 +29,8 @@
 	return 3
 }
 
-// verdict answers a lookup, as of a moment after it was asked.
-type verdict struct {
+// lookupResult answers a lookup, as of a moment after it was asked.
+type lookupResult struct {
 	accepted, ended bool
 	archived        bool
 	st              wire.JobStatus // with the leader's counts, if it is not ended
@@ -43,64 +43,64 @@
 	lookupShare = 0.35 // of the requests that the state service takes, for all nodes' lookups
 )
 
-// look asks together with others. Hundreds of users polling, each with a read of
+// lookUpJob asks together with others. Hundreds of users polling, each with a read of
 // its own, would use up the requests that the state service takes from all nodes,
 // and then nobody can renew a term; a transaction that only compares looks at many
 // jobs for the price of one.
-func (n *Node) look(ctx context.Context, id string, known bool) verdict {
-	done := make(chan verdict, 1)
+func (n *Controller) lookUpJob(ctx context.Context, id string, known bool) lookupResult {
+	done := make(chan lookupResult, 1)
 	select {
-	case n.lookups <- lookup{id, known, done}:
+	case n.lookupQueue <- lookup{id, known, done}:
 	default:
-		return verdict{err: api.ErrNotNow}
+		return lookupResult{err: api.ErrNotNow}
 	}
 	select {
 	case v := <-done:
 		return v
 	case <-ctx.Done():
-		return verdict{err: api.ErrNotNow}
+		return lookupResult{err: api.ErrNotNow}
 	}
 }
 
 // lookupPace is how many batches of lookups this node may send: together the
 // nodes use some third of what the service takes. The wait for the next batch is
 // some tenths of a second at most, and only while more is asked.
-func (n *Node) lookupPace() *rate.Limiter {
-	per := n.set.Deployment.State.RPS * lookupShare / float64(len(n.set.Members)+1)
+func (n *Controller) lookupPace() *rate.Limiter {
+	per := n.settings.Deployment.State.RPS * lookupShare / float64(len(n.settings.Members)+1)
 	return rate.NewLimiter(rate.Limit(max(per, 1)), max(2, int(per)))
 }
 
 // lookupLoop answers lookups in batches. What a batch takes was asked before the
 // read begins, so its answers are as fresh as a read for each would be.
-func (n *Node) lookupLoop(ctx context.Context, pace *rate.Limiter) {
-	most := 4 * n.set.Deployment.State.TxnOps
+func (n *Controller) lookupLoop(ctx context.Context, pace *rate.Limiter) {
+	most := 4 * n.settings.Deployment.State.TxnOps
 	for {
 		var batch []lookup
 		select {
 		case <-ctx.Done():
 			return
-		case l := <-n.lookups:
+		case l := <-n.lookupQueue:
 			batch = append(batch, l)
 		}
 		if pace.Wait(ctx) != nil {
 			return
 		}
-		for conds := batch[0].conds(); conds+3 <= most && len(n.lookups) > 0; {
+		for conds := batch[0].conds(); conds+3 <= most && len(n.lookupQueue) > 0; {
 			select {
-			case l := <-n.lookups:
+			case l := <-n.lookupQueue:
 				batch = append(batch, l)
 				conds += l.conds()
 			default:
 				conds = most
 			}
 		}
-		n.lookUp(ctx, batch)
+		n.lookUpBatch(ctx, batch)
 	}
 }
 
-// lookUp answers a batch with one read, and one question to the leader for the
+// lookUpBatch answers a batch with one read, and one question to the leader for the
 // counts to show.
-func (n *Node) lookUp(ctx context.Context, batch []lookup) {
+func (n *Controller) lookUpBatch(ctx context.Context, batch []lookup) {
 	ctx, cancel := context.WithTimeout(ctx, 1200*time.Millisecond)
 	var back sync.WaitGroup // lookups that go on in the archive
 	defer func() { go func() { back.Wait(); cancel() }() }()
@@ -122,10 +122,10 @@
 			}
 		}
 	}
-	a, err := n.state.Txn(ctx, txn)
+	a, err := n.store.Txn(ctx, txn)
 	if err != nil && !errors.Is(err, kvstore.ErrConflict) {
 		for _, l := range batch {
-			l.done <- verdict{err: err}
+			l.done <- lookupResult{err: err}
 		}
 		return
 	}
@@ -146,10 +146,10 @@
 	for _, l := range batch {
 		if !exists[jobKey(l.id)] && !exists[endKey(l.id)] {
 			moved := l.known || exists[n.archive.Guard(l.id).Key]
-			back.Go(func() { l.done <- n.lookBack(ctx, l, moved) })
+			back.Go(func() { l.done <- n.lookUpArchive(ctx, l, moved) })
 			continue
 		}
-		v := verdict{accepted: exists[jobKey(l.id)], ended: exists[endKey(l.id)], st: wire.JobStatus{ID: l.id, Status: wire.JobQueued}}
+		v := lookupResult{accepted: exists[jobKey(l.id)], ended: exists[endKey(l.id)], st: wire.JobStatus{ID: l.id, Status: wire.JobQueued}}
 		if st, ok := counts[l.id]; ok {
 			v.st = st
 		}
@@ -162,12 +162,12 @@
 
 // countsOf asks for the counts that only the leader has; without it jobs are
 // shown as queued.
-func (n *Node) countsOf(ctx context.Context, ids []string) map[string]wire.JobStatus {
+func (n *Controller) countsOf(ctx context.Context, ids []string) map[string]wire.JobStatus {
 	if len(ids) == 0 {
 		return nil
 	}
-	sts := n.counts(ctx, ids)
-	leader, _, leading := n.view()
+	sts := n.localCounts(ctx, ids)
+	leader, _, leading := n.termView()
 	if p := n.peers[leader]; p != nil && leading == 0 {
 		if a, err := p.Counts(ctx, ids); err == nil {
 			sts = a.Jobs
@@ -181,11 +181,11 @@
 }
 
 // endOf reads the end of a job that is known to have one.
-func (n *Node) endOf(ctx context.Context, id string) (endRecord, error) {
-	if st, ok := n.final(id); ok {
+func (n *Controller) endOf(ctx context.Context, id string) (endRecord, error) {
+	if st, ok := n.rememberedFinal(id); ok {
 		return endAs(st), nil
 	}
-	e, found, err := n.state.Get(ctx, endKey(id))
+	e, found, err := n.store.Get(ctx, endKey(id))
 	if err != nil {
 		return endRecord{}, err
 	}
--- a/internal/controller/work.go
+++ b/internal/controller/loopstats.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// work is what the owner goroutine spends its time on since the last log line: it decides
+// loopStats is what the owner goroutine spends its time on since the last log line: it decides
 // one thing after the other, so what takes it long keeps everybody waiting.
-type work struct {
-	calls [workKinds]int
-	spent [workKinds]time.Duration
-	most  [workKinds]time.Duration // at one go
+type loopStats struct {
+	calls [loopKinds]int
+	spent [loopKinds]time.Duration
+	most  [loopKinds]time.Duration // at one go
 }
 
 const (
-	workEvents = iota // reports, and what comes back from other goroutines
-	workPasses        // placing what waits
-	workTicks         // what time brings, a pass included
-	workKinds
+	loopEvents = iota // reports, and what comes back from other goroutines
+	loopPasses        // placing what waits
+	loopTicks         // what time brings, a pass included
+	loopKinds
 )
 
 // measure runs f and returns how long it took.
-func (w *work) measure(kind int, f func()) time.Duration {
+func (w *loopStats) measure(kind int, f func()) time.Duration {
 	began := time.Now()
 	f()
 	took := time.Since(began)
@@ -29,11 +29,11 @@
 }
 
 // take returns what was measured, for a log line, and begins anew.
-func (w *work) take() []any {
+func (w *loopStats) take() []any {
 	var out []any
 	for kind, name := range []string{"events", "passes", "ticks"} {
 		out = append(out, name, w.calls[kind], name+"_us", w.spent[kind].Microseconds(), name+"_most_us", w.most[kind].Microseconds())
 	}
-	*w = work{}
+	*w = loopStats{}
 	return out
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -24,13 +24,13 @@
 
 // metrics serves the counters. Those of the core are zero on nodes that are not
 // the leader.
-func (n *Node) metrics() http.Handler {
+func (n *Controller) metrics() http.Handler {
 	reg := prometheus.NewRegistry()
 	add := func(name, help string, read func(*gauges) int) {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: name, Help: help}, func() float64 {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			return float64(read(&n.shown))
+			return float64(read(&n.gauges))
 		}))
 	}
 	add("waiting_jobs", "Jobs with tasks that wait for room.", func(s *gauges) int { return s.jobs })
@@ -51,7 +51,7 @@
 			Help: "Silent machines, by what has most likely become of them.", ConstLabels: prometheus.Labels{"verdict": name}}, func() float64 {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			return float64(n.shown.silent[name])
+			return float64(n.gauges.silent[name])
 		}))
 	}
 	for i, name := range []string{"archived_jobs", "archive_leaves", "archive_manifests"} {
@@ -70,20 +70,20 @@
 		"standby_lag_us": {"Microseconds since what this node follows was known to be the newest.", func(_, _ int, us int64) float64 { return float64(us) }},
 	} {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: name, Help: x.help}, func() float64 {
-			keys, bytes, us, _ := n.warm.lag()
+			keys, bytes, us, _ := n.follower.lag()
 			return x.read(keys, bytes, us)
 		}))
 	}
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "standby", Help: "1 while this node stands by warm with a copy that is good."}, func() float64 {
-		return one(n.warm.ready())
+		return one(n.follower.ready())
 	}))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "wrong_suspicions", Help: "Leaders whose term this node replaced though their process had not ended."}, func() float64 {
-		n.warm.mu.Lock()
-		defer n.warm.mu.Unlock()
-		return float64(n.warm.suspicion.WrongOnes())
+		n.follower.mu.Lock()
+		defer n.follower.mu.Unlock()
+		return float64(n.follower.suspicion.WrongOnes())
 	}))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "cancellations_waiting",
-		Help: "Users that wait here until the tasks of a job that they cancelled are gone."}, func() float64 { return float64(len(n.cancels)) }))
+		Help: "Users that wait here until the tasks of a job that they cancelled are gone."}, func() float64 { return float64(len(n.cancelSlots)) }))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "goroutines", Help: "Goroutines of this process."},
 		func() float64 { return float64(runtime.NumGoroutine()) }))
 	for name, x := range map[string]struct {
@@ -97,7 +97,7 @@
 	}
 	reg.MustRegister(shares{n})
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "leader", Help: "1 while this node acts as leader."}, func() float64 {
-		_, _, leading := n.view()
+		_, _, leading := n.termView()
 		return one(leading != 0)
 	}))
 	return promhttp.HandlerFor(reg, promhttp.HandlerOpts{})
@@ -111,17 +111,17 @@
 	return 0
 }
 
-// show updates the gauges. Owner goroutine.
-func (r *leadership) show() {
+// publishGauges updates the gauges. Owner goroutine.
+func (r *leadership) publishGauges() {
 	var s gauges
 	s.stats = r.core.Stats
 	s.jobs, s.tasks = r.core.Waiting()
 	s.machines, s.up = r.core.FleetSize()
 	s.silent, s.zonesCut = r.core.SilentMachines()
 	s.served = r.core.ServiceShares(mostServed)
-	r.n.mu.Lock()
-	r.n.shown = s
-	r.n.mu.Unlock()
+	r.controller.mu.Lock()
+	r.controller.gauges = s
+	r.controller.mu.Unlock()
 }
 
 // mostServed bounds the classes that are shown, since users choose their names. Teams are those
@@ -129,7 +129,7 @@
 const mostServed = 50
 
 // shares shows how much of what each class and team asked for is served.
-type shares struct{ n *Node }
+type shares struct{ n *Controller }
 
 var (
 	jobsDesc   = prometheus.NewDesc("dalefront_jobs", "Jobs of a class or team in this term, by what became of them.", []string{"of", "name", "what"}, nil)
@@ -147,7 +147,7 @@
 // Collect implements prometheus.Collector.
 func (s shares) Collect(out chan<- prometheus.Metric) {
 	s.n.mu.Lock()
-	all := s.n.shown.served
+	all := s.n.gauges.served
 	s.n.mu.Unlock()
 	show := func(d *prometheus.Desc, v float64, labels ...string) {
 		if m, err := prometheus.NewConstMetric(d, prometheus.GaugeValue, v, labels...); err == nil {
@@ -178,13 +178,13 @@
 	return "class"
 }
 
-// tellServed logs what each class and team has had, and warns of those that are behind.
-func (r *leadership) tellServed() {
+// logServiceShares logs what each class and team has had, and warns of those that are behind.
+func (r *leadership) logServiceShares() {
 	for _, s := range r.core.ServiceShares(mostServed) {
-		r.n.log.Info("served", "of", kindOf(&s), "name", s.Name, "submitted", s.Submitted, "begun", s.Started, "done", s.Done, "late", s.Late,
+		r.controller.log.Info("served", "of", kindOf(&s), "name", s.Name, "submitted", s.Submitted, "begun", s.Started, "done", s.Done, "late", s.Late,
 			"cancelled", s.Cancelled, "waiting", s.Waiting, "share", s.Share)
 		if s.Underserved {
-			r.n.log.Warn(kindOf(&s)+" starves", "name", s.Name, "share", s.Share, "for_us", s.UnderservedFor, "why", s.WaitReason)
+			r.controller.log.Warn(kindOf(&s)+" starves", "name", s.Name, "share", s.Share, "for_us", s.UnderservedFor, "why", s.WaitReason)
 		}
 	}
 }
--- a/internal/controller/load.go
+++ b/internal/controller/recovery.go
@@ -21,13 +21,13 @@
 // all checks pass, otherwise from what it reads now. From the moment the term was taken nobody
 // else can change it but by accepting and ending jobs, which the watch brings.
 func (r *leadership) load() error {
-	n := r.n
+	n := r.controller
 	began := time.Now()
 	// A peer that is gone costs its time limit: the store is read meanwhile, and a copy
 	// does not wait for it. It is evidence about silent machines and nothing else.
 	heard := make(chan map[string]int64, 1)
-	go func() { heard <- n.gatherHeard(r.ctx) }()
-	s, why := n.warm.takeOver(r.ctx, r.token, r.lease)
+	go func() { heard <- n.gatherWorkerContacts(r.ctx) }()
+	s, why := n.follower.takeOver(r.ctx, r.token, r.lease)
 	if s == nil {
 		var err error
 		if s, err = r.read(); err != nil {
@@ -41,7 +41,7 @@
 	if why == "" {
 		go func() {
 			at := <-heard
-			n.post(func() {
+			n.postToOwner(func() {
 				for host, t := range at {
 					core.PeerContact(host, t)
 				}
@@ -63,7 +63,7 @@
 
 // read reads what a takeover needs.
 func (r *leadership) read() (*stored, error) {
-	n := r.n
+	n := r.controller
 	s := &stored{ledger: map[string]sched.LedgerEntry{}}
 	copied := r.loadCopy()
 	configured := make(chan error, 1)
@@ -113,7 +113,7 @@
 	for _, e := range hires {
 		s.hires = append(s.hires, e.Key)
 	}
-	if n.cal != nil {
+	if n.calendar != nil {
 		if s.schedule, _, err = r.list(copied, schedulePrefix); err != nil {
 			return nil, err
 		}
@@ -145,8 +145,8 @@
 
 // build makes the core of the term from what is stored, however it came here.
 func (r *leadership) build(s *stored) (*sched.Core, error) {
-	n := r.n
-	cat, _ := n.types()
+	n := r.controller
+	cat, _ := n.machineTypes()
 	now := n.now()
 	if err := n.config.follows(s.config, s.revision); err != nil {
 		return nil, err
@@ -154,19 +154,19 @@
 	inForce := n.config.current()
 	core := sched.New(inForce.settings, r.token, now, cat, func(msg string, args ...any) { n.log.Info(msg, args...) })
 	core.Configure(inForce.settings, inForce.cordons, inForce.version, now)
-	r.tidy, r.chunks, r.chunkAt = nil, map[string]int{}, map[string]uint64{}
+	r.staleKeys, r.chunkCounts, r.chunkVersions = nil, map[string]int{}, map[string]uint64{}
 	for _, rec := range s.jobs {
 		core.AddJob(rec.Job, rec.Arrival, now)
 		n.setKnown(rec.Job.ID)
 	}
 	for _, c := range s.chunks {
 		if _, _, _, known := core.Counts(c.id); !known {
-			r.tidy = append(r.tidy, c.key) // left by a job that is over and gone
+			r.staleKeys = append(r.staleKeys, c.key) // left by a job that is over and gone
 			continue
 		}
 		core.SetProgress(c.id, c.index, c.text)
-		r.chunkAt[c.key] = c.version
-		r.chunks[c.id] = max(r.chunks[c.id], c.index+1)
+		r.chunkVersions[c.key] = c.version
+		r.chunkCounts[c.id] = max(r.chunkCounts[c.id], c.index+1)
 	}
 	core.RecoverLedger(s.ledger)
 	if s.learned != nil {
@@ -174,10 +174,10 @@
 	}
 	// The machines of a hire whose answer was lost show up in the list and in reports, and
 	// are adopted; the name is never used again.
-	r.tidy = append(r.tidy, s.hires...)
+	r.staleKeys = append(r.staleKeys, s.hires...)
 	for _, e := range s.ends {
 		if e.Status == wire.JobDone {
-			n.remember(e.answer(e.id))
+			n.rememberFinal(e.answer(e.id))
 		}
 		core.JobEnded(e.id, e.Status, n.now())
 	}
@@ -191,7 +191,7 @@
 // for many at a time, by a transaction that only compares; their ends are read side
 // by side: after a flood of small jobs hundreds may wait to be tidied up, and a
 // takeover must not ask for one after the other.
-func (n *Node) endsOf(ctx context.Context, jobs []wire.KeyValue) (ends []wire.KeyValue, err error) {
+func (n *Controller) endsOf(ctx context.Context, jobs []wire.KeyValue) (ends []wire.KeyValue, err error) {
 	var ids, keys []string
 	for _, e := range jobs {
 		ids = append(ids, strings.TrimPrefix(e.Key, jobPrefix))
@@ -214,7 +214,7 @@
 		all.Go(func() {
 			defer func() { <-turn }()
 			var found bool
-			if ends[i], found, errs[i] = n.state.Get(ctx, k); errs[i] == nil && !found {
+			if ends[i], found, errs[i] = n.store.Get(ctx, k); errs[i] == nil && !found {
 				errs[i] = fmt.Errorf("%s is missing", k)
 			}
 		})
--- a/internal/controller/recur.go
+++ b/internal/controller/recurring.go
@@ -20,8 +20,8 @@
 
 // loadSchedules makes the engine of a term from the calendar and what is stored.
 func (r *leadership) loadSchedules(entries []wire.KeyValue) error {
-	n := r.n
-	if n.cal == nil {
+	n := r.controller
+	if n.calendar == nil {
 		return nil
 	}
 	states, versions := map[string]recurring.State{}, map[string]uint64{}
@@ -33,8 +33,8 @@
 		}
 		states[name], versions[name] = st, e.Version
 	}
-	r.recur = recurring.New(n.cal, states, versions)
-	known, gone := r.recur.Len()
+	r.recurring = recurring.New(n.calendar, states, versions)
+	known, gone := r.recurring.Len()
 	n.log.Info("schedules", "known", known, "removed", gone)
 	return nil
 }
@@ -45,21 +45,21 @@
 func (j jobs) Running(id string) bool { return j.r.core.IsActive(id) }
 
 func (j jobs) Admit(job *wire.Job) error {
-	cat, ok := j.r.n.types()
+	cat, ok := j.r.controller.machineTypes()
 	if !ok {
 		return nil // it waits as any job does
 	}
-	return sched.Admit(j.r.n.set, cat, job)
+	return sched.Admit(j.r.controller.settings, cat, job)
 }
 
-// recurring decides what is due and has it stored, one batch at a time: as many
+// submitRecurring decides what is due and has it stored, one batch at a time: as many
 // schedules as a transaction takes, two changes for each that runs. Owner goroutine.
-func (r *leadership) recurring() {
-	if r.recur == nil || r.busyRecur {
+func (r *leadership) submitRecurring() {
+	if r.recurring == nil || r.busyRecur {
 		return
 	}
-	most := max(1, min(r.n.set.Deployment.State.TxnOps/4, 8))
-	if ds := r.recur.Due(time.Now().UnixMicro(), most, jobs{r}); len(ds) > 0 {
+	most := max(1, min(r.controller.settings.Deployment.State.TxnOps/4, 8))
+	if ds := r.recurring.Due(time.Now().UnixMicro(), most, jobs{r}); len(ds) > 0 {
 		r.busyRecur = true
 		go r.storeRuns(ds)
 	}
@@ -69,13 +69,13 @@
 // service takes is shared with launches: a batch waits until its changes are no more
 // than an eighth of it.
 func (r *leadership) storeRuns(ds []recurring.Decision) {
-	n := r.n
+	n := r.controller
 	changes := 0
 	for _, d := range ds {
 		changes += 1 + len(d.Jobs)
 	}
 	if _, version, err := r.storeDecisions(ds); err == nil {
-		n.post(func() { r.runsStored(ds, version) })
+		n.postToOwner(func() { r.runsStored(ds, version) })
 	} else {
 		for _, d := range ds {
 			r.storeOne(d)
@@ -83,16 +83,16 @@
 	}
 	select {
 	case <-r.ctx.Done():
-	case <-time.After(time.Duration(float64(changes) * 8 / max(n.set.Deployment.State.WriteRPS, 1) * float64(time.Second))):
+	case <-time.After(time.Duration(float64(changes) * 8 / max(n.settings.Deployment.State.WriteRPS, 1) * float64(time.Second))):
 	}
-	n.post(func() { r.busyRecur = false })
+	n.postToOwner(func() { r.busyRecur = false })
 }
 
 // storeDecisions runs one transaction: each schedule's state is what the decision
 // rests on, no job of the ids exists or ever did, and the term is this node's.
 func (r *leadership) storeDecisions(ds []recurring.Decision) (failed []string, version uint64, err error) {
-	n := r.n
-	txn := wire.Txn{Conditions: []wire.Condition{r.termCond()}}
+	n := r.controller
+	txn := wire.Txn{Conditions: []wire.Condition{r.termCondition()}}
 	for _, d := range ds {
 		key := scheduleKey(d.Name)
 		txn.Conditions = append(txn.Conditions, wire.Condition{Key: key, Version: d.Version})
@@ -109,34 +109,34 @@
 			if a.Found { // by a job of long ago
 				return []string{endKey(j.ID)}, 0, kvstore.ErrConflict
 			}
-			txn.Conditions = n.guarded(append(txn.Conditions, wire.Condition{Key: jobKey(j.ID)}, wire.Condition{Key: endKey(j.ID)}), j.ID)
+			txn.Conditions = n.withArchiveGuards(append(txn.Conditions, wire.Condition{Key: jobKey(j.ID)}, wire.Condition{Key: endKey(j.ID)}), j.ID)
 			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: jobKey(j.ID), Value: jobRecord{Job: j, Arrival: n.now()}})
 		}
 		if d.Cancel != "" {
-			txn.Conditions = n.guarded(append(txn.Conditions, wire.Condition{Key: endKey(d.Cancel)}), d.Cancel)
+			txn.Conditions = n.withArchiveGuards(append(txn.Conditions, wire.Condition{Key: endKey(d.Cancel)}), d.Cancel)
 			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: endKey(d.Cancel), Value: endRecord{Status: wire.JobCancelled, At: n.now()}})
 		}
 	}
-	if len(txn.Mutations) > n.set.Deployment.State.TxnOps || len(txn.Conditions) > 4*n.set.Deployment.State.TxnOps {
+	if len(txn.Mutations) > n.settings.Deployment.State.TxnOps || len(txn.Conditions) > 4*n.settings.Deployment.State.TxnOps {
 		return nil, 0, errors.New("too much for one transaction")
 	}
-	a, err := n.state.Txn(r.ctx, txn)
+	a, err := n.store.Txn(r.ctx, txn)
 	return a.FailedKeys, a.Revision, err
 }
 
 // runsStored tells the engine and the core. Owner goroutine.
 func (r *leadership) runsStored(ds []recurring.Decision, version uint64) {
-	n := r.n
+	n := r.controller
 	if n.leadership != r {
 		return
 	}
 	for _, d := range ds {
-		r.recur.Stored(d, version)
+		r.recurring.Stored(d, version)
 		for _, j := range d.Jobs {
 			n.setKnown(j.ID)
 			r.core.AddJob(j, n.now(), n.now())
 			n.log.Info("scheduled run", "schedule", d.Name, "job", j.ID)
-			n.dirty = true
+			n.passPending = true
 		}
 		if d.State != nil && len(d.State.Runs) > 0 {
 			if last := d.State.Runs[len(d.State.Runs)-1]; last.Status != wire.RunSubmitted {
@@ -151,10 +151,10 @@
 // may be applied even later, but only as long as the schedule's state is the same: so
 // what is read back is decided upon anew, and one of the two is refused.
 func (r *leadership) storeOne(d recurring.Decision) {
-	n := r.n
+	n := r.controller
 	failed, version, err := r.storeDecisions([]recurring.Decision{d})
 	if err == nil {
-		n.post(func() { r.runsStored([]recurring.Decision{d}, version) })
+		n.postToOwner(func() { r.runsStored([]recurring.Decision{d}, version) })
 		return
 	}
 	_, _ = n.archive.Refresh(r.ctx, failed) // if that fails, the next try does
@@ -164,7 +164,7 @@
 	}
 	taken = taken && !slices.Contains(failed, scheduleKey(d.Name))
 	for r.ctx.Err() == nil {
-		e, found, err := n.state.Get(r.ctx, scheduleKey(d.Name))
+		e, found, err := n.store.Get(r.ctx, scheduleKey(d.Name))
 		var st recurring.State
 		if err == nil && found {
 			err = wire.Unmarshal(e.Value, &st)
@@ -173,9 +173,9 @@
 			if !found {
 				e.Version = 0
 			}
-			n.post(func() {
+			n.postToOwner(func() {
 				if n.leadership == r {
-					r.recur.Again(d, st, e.Version, taken, time.Now().UnixMicro()+1_000_000)
+					r.recurring.Again(d, st, e.Version, taken, time.Now().UnixMicro()+1_000_000)
 				}
 			})
 			return
--- a/internal/controller/fleet.go
+++ b/internal/controller/scaling.go
@@ -11,20 +11,20 @@
 	"dalefront/wire"
 )
 
-// fleet decides about machines. Owner goroutine.
-func (r *leadership) fleet(blind bool) {
-	n := r.n
+// scaleFleet decides about machines. Owner goroutine.
+func (r *leadership) scaleFleet(blind bool) {
+	n := r.controller
 	now := n.now()
-	r.core.DetectFailures(now, n.controllers())
+	r.core.DetectFailures(now, n.peersForDetector())
 	var returns []string
 	var hires []wire.ScaleOutRequest
-	if n.state.Reachable(3 * time.Second) {
+	if n.store.Reachable(3 * time.Second) {
 		returns, hires = r.core.ScaleIn(now, blind), r.core.ScaleOut(now)
 	}
 	for i := range hires {
-		r.hireSeq++
+		r.scaleOutSequence++
 		// The token makes the name unique over terms, the number within one.
-		hires[i].RequestID = fmt.Sprintf("r-%d-%d", r.token, r.hireSeq)
+		hires[i].RequestID = fmt.Sprintf("r-%d-%d", r.token, r.scaleOutSequence)
 	}
 	list := r.lastList(now)
 	if len(returns) == 0 && len(hires) == 0 && !list {
@@ -32,7 +32,7 @@
 	}
 	r.busyCloud = true
 	select {
-	case r.cloudQ <- func() { r.cloudRound(returns, hires, list) }:
+	case r.cloudQueue <- func() { r.cloudRound(returns, hires, list) }:
 	default:
 		r.busyCloud = false
 	}
@@ -49,7 +49,7 @@
 	// A list takes a request for each page of machines: a quarter of what the cloud takes.
 	known, _ := r.core.FleetSize()
 	pages := float64(known/cloud.ListPage + 1)
-	every := int64(max(minListS, r.n.set.Deployment.Cloud.ListLagS/2, listShare*pages/max(r.n.set.Deployment.Cloud.RPS, 0.1)) * 1e6)
+	every := int64(max(minListS, r.controller.settings.Deployment.Cloud.ListLagS/2, listShare*pages/max(r.controller.settings.Deployment.Cloud.RPS, 0.1)) * 1e6)
 	if now-r.lastListed < every {
 		return false
 	}
@@ -62,7 +62,7 @@
 		select {
 		case <-r.ctx.Done():
 			return
-		case f := <-r.cloudQ:
+		case f := <-r.cloudQueue:
 			f()
 		}
 	}
@@ -71,19 +71,19 @@
 var errNotMine = errors.New("the term may be another node's")
 
 func (r *leadership) cloudRound(returns []string, hires []wire.ScaleOutRequest, list bool) {
-	n := r.n
-	defer n.post(func() { r.busyCloud = false; n.dirty = true })
+	n := r.controller
+	defer n.postToOwner(func() { r.busyCloud = false; n.passPending = true })
 	for hosts := range slices.Chunk(returns, cloud.MaxReturn) {
 		r.giveBack(hosts)
 	}
-	r.hireAll(hires)
+	r.scaleOutAll(hires)
 	if list {
 		ms, err := n.cloud.List(r.ctx)
 		if err != nil {
 			n.log.Info("machine list", "err", err)
 			return
 		}
-		n.post(func() {
+		n.postToOwner(func() {
 			if n.leadership == r {
 				r.core.MachinesListed(ms, n.now())
 			}
@@ -94,12 +94,12 @@
 // giveBack returns machines, of which one request may name so many, and hands the core what
 // became of it.
 func (r *leadership) giveBack(hosts []string) {
-	n := r.n
+	n := r.controller
 	err := errNotMine
-	if r.mine() {
+	if r.holdsTerm() {
 		err = n.cloud.Return(r.ctx, hosts)
 	}
-	n.post(func() {
+	n.postToOwner(func() {
 		if n.leadership != r {
 			return
 		}
@@ -108,29 +108,29 @@
 		} else {
 			r.core.MachinesReturned(hosts, n.now())
 		}
-		n.dirty = true
+		n.passPending = true
 	})
 }
 
-// hireAll stores the names of a round's requests, in one write, and then asks for
+// scaleOutAll stores the names of a round's requests, in one write, and then asks for
 // the machines, side by side: none waits behind a slow answer to another.
-func (r *leadership) hireAll(hires []wire.ScaleOutRequest) {
+func (r *leadership) scaleOutAll(hires []wire.ScaleOutRequest) {
 	if len(hires) == 0 {
 		return
 	}
-	n := r.n
+	n := r.controller
 	key := hirePrefix + hires[0].RequestID
-	_, stored := n.state.Txn(r.ctx, wire.Txn{Conditions: []wire.Condition{r.termCond()}, Mutations: []wire.Mutation{{Put: key, Value: hires}}})
+	_, stored := n.store.Txn(r.ctx, wire.Txn{Conditions: []wire.Condition{r.termCondition()}, Mutations: []wire.Mutation{{Put: key, Value: hires}}})
 	var all sync.WaitGroup
 	for _, h := range hires {
 		all.Go(func() {
 			var hosts []string
 			err := stored
 			if err == nil {
-				hosts, err = r.hire(h)
+				hosts, err = r.scaleOut(h)
 			}
 			n.log.Info("hire", "type", h.Type, "zone", h.Zone, "spot", h.Spot, "count", h.Count, "got", len(hosts), "err", err)
-			n.post(func() {
+			n.postToOwner(func() {
 				if n.leadership != r {
 					return
 				}
@@ -143,12 +143,12 @@
 		})
 	}
 	all.Wait()
-	n.post(func() { r.tidy = append(r.tidy, key) })
+	n.postToOwner(func() { r.staleKeys = append(r.staleKeys, key) })
 }
 
-func (r *leadership) hire(h wire.ScaleOutRequest) ([]string, error) {
+func (r *leadership) scaleOut(h wire.ScaleOutRequest) ([]string, error) {
 	for i := 0; ; i++ {
-		hosts, err := r.n.cloud.Hire(r.ctx, h)
+		hosts, err := r.controller.cloud.Hire(r.ctx, h)
 		if err == nil || errors.Is(err, cloud.ErrNoCapacity) || i == 2 || r.ctx.Err() != nil {
 			return hosts, err
 		}
--- a/internal/controller/schedules.go
+++ b/internal/controller/schedules.go
@@ -20,12 +20,12 @@
 const maxNextLooks = 400
 
 // show makes what users see of a schedule.
-func (n *Node) showSchedule(name string, st *recurring.State, runs bool) wire.Schedule {
+func (n *Controller) showSchedule(name string, st *recurring.State, runs bool) wire.Schedule {
 	out := wire.Schedule{Name: name, Revision: st.Revision, Paused: st.Paused, Gone: st.Gone > 0, Ran: st.Ran, Missed: st.Missed, Skipped: st.Skipped}
 	if runs {
 		out.Runs = st.Runs
 	}
-	if s := n.cal.Find(name); s != nil {
+	if s := n.calendar.Find(name); s != nil {
 		out.Zone = s.Location.String()
 		after := time.UnixMicro(st.Upto)
 		if st.Upto == 0 {
@@ -46,15 +46,15 @@
 }
 
 // Schedules implements api.Calendars: the stored ones, by name, after the one given.
-func (n *Node) Schedules(ctx context.Context, after string) (wire.Schedules, error) {
+func (n *Controller) Schedules(ctx context.Context, after string) (wire.Schedules, error) {
 	out := wire.Schedules{Schedules: []wire.Schedule{}}
-	if n.cal == nil {
+	if n.calendar == nil {
 		return out, api.ErrUnknown
 	}
 	if after != "" {
 		after = scheduleKey(after)
 	}
-	page, err := n.state.Page(ctx, schedulePrefix, after, schedulesPage)
+	page, err := n.store.Page(ctx, schedulePrefix, after, schedulesPage)
 	if err != nil {
 		return out, api.ErrNotNow
 	}
@@ -69,24 +69,24 @@
 }
 
 // schedule reads the state of one.
-func (n *Node) schedule(ctx context.Context, name string) (st recurring.State, version uint64, err error) {
-	if n.cal == nil || name == "" || len(name) > 64 || strings.ContainsAny(name, "/ ") {
+func (n *Controller) schedule(ctx context.Context, name string) (st recurring.State, version uint64, err error) {
+	if n.calendar == nil || name == "" || len(name) > 64 || strings.ContainsAny(name, "/ ") {
 		return st, 0, api.ErrUnknown
 	}
-	e, found, err := n.state.Get(ctx, scheduleKey(name))
+	e, found, err := n.store.Get(ctx, scheduleKey(name))
 	switch {
 	case err != nil:
 		return st, 0, api.ErrNotNow
 	case found:
 		return st, e.Version, wire.Unmarshal(e.Value, &st)
-	case n.cal.Find(name) != nil:
+	case n.calendar.Find(name) != nil:
 		return st, 0, api.ErrNotNow // the leader has yet to take it up
 	}
 	return st, 0, api.ErrUnknown
 }
 
 // Schedule implements api.Calendars.
-func (n *Node) Schedule(ctx context.Context, name string) (wire.Schedule, error) {
+func (n *Controller) Schedule(ctx context.Context, name string) (wire.Schedule, error) {
 	st, _, err := n.schedule(ctx, name)
 	if err != nil {
 		return wire.Schedule{}, err
@@ -97,7 +97,7 @@
 // PauseSchedule implements api.Calendars. Any node may: the change is conditional on
 // what was read, and the leader's next decision, conditional on what it knows, is
 // refused and made anew.
-func (n *Node) PauseSchedule(ctx context.Context, name string, paused bool) (wire.Schedule, error) {
+func (n *Controller) PauseSchedule(ctx context.Context, name string, paused bool) (wire.Schedule, error) {
 	for range 5 {
 		st, version, err := n.schedule(ctx, name)
 		if err != nil {
@@ -105,7 +105,7 @@
 		}
 		if st.Paused != paused {
 			st.Paused = paused
-			_, err = n.state.Txn(ctx, wire.Txn{
+			_, err = n.store.Txn(ctx, wire.Txn{
 				Conditions: []wire.Condition{{Key: scheduleKey(name), Version: version}},
 				Mutations:  []wire.Mutation{{Put: scheduleKey(name), Value: st}},
 			})
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -28,27 +28,27 @@
 // time, while this node holds the term. Reads wait for this node's share of the state
 // service's limit, and between pages for more, so that users come first.
 func (r *leadership) snapshots(ctx context.Context) {
-	n := r.n
-	dir := n.set.Operator.SnapshotDir
+	n := r.controller
+	dir := n.settings.Operator.SnapshotDir
 	if dir == "" {
 		return
 	}
-	every := seconds(*n.set.Operator.SnapshotEvery)
-	store := paced{n.state, seconds(10 / n.set.Deployment.State.RPS)}
+	every := seconds(*n.settings.Operator.SnapshotEvery)
+	store := paced{n.store, seconds(10 / n.settings.Deployment.State.RPS)}
 	for rest := min(every, time.Minute); ; rest = every {
 		select {
 		case <-r.ctx.Done():
 			return
 		case <-time.After(rest):
 		}
-		if !n.state.Reachable(3*time.Second) || !n.awake() {
+		if !n.store.Reachable(3*time.Second) || !n.ranRecently() {
 			continue
 		}
 		began := time.Now()
 		snap, err := snapshot.Take(ctx, store, snapshot.All, Ephemeral, n.now)
 		path := ""
 		if err == nil {
-			path, err = snap.Save(dir, n.snapKey)
+			path, err = snap.Save(dir, n.snapshotKey)
 		}
 		if err != nil {
 			n.log.Warn("no snapshot was written", "err", err)
@@ -63,17 +63,17 @@
 
 func nothing(string) bool { return false }
 
-// copies stores what a takeover needs in the state service from time to time, so that
+// storeSnapshots stores what a takeover needs in the state service from time to time, so that
 // the next leader reads few long values instead of many short ones.
-func (r *leadership) copies(ctx context.Context) {
-	n := r.n
-	every := seconds(*n.set.Operator.TakeoverCopyS)
+func (r *leadership) storeSnapshots(ctx context.Context) {
+	n := r.controller
+	every := seconds(*n.settings.Operator.TakeoverCopyS)
 	if every <= 0 {
 		return
 	}
-	d := &n.set.Deployment.State
-	store := paced{n.state, seconds(10 / d.RPS)}
-	o := snapshot.StoreOptions{Term: r.termCond(), Ops: min(d.TxnOps, 4), Value: int(d.ValueKB * 1024),
+	d := &n.settings.Deployment.State
+	store := paced{n.store, seconds(10 / d.RPS)}
+	o := snapshot.StoreOptions{Term: r.termCondition(), Ops: min(d.TxnOps, 4), Value: int(d.ValueKB * 1024),
 		Pace: func(ctx context.Context, changes int) bool { // a twentieth of what the service takes
 			select {
 			case <-ctx.Done():
@@ -88,7 +88,7 @@
 			return
 		case <-time.After(every):
 		}
-		if !n.state.Reachable(3*time.Second) || !n.awake() {
+		if !n.store.Reachable(3*time.Second) || !n.ranRecently() {
 			continue
 		}
 		snap, err := snapshot.Take(ctx, store, copyPrefixes, nothing, n.now)
@@ -107,14 +107,14 @@
 // changed since, or nil: then everything is read, which comes to the same. What is
 // older than the term is never used, since the last leader may have written after it.
 func (r *leadership) loadCopy() *snapshot.Snapshot {
-	n := r.n
-	if *n.set.Operator.TakeoverCopyS <= 0 {
+	n := r.controller
+	if *n.settings.Operator.TakeoverCopyS <= 0 {
 		return nil
 	}
 	began := time.Now()
-	snap, err := snapshot.Load(r.ctx, n.state)
+	snap, err := snapshot.Load(r.ctx, n.store)
 	if err == nil {
-		err = snap.Follow(r.ctx, n.state, copyPrefixes, nothing, r.token)
+		err = snap.Follow(r.ctx, n.store, copyPrefixes, nothing, r.token)
 	}
 	if err != nil {
 		n.log.Info("everything is read", "err", err)
@@ -129,7 +129,7 @@
 	if copied != nil {
 		return copied.Entries(prefix), copied.Revision, nil
 	}
-	return r.n.state.List(r.ctx, prefix)
+	return r.controller.store.List(r.ctx, prefix)
 }
 
 // paced waits before each page.
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -50,13 +50,13 @@
 		}
 		svc.Set(termKey, termRecord{Node: "a", Mark: "a.1"})
 		e, _ := svc.Entry(termKey)
-		r := &leadership{n: n, token: e.Version, ctx: context.Background()}
+		r := &leadership{controller: n, token: e.Version, ctx: context.Background()}
 		if r.loadCopy() != nil {
 			t.Fatal("there is no copy yet")
 		}
 		snap, err := snapshot.Take(r.ctx, client, copyPrefixes, nothing, n.now)
 		if err == nil {
-			err = snap.Store(r.ctx, client, snapshot.StoreOptions{Term: r.termCond(), Ops: 4, Value: 200})
+			err = snap.Store(r.ctx, client, snapshot.StoreOptions{Term: r.termCondition(), Ops: 4, Value: 200})
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -118,11 +118,11 @@
 	}
 	svc.Set(termKey, termRecord{Node: "a", Mark: "a.1"})
 	e, _ := svc.Entry(termKey)
-	r := &leadership{n: n, token: e.Version, ctx: kvstore.Urgent(context.Background()), chunks: map[string]int{}}
+	r := &leadership{controller: n, token: e.Version, ctx: kvstore.Urgent(context.Background()), chunkCounts: map[string]int{}}
 	if copies {
-		snap, err := snapshot.Take(r.ctx, n.state, copyPrefixes, nothing, n.now)
+		snap, err := snapshot.Take(r.ctx, n.store, copyPrefixes, nothing, n.now)
 		if err == nil {
-			err = snap.Store(r.ctx, n.state, snapshot.StoreOptions{Term: r.termCond(), Ops: 4, Value: 16 << 10})
+			err = snap.Store(r.ctx, n.store, snapshot.StoreOptions{Term: r.termCondition(), Ops: 4, Value: 16 << 10})
 		}
 		if err != nil {
 			b.Fatal(err)
--- a/internal/controller/standstill_test.go
+++ b/internal/controller/stall_test.go
@@ -29,22 +29,22 @@
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		r := &leadership{n: n, token: 5, ctx: ctx, cancel: cancel, core: sched.New(n.set, 5, n.now(), wire.Catalog{}, func(string, ...any) {})}
-		n.leadership, n.leading, n.token = r, 5, 5
-		n.beat.Store(n.now() - 25*standstill)
-		if n.awake() || r.mine() {
+		r := &leadership{controller: n, token: 5, ctx: ctx, cancel: cancel, core: sched.New(n.settings, 5, n.now(), wire.Catalog{}, func(string, ...any) {})}
+		n.leadership, n.leadingToken, n.token = r, 5, 5
+		n.lastTurn.Store(n.now() - 25*stallThreshold)
+		if n.ranRecently() || r.holdsTerm() {
 			t.Errorf("%s: what woke before the owner goroutine may act", c.name)
 		}
-		n.woke()
+		n.detectStall()
 		rep := wire.Heartbeat{Host: "n-1", Type: "s", Zone: "x", Incarnation: 1, Sequence: 1, FencingToken: 5}
-		if _, ok := n.report(ctx, &rep); ok {
+		if _, ok := n.handleHeartbeat(ctx, &rep); ok {
 			t.Errorf("%s: a report was answered before the term was read", c.name)
 		}
-		if r.pass(); r.passes > 0 {
+		if r.schedule(); r.passes > 0 {
 			t.Errorf("%s: scheduled before the term was read", c.name)
 		}
-		(<-n.events)() // what reading the term leads to
-		if _, _, leading := n.view(); (leading == 5) != c.acts || (n.leadership == r) != c.acts {
+		(<-n.ownerQueue)() // what reading the term leads to
+		if _, _, leading := n.termView(); (leading == 5) != c.acts || (n.leadership == r) != c.acts {
 			t.Errorf("%s: acts under %d", c.name, leading)
 		}
 	}
@@ -65,9 +65,9 @@
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		r := &leadership{n: n, token: 5, ctx: ctx, cancel: cancel}
-		n.beat.Store(n.now())
-		if got := r.mine(); got != (code == 200) {
+		r := &leadership{controller: n, token: 5, ctx: ctx, cancel: cancel}
+		n.lastTurn.Store(n.now())
+		if got := r.holdsTerm(); got != (code == 200) {
 			t.Errorf("the service answers %d: may return machines %v", code, got)
 		}
 	}
@@ -78,16 +78,16 @@
 func TestSentPastSilentNodes(t *testing.T) {
 	n := testNode(t, func(http.ResponseWriter, *http.Request) {}, func(set *config.Settings) { set.Label = "c" })
 	now := time.Now()
-	n.peerAt = map[string]time.Time{"a": now, "b": now, "d": now.Add(-time.Minute), "e": now}
-	if to := n.another("e"); to != "a" {
+	n.peerSeenAt = map[string]time.Time{"a": now, "b": now, "d": now.Add(-time.Minute), "e": now}
+	if to := n.redirectTarget("e"); to != "a" {
 		t.Errorf("sent to %q past the silent d and the leader e", to)
 	}
-	if to := n.another("a"); to != "e" {
+	if to := n.redirectTarget("a"); to != "e" {
 		t.Errorf("sent to %q, not to the next that is alive", to)
 	}
 	sent := 0
 	for i := 0; i < 1000; i++ {
-		if n.another("a") != "" {
+		if n.redirectTarget("a") != "" {
 			sent++
 		}
 	}
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -62,61 +62,61 @@
 // endAs is an end as it is known from a final answer.
 func endAs(st wire.JobStatus) endRecord { return endRecord{Status: st.Status, Done: st.Done} }
 
-// remember keeps a final answer that any user may be given without asking anybody.
-func (n *Node) remember(st wire.JobStatus) {
+// rememberFinal keeps a final answer that any user may be given without asking anybody.
+func (n *Controller) rememberFinal(st wire.JobStatus) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if _, ok := n.finals[st.ID]; ok {
+	if _, ok := n.finalStatuses[st.ID]; ok {
 		return
 	}
-	if len(n.finalQ) >= maxRemember {
-		delete(n.finals, n.finalQ[0])
-		n.finalQ = n.finalQ[1:]
+	if len(n.finalOrder) >= maxRemember {
+		delete(n.finalStatuses, n.finalOrder[0])
+		n.finalOrder = n.finalOrder[1:]
 	}
-	n.finals[st.ID] = st
-	n.finalQ = append(n.finalQ, st.ID)
-	delete(n.known, st.ID)
+	n.finalStatuses[st.ID] = st
+	n.finalOrder = append(n.finalOrder, st.ID)
+	delete(n.knownJobs, st.ID)
 }
 
-func (n *Node) final(id string) (wire.JobStatus, bool) {
+func (n *Controller) rememberedFinal(id string) (wire.JobStatus, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	st, ok := n.finals[id]
+	st, ok := n.finalStatuses[id]
 	return st, ok
 }
 
-func (n *Node) knows(id string) bool {
+func (n *Controller) isKnown(id string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	_, ok := n.known[id]
+	_, ok := n.knownJobs[id]
 	return ok
 }
 
-func (n *Node) setKnown(id string) {
+func (n *Controller) setKnown(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.known) >= maxKnownJobs {
-		clear(n.known) // only costs one read more
+	if len(n.knownJobs) >= maxKnownJobs {
+		clear(n.knownJobs) // only costs one read more
 	}
-	n.known[id] = struct{}{}
+	n.knownJobs[id] = struct{}{}
 }
 
 // decodeEnd reads a stored end. One as done may be told at once.
-func (n *Node) decodeEnd(id string, v msgpack.RawMessage) (e endRecord, err error) {
+func (n *Controller) decodeEnd(id string, v msgpack.RawMessage) (e endRecord, err error) {
 	if err = wire.Unmarshal(v, &e); err == nil && e.Status == wire.JobDone {
-		n.remember(e.answer(id))
+		n.rememberFinal(e.answer(id))
 	}
 	return e, err
 }
 
 // Status implements api.Service. A non-final answer always rests on a fresh look at the
 // job's end: another node may have told the user of it a moment ago.
-func (n *Node) Status(ctx context.Context, id string) (wire.JobStatus, error) {
-	if st, ok := n.final(id); ok {
+func (n *Controller) Status(ctx context.Context, id string) (wire.JobStatus, error) {
+	if st, ok := n.rememberedFinal(id); ok {
 		return st, nil
 	}
-	v := n.look(ctx, id, n.knows(id))
-	if late, ok := n.final(id); ok {
+	v := n.lookUpJob(ctx, id, n.isKnown(id))
+	if late, ok := n.rememberedFinal(id); ok {
 		// The end came by another way while it was looked up. Asking once more
 		// whether the job is known would find it gone from the known ones, and
 		// an accepted job would get 404.
@@ -134,7 +134,7 @@
 		case err != nil:
 			return wire.JobStatus{}, api.ErrNotNow
 		case end.Status == wire.JobDone || !v.accepted:
-			n.remember(end.answer(id))
+			n.rememberFinal(end.answer(id))
 			return end.answer(id), nil
 		case !end.Untold:
 			return wire.JobStatus{}, api.ErrNotNow
@@ -147,15 +147,15 @@
 }
 
 // Submit implements api.Service: a job is accepted by creating its key, as any node may.
-func (n *Node) Submit(ctx context.Context, j *wire.Job) (wire.JobStatus, bool, error) {
-	if st, ok := n.final(j.ID); ok {
+func (n *Controller) Submit(ctx context.Context, j *wire.Job) (wire.JobStatus, bool, error) {
+	if st, ok := n.rememberedFinal(j.ID); ok {
 		return st, false, nil
 	}
-	if n.knows(j.ID) {
+	if n.isKnown(j.ID) {
 		st, err := n.Status(ctx, j.ID)
 		return st, false, err
 	}
-	cat, ok := n.types()
+	cat, ok := n.machineTypes()
 	if !ok {
 		return wire.JobStatus{}, false, api.ErrNotNow
 	}
@@ -169,13 +169,13 @@
 		return st, false, err
 	}
 	select {
-	case n.submits <- struct{}{}:
-		defer func() { <-n.submits }()
+	case n.submitSlots <- struct{}{}:
+		defer func() { <-n.submitSlots }()
 	default:
 		return wire.JobStatus{}, false, api.ErrOverload
 	}
 	rec := jobRecord{Job: *j, Arrival: n.now()}
-	if b, err := wire.Marshal(rec); err != nil || float64(len(b)) > 0.9*1024*n.set.Deployment.State.ValueKB {
+	if b, err := wire.Marshal(rec); err != nil || float64(len(b)) > 0.9*1024*n.settings.Deployment.State.ValueKB {
 		// Sizes count in the longer text form; no sensible job comes near.
 		return wire.JobStatus{}, false, fmt.Errorf("%w: too large to be stored", wire.ErrMalformed)
 	}
@@ -202,7 +202,7 @@
 
 // createEnd creates a job's end or returns the one that exists. An error means
 // that it isn't known whether there is an end.
-func (n *Node) createEnd(ctx context.Context, id, status string, done int, conds []wire.Condition) (endRecord, error) {
+func (n *Controller) createEnd(ctx context.Context, id, status string, done int, conds []wire.Condition) (endRecord, error) {
 	end := endRecord{Status: status, At: n.now(), Done: done, Untold: status == wire.JobCancelled}
 	st, err := n.unlessEnded(ctx, id, wire.Txn{
 		Conditions: append(slices.Clone(conds), wire.Condition{Key: endKey(id)}),
@@ -213,7 +213,7 @@
 		return endAs(st), nil
 	case err == nil:
 		if status == wire.JobDone {
-			n.remember(end.answer(id))
+			n.rememberFinal(end.answer(id))
 		}
 		return end, nil
 	case errors.Is(err, kvstore.ErrConflict), errors.Is(err, kvstore.ErrUnknown):
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -22,7 +22,7 @@
 
 // testNode is a node that holds no term, at a state service and a cloud that answer as h
 // does. Its settings are changed before the first goroutine reads them.
-func testNode(t testing.TB, h http.HandlerFunc, change ...func(*config.Settings)) *Node {
+func testNode(t testing.TB, h http.HandlerFunc, change ...func(*config.Settings)) *Controller {
 	t.Helper()
 	srv := httptest.NewServer(h)
 	t.Cleanup(srv.Close)
@@ -80,7 +80,7 @@
 // is looked up together, and every answer still rests on a read that began later.
 func TestPollsShareReads(t *testing.T) {
 	var reads atomic.Int64
-	var n *Node
+	var n *Controller
 	release := make(chan struct{})
 	n = testNode(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/multi" {
@@ -118,7 +118,7 @@
 			}
 		})
 	}
-	for int(reads.Load()) < lookupers || len(n.lookups) < users-lookupers*24 {
+	for int(reads.Load()) < lookupers || len(n.lookupQueue) < users-lookupers*24 {
 		runtime.Gosched()
 	}
 	close(release)
@@ -131,9 +131,9 @@
 // An end that the watch brings while a query reads it must not turn the query
 // into a 404, nor into an older answer.
 func TestEndDuringQuery(t *testing.T) {
-	var n *Node
+	var n *Controller
 	n = testNode(t, func(w http.ResponseWriter, r *http.Request) {
-		n.remember(wire.JobStatus{ID: "j-1", Status: wire.JobDone, Done: 3})
+		n.rememberFinal(wire.JobStatus{ID: "j-1", Status: wire.JobDone, Done: 3})
 		w.WriteHeader(http.StatusNotFound)
 		b, _ := wire.Marshal(map[string]int{"Epoch": 5})
 		_, _ = w.Write(b)
@@ -150,20 +150,20 @@
 func TestNotEntitled(t *testing.T) {
 	n := testNode(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
 	r := &wire.Heartbeat{Host: "n-1", Type: "s", Zone: "x", Incarnation: 1, Sequence: 1, FencingToken: 5}
-	if _, err := n.Report(context.Background(), r); err == nil {
+	if _, err := n.Heartbeat(context.Background(), r); err == nil {
 		t.Error("a node without a term answered 200")
 	}
-	n.heard(&peer.Heartbeat{From: "b", Leader: "b", Token: 5})
-	if token, ok := n.mayRenew(r); !ok || token != 5 {
+	n.recordTermOf(&peer.Heartbeat{From: "b", Leader: "b", Token: 5})
+	if token, ok := n.mayRenewLease(r); !ok || token != 5 {
 		t.Errorf("with a fresh grant: token %d, %v", token, ok)
 	}
 	r.FencingToken = 6 // somebody newer rules
-	if _, ok := n.mayRenew(r); ok {
+	if _, ok := n.mayRenewLease(r); ok {
 		t.Error("renewed although the worker has seen a higher token")
 	}
-	n.heard(&peer.Heartbeat{From: "c", Leader: "d", Token: 7})
+	n.recordTermOf(&peer.Heartbeat{From: "c", Leader: "d", Token: 7})
 	r.FencingToken = 5
-	if _, ok := n.mayRenew(r); ok {
+	if _, ok := n.mayRenewLease(r); ok {
 		t.Error("renewed under a grant that a higher token has ended")
 	}
 }
@@ -178,15 +178,15 @@
 		set.Deployment.Teams = []config.Team{{Name: "a"}}
 		set.Deployment.State.ValueKB = 16
 	})
-	n.submits = make(chan struct{}, 1)
-	n.takeCatalog(wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 4, Zones: []string{"x"}}}})
+	n.submitSlots = make(chan struct{}, 1)
+	n.setCatalog(wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 4, Zones: []string{"x"}}}})
 	submit := func(id string) error {
 		_, _, err := n.Submit(context.Background(), &wire.Job{ID: id, Team: "a", Shape: wire.Array, Tasks: 1, CPUs: 1})
 		return err
 	}
 	first := make(chan error)
 	go func() { first <- submit("j-1") }()
-	for len(n.submits) == 0 {
+	for len(n.submitSlots) == 0 {
 		runtime.Gosched()
 	}
 	if err := submit("j-2"); !errors.Is(err, api.ErrOverload) {
--- a/internal/simulation/answers_test.go
+++ b/internal/simulation/answers_test.go
@@ -235,7 +235,7 @@
 				}
 				c.until("cancelled, or done before", func() bool { c.step(); return wire.Final(u.put(withdraws, c.rng.IntN(3), id)) })
 				if chief := c.chief(); chief >= 0 {
-					c.nodes[chief].HandOver()
+					c.nodes[chief].TransferLeadership()
 				}
 			}
 			c.until("all jobs are done", c.allDone)
@@ -333,7 +333,7 @@
 		u.put(withdraws, (chief+1)%3, victim)
 		switch change % 3 {
 		case 0:
-			c.nodes[chief].HandOver()
+			c.nodes[chief].TransferLeadership()
 		case 1:
 			c.stop[chief]()
 			c.start(chief)
--- a/internal/simulation/node_test.go
+++ b/internal/simulation/controller_test.go
@@ -38,7 +38,7 @@
 	t     testing.TB
 	svc   *emulator.Services
 	addrs []string
-	nodes []*controller.Node
+	nodes []*controller.Controller
 	sets  []*config.Settings
 	stop  []func()                   // ends a node and waits for it
 	tasks map[string]wire.TaskStatus // of the one worker
--- a/internal/simulation/warm_test.go
+++ b/internal/simulation/warm_test.go
@@ -72,8 +72,8 @@
 	}
 	c.until("somebody else stands by", func() bool { c.report(third); s := c.standby(); return s >= 0 && s != stands })
 	c.until("the leader says so", func() bool { return c.leader(stands) })
-	c.nodes[third].HandOver() // it is not the leader: nothing happens
-	c.nodes[stands].HandOver()
+	c.nodes[third].TransferLeadership() // it is not the leader: nothing happens
+	c.nodes[stands].TransferLeadership()
 	c.until("the other one acts", func() bool { return c.leader(third) })
 }
 
