--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -178,8 +178,7 @@
 
 // notLimits are constants with such names that don't bound a size, a rate, a count or a buffer.
 var notLimits = map[string]string{
-	"sched.leastBoot":   "a share of a usual boot",
-	"sched.mostNeglect": "a time",
+	"sched.leastBoot": "a share of a usual boot",
 }
 
 // Each constant that bounds a number of something has its row.
--- a/internal/sched/quarantine.go
+++ b/internal/sched/quarantine.go
@@ -17,7 +17,7 @@
 func (j *job) isSuspect() bool { return j.completedCount == 0 && len(j.failedHosts) >= 2 }
 
 const (
-	maxFailureBackoff      = 60 * second
+	failureBackoffCap      = 60 * second
 	quarantineAfterJobs    = 2  // jobs that do well elsewhere and fail on a machine
 	quarantineAfterAnyJobs = 4  // jobs of any kind that fail on a machine on which nothing completes
 	suspectScaleOutDelayS  = 30 // seconds that a suspect's try may wait for room before it is rented
@@ -36,7 +36,7 @@
 	if j.completedCount > 0 || len(j.failedHosts) > 1 {
 		if c.now >= j.backoffUntil { // the tasks of one start fail together
 			j.failureRounds++
-			j.backoffUntil = c.now + min(maxFailureBackoff, second<<min(j.failureRounds, 6))
+			j.backoffUntil = c.now + min(failureBackoffCap, second<<min(j.failureRounds, 6))
 			c.log("job fails", "job", j.id, "class", j.spec.Class, "team", j.spec.Team, "machines", len(j.failedHosts), "times", j.failureRounds,
 				"suspect", j.isSuspect(), "pause_us", j.backoffUntil-c.now)
 		}
--- a/internal/sched/statistics.go
+++ b/internal/sched/statistics.go
@@ -158,7 +158,7 @@
 		if j := c.jobs[x.ID]; j != nil && j.completedCount == 0 && len(x.Hosts) == 2 && x.Hosts[0] != x.Hosts[1] {
 			j.failedHosts = map[string]bool{x.Hosts[0]: true, x.Hosts[1]: true}
 			j.failureRounds = max(0, x.Times)
-			j.backoffUntil = c.now + min(maxFailureBackoff, second<<min(j.failureRounds, 6))/2
+			j.backoffUntil = c.now + min(failureBackoffCap, second<<min(j.failureRounds, 6))/2
 		}
 	}
 	for _, x := range l.Teams {
