--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -202,17 +202,20 @@
 const (
 	maxReport    = 1 << 20  // bytes of a report; the protocol's limit is lower
 	maxHeader    = 16 << 10 // bytes of a request's header
-	otherSockets = 64       // of the socket budget, for the state service, cloud, workers and peers
+	otherSockets = 64       // of the socket budget, for the state service, cloud, peers and commands to workers
 	minConns     = 16       // connections of workers and users, whatever the budget is
 )
 
+// MaxConns is how many connections of workers and users may be open within a socket budget.
+func MaxConns(sockets int) int { return max(minConns, sockets-otherSockets) }
+
 // NewServer returns the HTTP server. It keeps open connections below the
 // socket budget by closing those that are idle when the budget runs short.
 func NewServer(h http.Handler, sockets int) *http.Server {
 	var mu sync.Mutex
 	idle := map[net.Conn]time.Time{}
 	open := 0
-	budget := max(minConns, sockets-otherSockets)
+	budget := MaxConns(sockets)
 	return &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: 5 * time.Second,
--- /dev/null
+++ b/internal/api/conns_test.go
@@ -0,0 +1,52 @@
+package api
+
+import (
+	"bufio"
+	"errors"
+	"net"
+	"net/http"
+	"os"
+	"testing"
+	"time"
+
+	"dalefront/wire"
+)
+
+// However many workers and users connect, no more connections stay open than may be: idle ones
+// are closed for new ones, which are served.
+func TestConnsWithinBudget(t *testing.T) {
+	const sockets = 100
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	srv := NewServer(Handler(&fake{}, http.NotFoundHandler()), sockets)
+	go func() { _ = srv.Serve(l) }()
+	t.Cleanup(func() { _ = srv.Close() })
+	var conns []net.Conn
+	for range 3 * sockets {
+		c, err := net.Dial("tcp", l.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+		_, _ = c.Write([]byte("GET " + wire.PathHealth + " HTTP/1.1\r\nHost: a\r\n\r\n"))
+		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		if err != nil {
+			t.Fatalf("after %d connections: %v", len(conns), err)
+		}
+		_ = resp.Body.Close()
+		conns = append(conns, c)
+		time.Sleep(time.Millisecond) // until the server knows that it is idle
+	}
+	open := 0
+	for _, c := range conns {
+		_ = c.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
+		if _, err := c.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
+			open++
+		}
+	}
+	if open != MaxConns(sockets) {
+		t.Errorf("%d connections are open, want %d of %d sockets", open, MaxConns(sockets), sockets)
+	}
+}
--- a/internal/node/largesite_test.go
+++ b/internal/node/largesite_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"dalefront/internal/api"
 	"dalefront/internal/cloud"
 	"dalefront/internal/sched"
 	"dalefront/wire"
@@ -106,3 +107,25 @@
 		t.Error("the round has not ended")
 	}
 }
+
+// Past the socket limit new connections fail, to the state service as well: with all connections
+// of workers and users taken, and as many unused ones to workers as are kept, the others still fit.
+func TestSocketsSuffice(t *testing.T) {
+	const (
+		stateService = 12 + 4 // requests and watches
+		cloudService = 4
+		peers        = 2 * 8 // of nine controllers, each way
+		listeners    = 2
+	)
+	for _, sockets := range []int{500, 800, 1_000, 2_722, 3_500} {
+		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
+			users := api.MaxConns(sockets - idleWorkers(sockets))
+			if all := users + idleWorkers(sockets) + senders(sockets) + stateService + cloudService + peers + listeners; all > sockets {
+				t.Errorf("%d sockets may be open, %d of them workers' and users'", all, users)
+			}
+			if users < sockets*4/5 {
+				t.Errorf("only %d are left for workers and users", users)
+			}
+		})
+	}
+}
--- a/internal/node/leadership.go
+++ b/internal/node/leadership.go
@@ -124,7 +124,7 @@
 	go r.snapshots(plain)
 	go r.copies(plain)
 	// A worker that is cut off holds a sender up for two seconds.
-	for range min(max(minSenders, n.set.Deployment.Resources.Sockets/socketsPerSender), maxSenders) {
+	for range senders(n.set.Deployment.Resources.Sockets) {
 		go r.sendDirects()
 	}
 	go r.runCloud()
@@ -394,6 +394,9 @@
 	tidyPart     = 6  // the same for a write that deletes what is of no more use
 )
 
+// senders is how many direct commands may be on their way at a time.
+func senders(sockets int) int { return min(max(minSenders, sockets/socketsPerSender), maxSenders) }
+
 // tick does what time brings: progress, tidying, the fleet. Owner goroutine.
 func (r *leadership) tick() {
 	n := r.n
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -114,6 +114,10 @@
 	sendOnBurst = 2
 )
 
+// idleWorkers is how many unused connections to workers are kept. Workers and users that connect
+// get the sockets that are left: past the limit this node could reach nobody.
+func idleWorkers(sockets int) int { return sockets / socketsPerIdle }
+
 // New returns a node; Run starts it.
 func New(set *config.Settings, log *slog.Logger) (*Node, error) {
 	d := &set.Deployment
@@ -122,7 +126,7 @@
 		set: set, log: log,
 		state:  state.New(set.Endpoints.State, d.State.RPS, d.State.WriteRPS, len(set.Members)+1),
 		cloud:  cloud.New(set.Endpoints.Cloud, d.Cloud.RPS, cloudShare),
-		worker: worker.New(d.Resources.Sockets / socketsPerIdle),
+		worker: worker.New(idleWorkers(d.Resources.Sockets)),
 		peers:  map[string]*peer.Client{},
 		start:  now, wall: now.UnixMicro(),
 		events: make(chan func(), max(minEvents, d.Resources.Sockets)),
@@ -176,8 +180,9 @@
 	if err != nil {
 		return err
 	}
-	srv := api.NewServer(api.Handler(n, n.metrics()), n.set.Deployment.Resources.Sockets)
-	rpc := peer.NewServer(n, n.set.Deployment.Resources.Sockets)
+	sockets := n.set.Deployment.Resources.Sockets
+	srv := api.NewServer(api.Handler(n, n.metrics()), sockets-idleWorkers(sockets))
+	rpc := peer.NewServer(n, sockets)
 	failed := make(chan error, 2)
 	go func() { failed <- srv.Serve(users) }()
 	go func() { failed <- rpc.Serve(mesh) }()
