--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -114,6 +114,10 @@
 	sendOnBurst = 2
 )
 
+// idleWorkers is how many unused connections to workers are kept. Workers and users that connect
+// get the sockets that are left: past the limit this controller could reach nobody.
+func idleWorkers(sockets int) int { return sockets / socketsPerIdle }
+
 // New returns a node; Run starts it.
 func New(set *config.Settings, log *slog.Logger) (*Controller, error) {
 	d := &set.Deployment
@@ -122,7 +126,7 @@
 		settings: set, log: log,
 		store:     kvstore.New(set.Endpoints.State, d.State.RPS, d.State.WriteRPS, len(set.Members)+1),
 		cloud:     cloud.New(set.Endpoints.Cloud, d.Cloud.RPS, cloudShare),
-		worker:    workerclient.New(d.Resources.Sockets / socketsPerIdle),
+		worker:    workerclient.New(idleWorkers(d.Resources.Sockets)),
 		peers:     map[string]*peer.Client{},
 		startedAt: now, startWallMicros: now.UnixMicro(),
 		ownerQueue: make(chan func(), max(minEvents, d.Resources.Sockets)),
@@ -178,8 +182,9 @@
 	if err != nil {
 		return err
 	}
-	srv := api.NewServer(api.Handler(n, n.metrics()), n.settings.Deployment.Resources.Sockets)
-	rpc := peer.NewServer(n, n.settings.Deployment.Resources.Sockets)
+	sockets := n.settings.Deployment.Resources.Sockets
+	srv := api.NewServer(api.Handler(n, n.metrics()), sockets-idleWorkers(sockets))
+	rpc := peer.NewServer(n, sockets)
 	failed := make(chan error, 2)
 	go func() { failed <- srv.Serve(users) }()
 	go func() { failed <- rpc.Serve(mesh) }()
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -124,7 +124,7 @@
 	go r.snapshots(plain)
 	go r.storeSnapshots(plain)
 	// A worker that is cut off holds a sender up for two seconds.
-	for range min(max(minSenders, n.settings.Deployment.Resources.Sockets/socketsPerSender), maxSenders) {
+	for range senders(n.settings.Deployment.Resources.Sockets) {
 		go r.sendDirectCommands()
 	}
 	go r.runCloud()
@@ -396,6 +396,9 @@
 	tidyPart     = 6  // the same for a write that deletes what is of no more use
 )
 
+// senders is how many direct commands may be on their way at a time.
+func senders(sockets int) int { return min(max(minSenders, sockets/socketsPerSender), maxSenders) }
+
 // tick does what time brings: progress, tidying, the fleet. Owner goroutine.
 func (r *leadership) tick() {
 	n := r.controller
