--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -24,33 +24,33 @@
 
 // Cancel implements api.Service. Done and cancelled share one key that is created once, so the
 // first one is final.
-func (n *Controller) Cancel(ctx context.Context, id string) (wire.JobStatus, error) {
-	st, err := n.Status(ctx, id)
+func (c *Controller) Cancel(ctx context.Context, id string) (wire.JobStatus, error) {
+	st, err := c.Status(ctx, id)
 	if err != nil || wire.Final(st.Status) {
 		return st, err
 	}
-	end, err := n.createEnd(ctx, id, wire.JobCancelled, st.Done, nil)
+	end, err := c.createEnd(ctx, id, wire.JobCancelled, st.Done, nil)
 	switch {
 	case err != nil:
 		return wire.JobStatus{}, api.ErrNotNow
 	case end.Status == wire.JobDone:
 		return end.answer(id), nil
 	}
-	return n.awaitRecordDeleted(ctx, id, end)
+	return c.awaitRecordDeleted(ctx, id, end)
 }
 
 // awaitRecordDeleted waits until a cancelled job's record is gone. An error means that it is not, or that
 // nobody can tell: the end stays in the state service, its tasks are being stopped, and the
 // user's repeat gets the answer.
-func (n *Controller) awaitRecordDeleted(ctx context.Context, id string, end endRecord) (wire.JobStatus, error) {
+func (c *Controller) awaitRecordDeleted(ctx context.Context, id string, end endRecord) (wire.JobStatus, error) {
 	select {
-	case n.cancelSlots <- struct{}{}:
-		defer func() { <-n.cancelSlots }()
+	case c.cancelSlots <- struct{}{}:
+		defer func() { <-c.cancelSlots }()
 	default:
 		return wire.JobStatus{}, api.ErrOverload
 	}
 	for pause := goneEvery; ; pause = min(2*pause, goneAtMost) {
-		v := n.lookUpJob(ctx, id, true)
+		v := c.lookUpJob(ctx, id, true)
 		switch {
 		case v.err != nil:
 			return wire.JobStatus{}, api.ErrNotNow
@@ -58,7 +58,7 @@
 			return v.st, nil
 		case v.ended && !v.accepted:
 			st := end.answer(id)
-			n.rememberFinal(st)
+			c.rememberFinal(st)
 			return st, nil
 		}
 		select {
@@ -72,34 +72,34 @@
 // deleteCancelled deletes the records of cancelled jobs whose tasks are gone, apart from the
 // other tidying, since their users wait for it. Without an answer it is done again: under one
 // term it comes to the same.
-func (r *leadership) deleteCancelled(keys []string) {
-	n := r.controller
-	err := r.deleteNow(keys)
+func (l *leadership) deleteCancelled(keys []string) {
+	c := l.controller
+	err := l.deleteNow(keys)
 	if err != nil {
-		sleepContext(r.ctx, goneEvery)
+		sleepContext(l.ctx, goneEvery)
 	}
-	n.postToOwner(func() {
-		r.busyCancelled = false
-		if n.leadership != r {
+	c.postToOwner(func() {
+		l.busyCancelled = false
+		if c.leadership != l {
 			return
 		}
 		if errors.Is(err, kvstore.ErrConflict) {
-			r.stepDown()
+			l.stepDown()
 			return
 		}
 		if err != nil {
-			r.cancelledRecords = append(r.cancelledRecords, keys...)
+			l.cancelledRecords = append(l.cancelledRecords, keys...)
 		}
-		n.passPending = n.passPending || len(r.cancelledRecords) > 0
+		c.passPending = c.passPending || len(l.cancelledRecords) > 0
 	})
 }
 
 // deleteNow deletes keys on condition of the term.
-func (r *leadership) deleteNow(keys []string) error {
-	txn := wire.Txn{Conditions: []wire.Condition{r.termCondition()}}
+func (l *leadership) deleteNow(keys []string) error {
+	txn := wire.Txn{Conditions: []wire.Condition{l.termCondition()}}
 	for _, k := range keys {
 		txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: k})
 	}
-	_, err := r.controller.store.Txn(r.ctx, txn)
+	_, err := l.controller.store.Txn(l.ctx, txn)
 	return err
 }
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -258,20 +258,20 @@
 }
 
 // PeerConfigStatus implements peer.Server.
-func (n *Controller) PeerConfigStatus(context.Context, *peer.ConfigStatusRequest) (*peer.ConfigStatusResponse, error) {
-	now := n.config.current()
-	return &peer.ConfigStatusResponse{Label: n.settings.Label, Known: now.known, Generation: now.number, Since: now.since, Unknown: now.unknown}, nil
+func (c *Controller) PeerConfigStatus(context.Context, *peer.ConfigStatusRequest) (*peer.ConfigStatusResponse, error) {
+	now := c.config.current()
+	return &peer.ConfigStatusResponse{Label: c.settings.Label, Known: now.known, Generation: now.number, Since: now.since, Unknown: now.unknown}, nil
 }
 
 // PeerConfigRead implements peer.Server.
-func (n *Controller) PeerConfigRead(ctx context.Context, q *peer.ConfigReadRequest) (*peer.ConfigReadResponse, error) {
-	s, _, err := n.config.read(ctx)
+func (c *Controller) PeerConfigRead(ctx context.Context, q *peer.ConfigReadRequest) (*peer.ConfigReadResponse, error) {
+	s, _, err := c.config.read(ctx)
 	if err != nil {
 		return &peer.ConfigReadResponse{Reason: err.Error()}, nil
 	}
 	a := &peer.ConfigReadResponse{Generation: s.Generation.Number, Documents: s.Documents()}
 	if q.History {
-		if a.History, err = n.config.history(ctx, s); err != nil {
+		if a.History, err = c.config.history(ctx, s); err != nil {
 			return &peer.ConfigReadResponse{Reason: err.Error()}, nil
 		}
 	}
--- a/internal/controller/configapply.go
+++ b/internal/controller/configapply.go
@@ -29,18 +29,18 @@
 var errEarlierVersion = errors.New("runs a version that knows no configuration at run time: update it first")
 
 // PeerConfigApply implements peer.Server.
-func (n *Controller) PeerConfigApply(ctx context.Context, ask *peer.ConfigApplyRequest) (*peer.ConfigApplyResponse, error) {
+func (c *Controller) PeerConfigApply(ctx context.Context, ask *peer.ConfigApplyRequest) (*peer.ConfigApplyResponse, error) {
 	ctx, cancel := context.WithTimeout(kvstore.Urgent(ctx), peer.ApplyLimit)
 	defer cancel()
 	if ask.ID == "" {
 		return &peer.ConfigApplyResponse{Outcome: peer.ConfigInvalid, Reason: "the apply has no name"}, nil
 	}
 	for i := range ask.Changes {
-		if err := dynconfig.Check(n.settings, &ask.Changes[i]); err != nil {
+		if err := dynconfig.Check(c.settings, &ask.Changes[i]); err != nil {
 			return &peer.ConfigApplyResponse{Outcome: peer.ConfigInvalid, Reason: err.Error()}, nil
 		}
 	}
-	a := &applier{n: n, ask: ask, q: &dynconfig.Request{ID: ask.ID, By: ask.By, Changes: ask.Changes, IfGeneration: ask.IfGeneration, At: n.now()}}
+	a := &applier{n: c, ask: ask, q: &dynconfig.Request{ID: ask.ID, By: ask.By, Changes: ask.Changes, IfGeneration: ask.IfGeneration, At: c.now()}}
 	return a.run(ctx), nil
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -166,51 +166,51 @@
 
 // now is the time of day at the start plus steady time since: intervals are
 // steady, and arrivals stored by other nodes can be compared within the bound.
-func (n *Controller) now() config.Micros {
-	return n.startWallMicros + time.Since(n.startedAt).Microseconds()
+func (c *Controller) now() config.Micros {
+	return c.startWallMicros + time.Since(c.startedAt).Microseconds()
 }
 
 // Run serves until the context ends or a listener fails.
-func (n *Controller) Run(ctx context.Context) error {
+func (c *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	users, err := net.Listen("tcp", n.settings.ServeOn)
+	users, err := net.Listen("tcp", c.settings.ServeOn)
 	if err != nil {
 		return err
 	}
-	mesh, err := net.Listen("tcp", n.settings.MeshAddr)
+	mesh, err := net.Listen("tcp", c.settings.MeshAddr)
 	if err != nil {
 		return err
 	}
-	sockets := n.settings.Deployment.Resources.Sockets
-	srv := api.NewServer(api.Handler(n, n.metrics()), sockets-idleWorkers(sockets))
-	rpc := peer.NewServer(n, sockets)
+	sockets := c.settings.Deployment.Resources.Sockets
+	srv := api.NewServer(api.Handler(c, c.metrics()), sockets-idleWorkers(sockets))
+	rpc := peer.NewServer(c, sockets)
 	failed := make(chan error, 2)
 	go func() { failed <- srv.Serve(users) }()
 	go func() { failed <- rpc.Serve(mesh) }()
-	go n.runOwner(ctx)
-	go n.refreshCatalog(ctx)
-	go n.electionLoop(ctx)
-	go n.probeStore(ctx)
-	go n.follower.follow(ctx)
-	go n.config.follow(ctx)
-	go n.follower.watchLeader(ctx)
-	go n.warmArchive(ctx)
-	pace := n.lookupPace()
+	go c.runOwner(ctx)
+	go c.refreshCatalog(ctx)
+	go c.electionLoop(ctx)
+	go c.probeStore(ctx)
+	go c.follower.follow(ctx)
+	go c.config.follow(ctx)
+	go c.follower.watchLeader(ctx)
+	go c.warmArchive(ctx)
+	pace := c.lookupPace()
 	for i := 0; i < lookupers; i++ {
-		go n.lookupLoop(ctx, pace)
+		go c.lookupLoop(ctx, pace)
 	}
-	for label, p := range n.peers {
-		go n.heartbeatPeer(ctx, label, p)
+	for label, p := range c.peers {
+		go c.heartbeatPeer(ctx, label, p)
 	}
-	n.log.Info("serving", "node", n.settings.Label, "users", n.settings.ServeOn, "mesh", n.settings.MeshAddr)
+	c.log.Info("serving", "node", c.settings.Label, "users", c.settings.ServeOn, "mesh", c.settings.MeshAddr)
 	select {
 	case <-ctx.Done():
 		_ = srv.Close()
 		rpc.Stop()
 		return nil
-	case <-n.drained:
-		n.shutDown(ctx, srv)
+	case <-c.drained:
+		c.shutDown(ctx, srv)
 		rpc.Stop()
 		return nil
 	case err := <-failed:
@@ -220,38 +220,38 @@
 
 // runOwner is the goroutine that owns the core. It schedules once events have
 // settled for a moment, so that a burst of reports leads to one pass.
-func (n *Controller) runOwner(ctx context.Context) {
+func (c *Controller) runOwner(ctx context.Context) {
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
-	work := &n.loopStats
+	work := &c.loopStats
 	settle := time.NewTimer(time.Hour)
 	defer settle.Stop()
 	armed := false
 	var took time.Duration
-	n.lastTurn.Store(n.now())
+	c.lastTurn.Store(c.now())
 	for {
-		n.lastTurn.Store(n.now())
+		c.lastTurn.Store(c.now())
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-n.ownerQueue:
-			n.detectStall()
+		case f := <-c.ownerQueue:
+			c.detectStall()
 			work.measure(loopEvents, f)
-			if n.passPending && !armed {
+			if c.passPending && !armed {
 				armed = true
 				settle.Reset(max(20*time.Millisecond, 3*took))
 			}
 		case <-settle.C:
-			n.detectStall()
+			c.detectStall()
 			armed = false
-			n.passPending = false
-			if n.leadership != nil {
-				took = min(work.measure(loopPasses, n.leadership.schedule), 100*time.Millisecond) // a small share of the processor
+			c.passPending = false
+			if c.leadership != nil {
+				took = min(work.measure(loopPasses, c.leadership.schedule), 100*time.Millisecond) // a small share of the processor
 			}
 		case <-tick.C:
-			n.detectStall()
-			if n.leadership != nil {
-				work.measure(loopTicks, n.leadership.tick)
+			c.detectStall()
+			if c.leadership != nil {
+				work.measure(loopTicks, c.leadership.tick)
 			}
 		}
 	}
@@ -263,7 +263,7 @@
 
 // ranRecently says whether the owner goroutine came by lately. After a standstill
 // whatever wakes first must not act for a term that another node may hold by now.
-func (n *Controller) ranRecently() bool { return n.now()-n.lastTurn.Load() < stallThreshold }
+func (c *Controller) ranRecently() bool { return c.now()-c.lastTurn.Load() < stallThreshold }
 
 // detectStall notices a standstill: it runs before anything else that a turn does, since
 // to this node everything timed looks overdue and all workers look silent.
@@ -277,10 +277,10 @@
 }
 
 // runOnOwner runs f on the owner goroutine and waits for it. A full queue is refused.
-func (n *Controller) runOnOwner(ctx context.Context, f func()) bool {
+func (c *Controller) runOnOwner(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
 	select {
-	case n.ownerQueue <- func() { f(); close(done) }:
+	case c.ownerQueue <- func() { f(); close(done) }:
 	default:
 		return false
 	}
@@ -294,7 +294,7 @@
 
 // postToOwner runs f on the owner goroutine later; results of I/O must not be lost, so
 // it waits for room.
-func (n *Controller) postToOwner(f func()) { n.ownerQueue <- f }
+func (c *Controller) postToOwner(f func()) { c.ownerQueue <- f }
 
 func (n *Controller) termView() (leader string, token, leading uint64) {
 	n.mu.Lock()
@@ -304,24 +304,24 @@
 
 // observeTerm takes what somebody says about the term. A higher token always wins:
 // if this node acted under a lower one, it steps down.
-func (n *Controller) observeTerm(leader string, token uint64) {
-	n.mu.Lock()
-	higher := token > n.token
+func (c *Controller) observeTerm(leader string, token uint64) {
+	c.mu.Lock()
+	higher := token > c.token
 	if higher {
-		n.token, n.leader = token, leader
-	} else if token == n.token && leader != "" {
-		n.leader = leader
+		c.token, c.leader = token, leader
+	} else if token == c.token && leader != "" {
+		c.leader = leader
 	}
-	deposed := n.leadingToken != 0 && token > n.leadingToken
+	deposed := c.leadingToken != 0 && token > c.leadingToken
 	if deposed {
-		n.leadingToken = 0
+		c.leadingToken = 0
 	}
-	n.mu.Unlock()
+	c.mu.Unlock()
 	if deposed {
-		n.log.Info("step down", "for", leader, "token", token)
-		n.postToOwner(func() {
-			if n.leadership != nil && n.leadership.token < token {
-				n.leadership.stepDown()
+		c.log.Info("step down", "for", leader, "token", token)
+		c.postToOwner(func() {
+			if c.leadership != nil && c.leadership.token < token {
+				c.leadership.stepDown()
 			}
 		})
 	}
@@ -330,13 +330,13 @@
 // refreshCatalog reads the machine types from the cloud, and prices again from
 // time to time. A node that starts while the cloud is in trouble uses the copy
 // that a leader stored: it must be able to take jobs all the same.
-func (n *Controller) refreshCatalog(ctx context.Context) {
+func (c *Controller) refreshCatalog(ctx context.Context) {
 	for wait := 300 * time.Millisecond; ; {
-		cat, err := n.cloud.Catalog(ctx)
+		cat, err := c.cloud.Catalog(ctx)
 		if err == nil && len(cat.Types) > 0 {
-			n.setCatalog(cat)
-			if _, _, leading := n.termView(); leading != 0 {
-				_, _ = n.store.Txn(ctx, wire.Txn{
+			c.setCatalog(cat)
+			if _, _, leading := c.termView(); leading != 0 {
+				_, _ = c.store.Txn(ctx, wire.Txn{
 					Conditions: []wire.Condition{{Key: termKey, Version: leading}},
 					Mutations:  []wire.Mutation{{Put: catalogKey, Value: cat}},
 				})
@@ -346,10 +346,10 @@
 			}
 		} else {
 			wait = min(2*wait, 3*time.Second)
-			if _, known := n.machineTypes(); !known {
-				e, found, serr := n.store.Get(ctx, catalogKey)
+			if _, known := c.machineTypes(); !known {
+				e, found, serr := c.store.Get(ctx, catalogKey)
 				if serr == nil && found && wire.Unmarshal(e.Value, &cat) == nil && len(cat.Types) > 0 {
-					n.setCatalog(cat)
+					c.setCatalog(cat)
 				}
 			}
 		}
@@ -361,29 +361,29 @@
 	}
 }
 
-func (n *Controller) setCatalog(cat wire.Catalog) {
-	n.mu.Lock()
-	n.catalog = &cat
-	n.mu.Unlock()
-	n.postToOwner(func() {
-		if n.leadership != nil {
-			n.leadership.core.SetCatalog(cat)
+func (c *Controller) setCatalog(cat wire.Catalog) {
+	c.mu.Lock()
+	c.catalog = &cat
+	c.mu.Unlock()
+	c.postToOwner(func() {
+		if c.leadership != nil {
+			c.leadership.core.SetCatalog(cat)
 		}
 	})
 }
 
-func (n *Controller) machineTypes() (wire.Catalog, bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.catalog == nil {
+func (c *Controller) machineTypes() (wire.Catalog, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.catalog == nil {
 		return wire.Catalog{}, false
 	}
-	return *n.catalog, true
+	return *c.catalog, true
 }
 
 // PeerRelay implements peer.Server.
-func (n *Controller) PeerRelay(ctx context.Context, r *peer.RelayRequest) (*peer.RelayResponse, error) {
-	a, ok := n.handleHeartbeat(ctx, &r.Report)
+func (c *Controller) PeerRelay(ctx context.Context, r *peer.RelayRequest) (*peer.RelayResponse, error) {
+	a, ok := c.handleHeartbeat(ctx, &r.Report)
 	if !ok {
 		return &peer.RelayResponse{Status: http.StatusMisdirectedRequest}, nil
 	}
@@ -391,22 +391,22 @@
 }
 
 // PeerCounts implements peer.Server.
-func (n *Controller) PeerCounts(ctx context.Context, c *peer.CountsRequest) (*peer.CountsResponse, error) {
-	return &peer.CountsResponse{Jobs: n.localCounts(ctx, c.JobIDs)}, nil
+func (c *Controller) PeerCounts(ctx context.Context, request *peer.CountsRequest) (*peer.CountsResponse, error) {
+	return &peer.CountsResponse{Jobs: c.localCounts(ctx, request.JobIDs)}, nil
 }
 
 // localCounts reads jobs' display counts from the core, if this node has it.
-func (n *Controller) localCounts(ctx context.Context, ids []string) (sts []wire.JobStatus) {
+func (c *Controller) localCounts(ctx context.Context, ids []string) (sts []wire.JobStatus) {
 	var out []wire.JobStatus
-	if _, _, leading := n.termView(); leading == 0 {
+	if _, _, leading := c.termView(); leading == 0 {
 		return nil
 	}
-	if n.runOnOwner(ctx, func() {
-		if n.leadership == nil {
+	if c.runOnOwner(ctx, func() {
+		if c.leadership == nil {
 			return
 		}
 		for _, id := range ids {
-			if s, done, running, ok := n.leadership.core.Counts(id); ok {
+			if s, done, running, ok := c.leadership.core.Counts(id); ok {
 				out = append(out, wire.JobStatus{ID: id, Status: s, Done: done, Running: running})
 			}
 		}
@@ -420,25 +420,25 @@
 // the term as far as it knows, and neither the worker nor a peer has shown a
 // higher token. While the state service is out of reach it goes on renewing
 // leases, since it starts nothing without it.
-func (n *Controller) handleHeartbeat(ctx context.Context, r *wire.Heartbeat) (a wire.HeartbeatResponse, ok bool) {
-	_, token, leading := n.termView()
+func (c *Controller) handleHeartbeat(ctx context.Context, r *wire.Heartbeat) (a wire.HeartbeatResponse, ok bool) {
+	_, token, leading := c.termView()
 	if r.FencingToken > token {
-		n.observeTerm("", r.FencingToken)
+		c.observeTerm("", r.FencingToken)
 	}
 	if leading == 0 || r.FencingToken > leading {
 		return a, false
 	}
 	var fresh chan []wire.Command
-	done := n.runOnOwner(ctx, func() {
-		if n.leadership == nil || n.leadership.stalledFor > 0 || ctx.Err() != nil {
+	done := c.runOnOwner(ctx, func() {
+		if c.leadership == nil || c.leadership.stalledFor > 0 || ctx.Err() != nil {
 			return
 		}
-		a, ok = n.leadership.core.Heartbeat(r, n.now()), true
-		hungry := n.leadership.core.WantsLaunches(r.Host)
-		n.passPending = n.passPending || hungry || n.leadership.core.TakePassNeeded()
-		if hungry && len(n.leadership.waiters) < n.maxWaiters() {
+		a, ok = c.leadership.core.Heartbeat(r, c.now()), true
+		hungry := c.leadership.core.WantsLaunches(r.Host)
+		c.passPending = c.passPending || hungry || c.leadership.core.TakePassNeeded()
+		if hungry && len(c.leadership.waiters) < c.maxWaiters() {
 			fresh = make(chan []wire.Command, 1)
-			n.leadership.waiters = append(n.leadership.waiters, waiter{r.Host, n.leadership.passes, fresh})
+			c.leadership.waiters = append(c.leadership.waiters, waiter{r.Host, c.leadership.passes, fresh})
 		}
 	})
 	if !ok || !done {
@@ -463,14 +463,14 @@
 		case <-ctx.Done():
 		}
 	}
-	_, _, leading = n.termView()
-	return a, leading == a.FencingToken && n.ranRecently()
+	_, _, leading = c.termView()
+	return a, leading == a.FencingToken && c.ranRecently()
 }
 
 // maxWaiters is how many reports may wait for launches at a time: each holds a socket
 // here or at a peer.
-func (n *Controller) maxWaiters() int {
-	return max(minWaiters, n.settings.Deployment.Resources.Sockets/2)
+func (c *Controller) maxWaiters() int {
+	return max(minWaiters, c.settings.Deployment.Resources.Sockets/2)
 }
 
 // waiter is a report whose answer waits a moment for launches.
@@ -484,25 +484,25 @@
 
 // Heartbeat implements api.Service: the leader answers itself, other nodes relay
 // to it, so that no worker has to find it.
-func (n *Controller) Heartbeat(ctx context.Context, r *wire.Heartbeat) (wire.HeartbeatResponse, error) {
-	n.recordWorkerContact(r.Host)
-	if a, ok := n.handleHeartbeat(ctx, r); ok {
+func (c *Controller) Heartbeat(ctx context.Context, r *wire.Heartbeat) (wire.HeartbeatResponse, error) {
+	c.recordWorkerContact(r.Host)
+	if a, ok := c.handleHeartbeat(ctx, r); ok {
 		return a, nil
 	}
-	leader, token, leading := n.termView()
-	if leading != 0 || leader == "" || leader == n.settings.Label || r.FencingToken > token {
+	leader, token, leading := c.termView()
+	if leading != 0 || leader == "" || leader == c.settings.Label || r.FencingToken > token {
 		return wire.HeartbeatResponse{}, api.ErrNotNow
 	}
-	p := n.peers[leader]
+	p := c.peers[leader]
 	if p == nil {
 		return wire.HeartbeatResponse{}, api.ErrNotNow
 	}
 	a, err := p.Relay(ctx, &peer.RelayRequest{Report: *r})
 	if err != nil {
-		if token, ok := n.mayRenewLease(r); ok {
+		if token, ok := c.mayRenewLease(r); ok {
 			return wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}, nil
 		}
-		if to := n.redirectTarget(leader); to != "" {
+		if to := c.redirectTarget(leader); to != "" {
 			return wire.HeartbeatResponse{}, api.Elsewhere{Node: to}
 		}
 		return wire.HeartbeatResponse{}, api.ErrNotNow
@@ -518,21 +518,21 @@
 // each that is silent; behind two such nodes its lease runs out. It bounds how many
 // are sent on, since they come back at once while nobody can act: a part of those that
 // report to this node, or a few at a small site.
-func (n *Controller) redirectTarget(but string) string {
-	if !n.redirectLimiter.Allow() {
+func (c *Controller) redirectTarget(but string) string {
+	if !c.redirectLimiter.Allow() {
 		return ""
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	first, next := "", ""
-	for label, at := range n.peerSeenAt {
+	for label, at := range c.peerSeenAt {
 		if label == but || time.Since(at) > 2500*time.Millisecond {
 			continue
 		}
 		if first == "" || label < first {
 			first = label
 		}
-		if label > n.settings.Label && (next == "" || label < next) {
+		if label > c.settings.Label && (next == "" || label < next) {
 			next = label
 		}
 	}
@@ -544,11 +544,11 @@
 
 // Ready implements api.Service: requests can be taken while the state service is in
 // reach and the machine types are known, unless the node is about to end.
-func (n *Controller) Ready() error {
-	switch _, ok := n.machineTypes(); {
-	case n.draining.Load():
+func (c *Controller) Ready() error {
+	switch _, ok := c.machineTypes(); {
+	case c.draining.Load():
 		return errors.New("draining: this controller is about to end")
-	case !n.store.Reachable(3 * time.Second):
+	case !c.store.Reachable(3 * time.Second):
 		return errors.New("the state service is out of reach")
 	case !ok:
 		return errors.New("the machine types are not known yet: the cloud has not answered")
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -29,8 +29,8 @@
 }
 
 // keepLease opens a lease and renews it until it ends for certain.
-func (n *Controller) keepLease(ctx context.Context, ttl time.Duration) (*lease, error) {
-	id, err := n.store.OpenLease(ctx, ttl)
+func (c *Controller) keepLease(ctx context.Context, ttl time.Duration) (*lease, error) {
+	id, err := c.store.OpenLease(ctx, ttl)
 	if err != nil {
 		return nil, err
 	}
@@ -42,7 +42,7 @@
 				return
 			case <-time.After(ttl / 4):
 			}
-			if err := n.store.RenewLease(ctx, id); errors.Is(err, kvstore.ErrNoLease) {
+			if err := c.store.RenewLease(ctx, id); errors.Is(err, kvstore.ErrNoLease) {
 				h.expired.Store(true)
 			}
 		}
@@ -68,10 +68,10 @@
 // at once instead of after the lease has run out. What was sent under it may still arrive, as
 // it may after any takeover: writes are conditional on the version that is replaced, launches
 // are in the ledger, and any word to workers carries the lower token.
-func (n *Controller) electionLoop(ctx context.Context) {
-	ttl := time.Duration(*n.settings.Operator.TermS * float64(time.Second))
-	for ctx.Err() == nil && !n.draining.Load() {
-		e, found, err := n.store.Get(ctx, termKey)
+func (c *Controller) electionLoop(ctx context.Context) {
+	ttl := time.Duration(*c.settings.Operator.TermS * float64(time.Second))
+	for ctx.Err() == nil && !c.draining.Load() {
+		e, found, err := c.store.Get(ctx, termKey)
 		if err != nil {
 			sleepContext(ctx, 400*time.Millisecond)
 			continue
@@ -80,50 +80,50 @@
 		if found {
 			var t termRecord
 			_ = wire.Unmarshal(e.Value, &t)
-			n.observeTerm(t.Node, e.Version)
-			if t.Node != n.settings.Label && !n.awaitTermRelease(ctx, e.Version) {
+			c.observeTerm(t.Node, e.Version)
+			if t.Node != c.settings.Label && !c.awaitTermRelease(ctx, e.Version) {
 				continue
 			}
 			left = e.Version
 		}
-		if _, ok := n.machineTypes(); !ok {
+		if _, ok := c.machineTypes(); !ok {
 			sleepContext(ctx, 50*time.Millisecond) // can't decide anything yet
 			continue
 		}
-		if wait := n.candidateDelay(); wait > 0 && left == 0 {
+		if wait := c.candidateDelay(); wait > 0 && left == 0 {
 			sleepContext(ctx, wait)
-			if _, found, err := n.store.Get(ctx, termKey); err != nil || found {
+			if _, found, err := c.store.Get(ctx, termKey); err != nil || found {
 				continue
 			}
 		}
-		if !n.follower.ready() && n.yieldsElection(ctx) {
+		if !c.follower.ready() && c.yieldsElection(ctx) {
 			if left != 0 {
 				// Nobody acts under it any more, and somebody else is to.
-				_, err := n.store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{{Key: termKey, Version: left}}, Mutations: []wire.Mutation{{Delete: termKey}}})
-				n.log.Info("gives up a term that an ended process has left", "token", left, "err", err)
+				_, err := c.store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{{Key: termKey, Version: left}}, Mutations: []wire.Mutation{{Delete: termKey}}})
+				c.log.Info("gives up a term that an ended process has left", "token", left, "err", err)
 			}
-			sleepContext(ctx, n.yieldDuration())
-			if _, found, err := n.store.Get(ctx, termKey); err != nil || found {
+			sleepContext(ctx, c.yieldDuration())
+			if _, found, err := c.store.Get(ctx, termKey); err != nil || found {
 				continue
 			}
 			left = 0
 		}
 		// A lease is opened only now: those of all the nodes that merely stand by
 		// would cost the service more requests than the term itself.
-		h, err := n.keepLease(ctx, ttl)
+		h, err := c.keepLease(ctx, ttl)
 		if err != nil {
 			sleepContext(ctx, 100*time.Millisecond)
 			continue
 		}
 		// The service never gives a lease's number twice, whatever the clocks say.
-		mark := fmt.Sprintf("%s.%d.%d", n.settings.Label, n.startWallMicros, h.id)
-		a, err := n.store.Txn(ctx, wire.Txn{
+		mark := fmt.Sprintf("%s.%d.%d", c.settings.Label, c.startWallMicros, h.id)
+		a, err := c.store.Txn(ctx, wire.Txn{
 			Conditions: []wire.Condition{{Key: termKey, Version: left}},
-			Mutations:  []wire.Mutation{{Put: termKey, Value: termRecord{Node: n.settings.Label, Mark: mark, ProcessID: n.processID, SupportsConfig: true}, Lease: h.id}},
+			Mutations:  []wire.Mutation{{Put: termKey, Value: termRecord{Node: c.settings.Label, Mark: mark, ProcessID: c.processID, SupportsConfig: true}, Lease: h.id}},
 		})
 		token := a.Revision
 		if errors.Is(err, kvstore.ErrUnknown) {
-			e, found, rerr := n.store.Get(ctx, termKey)
+			e, found, rerr := c.store.Get(ctx, termKey)
 			var t termRecord
 			if rerr == nil && found && wire.Unmarshal(e.Value, &t) == nil && t.Mark == mark {
 				token, err = e.Version, nil
@@ -134,11 +134,11 @@
 			sleepContext(ctx, 100*time.Millisecond)
 			continue
 		}
-		n.log.Info("term taken", "node", n.settings.Label, "token", token, "replaced", left)
-		n.lead(ctx, token, h)
+		c.log.Info("term taken", "node", c.settings.Label, "token", token, "replaced", left)
+		c.lead(ctx, token, h)
 		h.expired.Store(true) // a term's lease is not used again
-		_ = n.store.EndLease(ctx, h.id)
-		if n.hasResigned(token) {
+		_ = c.store.EndLease(ctx, h.id)
+		if c.hasResigned(token) {
 			sleepContext(ctx, 15*time.Second)
 		}
 	}
@@ -146,7 +146,7 @@
 
 // awaitTermRelease returns once the term key may have changed since the version, or with true once
 // the process that took the term is taken for ended: then it may be replaced.
-func (n *Controller) awaitTermRelease(ctx context.Context, version uint64) bool {
+func (c *Controller) awaitTermRelease(ctx context.Context, version uint64) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	changed := make(chan struct{})
@@ -154,7 +154,7 @@
 	go func() {
 		defer close(changed)
 		for from := version; ctx.Err() == nil && time.Now().Before(deadline); {
-			ev, err := n.store.Changes(ctx, termKey, from, 4*time.Second)
+			ev, err := c.store.Changes(ctx, termKey, from, 4*time.Second)
 			if err != nil {
 				select {
 				case <-ctx.Done():
@@ -172,7 +172,7 @@
 		select {
 		case <-changed:
 			return false
-		case v := <-n.follower.replace:
+		case v := <-c.follower.replace:
 			if v == version {
 				return true
 			}
@@ -182,14 +182,14 @@
 
 // probeStore asks the state service now and then when nothing else has: whether this
 // node is healthy, and may use a grant, goes by what the service last answered.
-func (n *Controller) probeStore(ctx context.Context) {
+func (c *Controller) probeStore(ctx context.Context) {
 	const every = 800 * time.Millisecond
 	for ctx.Err() == nil {
-		if !n.store.Reachable(every) {
-			if e, found, err := n.store.Get(kvstore.Urgent(ctx), termKey); err == nil && found {
+		if !c.store.Reachable(every) {
+			if e, found, err := c.store.Get(kvstore.Urgent(ctx), termKey); err == nil && found {
 				var t termRecord
 				_ = wire.Unmarshal(e.Value, &t)
-				n.observeTerm(t.Node, e.Version)
+				c.observeTerm(t.Node, e.Version)
 			}
 		}
 		select {
--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -104,10 +104,10 @@
 }
 
 // standbyRank is this node's place among those that stand by, -1 if it is none.
-func (n *Controller) standbyRank() int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.standbyView.Rank(n.settings.Label)
+func (c *Controller) standbyRank() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.standbyView.Rank(c.settings.Label)
 }
 
 // follow keeps a copy of the stored state while this node stands by.
@@ -303,13 +303,13 @@
 }
 
 // publishStandbys chooses who stands by, once a second. Owner goroutine.
-func (r *leadership) publishStandbys() {
-	n := r.controller
-	count := *n.settings.Operator.Standbys
-	now := n.now()
-	members := make([]standby.Member, 0, len(n.settings.Members))
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (l *leadership) publishStandbys() {
+	c := l.controller
+	count := *c.settings.Operator.Standbys
+	now := c.now()
+	members := make([]standby.Member, 0, len(c.settings.Members))
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	clock := time.Now()
 	ago := func(at time.Time) standby.Micros {
 		if at.IsZero() {
@@ -317,43 +317,43 @@
 		}
 		return max(1, now-time.Since(at).Microseconds())
 	}
-	for _, m := range n.settings.Members {
-		x := standby.Member{Label: m.Label, Zone: m.Zone, Heard: ago(n.peerSeenAt[m.Label]), Unfit: ago(n.peerUnfitAt[m.Label])}
-		if s := n.peerProcesses[m.Label]; s != nil {
+	for _, m := range c.settings.Members {
+		x := standby.Member{Label: m.Label, Zone: m.Zone, Heard: ago(c.peerSeenAt[m.Label]), Unfit: ago(c.peerUnfitAt[m.Label])}
+		if s := c.peerProcesses[m.Label]; s != nil {
 			x.Ends = s.recentRestarts(clock)
 		}
 		members = append(members, x)
 	}
-	old := n.standbyView
-	if old.Token != r.token {
-		old = standby.View{Token: r.token, Number: old.Number, Standbys: old.Standbys}
+	old := c.standbyView
+	if old.Token != l.token {
+		old = standby.View{Token: l.token, Number: old.Number, Standbys: old.Standbys}
 	}
-	how := standby.Choosing{Zone: n.settings.Zone, Count: count, Silent: 5_000_000, Rest: 30_000_000}
+	how := standby.Choosing{Zone: c.settings.Zone, Count: count, Silent: 5_000_000, Rest: 30_000_000}
 	next, changed := how.Choose(old, members, now)
-	n.standbyView = next
+	c.standbyView = next
 	if changed {
-		n.log.Info("who stands by", "standbys", fmt.Sprint(next.Standbys), "number", next.Number)
+		c.log.Info("who stands by", "standbys", fmt.Sprint(next.Standbys), "number", next.Number)
 	}
 }
 
 // acceptStandbyView takes a view that a hello brought. The lock is held.
-func (n *Controller) acceptStandbyView(h *peer.Heartbeat) {
-	if h.StandbyView != nil && n.leadingToken == 0 && len(h.StandbyView.Standbys) <= len(n.settings.Members)+1 && h.StandbyView.Newer(&n.standbyView) {
-		n.standbyView = *h.StandbyView
+func (c *Controller) acceptStandbyView(h *peer.Heartbeat) {
+	if h.StandbyView != nil && c.leadingToken == 0 && len(h.StandbyView.Standbys) <= len(c.settings.Members)+1 && h.StandbyView.Newer(&c.standbyView) {
+		c.standbyView = *h.StandbyView
 	}
 }
 
 // candidateDelay is how long this node lets those go first that stand by warm, or before it.
-func (n *Controller) candidateDelay() time.Duration {
+func (c *Controller) candidateDelay() time.Duration {
 	const each = 60 * time.Millisecond
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	before := 0
-	for _, label := range n.standbyView.Standbys {
-		if label == n.settings.Label {
+	for _, label := range c.standbyView.Standbys {
+		if label == c.settings.Label {
 			break
 		}
-		if time.Since(n.peerSeenAt[label]) < 2*time.Second {
+		if time.Since(c.peerSeenAt[label]) < 2*time.Second {
 			before++
 		}
 	}
@@ -483,16 +483,16 @@
 }
 
 // reachesProcess answers whether this node reaches a process of another one.
-func (n *Controller) reachesProcess(ctx context.Context, label string, born uint64) bool {
-	if label == n.settings.Label {
-		return n.processID == born
+func (c *Controller) reachesProcess(ctx context.Context, label string, born uint64) bool {
+	if label == c.settings.Label {
+		return c.processID == born
 	}
-	p := n.peers[label]
+	p := c.peers[label]
 	if p == nil {
 		return false
 	}
 	p.ResetBackoff()
-	a, err := p.Probe(ctx, n.newHeartbeat())
+	a, err := p.Probe(ctx, c.newHeartbeat())
 	return err == nil && a.ProcessID == born
 }
 
--- a/internal/controller/instability.go
+++ b/internal/controller/instability.go
@@ -39,16 +39,16 @@
 
 // recordPeerProcess takes which process of a peer said hello, and is how often the peer was
 // started anew lately.
-func (n *Controller) recordPeerProcess(label string, born uint64, now time.Time) int {
-	if born == 0 || n.peers[label] == nil {
+func (c *Controller) recordPeerProcess(label string, born uint64, now time.Time) int {
+	if born == 0 || c.peers[label] == nil {
 		return 0
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	s := n.peerProcesses[label]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.peerProcesses[label]
 	if s == nil {
 		s = &peerProcess{}
-		n.peerProcesses[label] = s
+		c.peerProcesses[label] = s
 	}
 	if s.id != 0 && s.id != born && len(s.restarts) < maxCountedRestarts {
 		s.restarts = append(s.restarts, now)
@@ -58,35 +58,35 @@
 }
 
 // recordOwnRestarts takes how often a peer saw this node started anew lately.
-func (n *Controller) recordOwnRestarts(ends int) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.peerAnswers++
-	if ends = min(ends, maxCountedRestarts); ends > 0 && ends >= n.ownRestarts {
-		n.ownRestarts, n.ownRestartsAt = ends, time.Now()
+func (c *Controller) recordOwnRestarts(ends int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.peerAnswers++
+	if ends = min(ends, maxCountedRestarts); ends > 0 && ends >= c.ownRestarts {
+		c.ownRestarts, c.ownRestartsAt = ends, time.Now()
 	}
 }
 
 // yieldsElection says whether this node lets others go first: it has ended often lately, and one
 // that has not is there. A process that has just begun waits a moment to hear of it.
-func (n *Controller) yieldsElection(ctx context.Context) bool {
+func (c *Controller) yieldsElection(ctx context.Context) bool {
 	heard := func() bool {
-		n.mu.Lock()
-		defer n.mu.Unlock()
-		return n.peerAnswers > 0
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		return c.peerAnswers > 0
 	}
-	for !heard() && len(n.peers) > 0 && time.Since(n.startedAt) < firstHeartbeatsWait && ctx.Err() == nil {
+	for !heard() && len(c.peers) > 0 && time.Since(c.startedAt) < firstHeartbeatsWait && ctx.Err() == nil {
 		time.Sleep(5 * time.Millisecond)
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	if n.ownRestarts < yieldFromRestarts || now.Sub(n.ownRestartsAt) > restartWindow {
+	if c.ownRestarts < yieldFromRestarts || now.Sub(c.ownRestartsAt) > restartWindow {
 		return false
 	}
-	for label, at := range n.peerSeenAt {
-		s := n.peerProcesses[label]
-		if now.Sub(at) < 2*time.Second && (s == nil || s.recentRestarts(now) < n.ownRestarts) {
+	for label, at := range c.peerSeenAt {
+		s := c.peerProcesses[label]
+		if now.Sub(at) < 2*time.Second && (s == nil || s.recentRestarts(now) < c.ownRestarts) {
 			return true
 		}
 	}
@@ -94,8 +94,8 @@
 }
 
 // yieldDuration is for how long.
-func (n *Controller) yieldDuration() time.Duration {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return time.Duration(n.ownRestarts) * yieldPerRestart
+func (c *Controller) yieldDuration() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return time.Duration(c.ownRestarts) * yieldPerRestart
 }
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -16,12 +16,12 @@
 // Jobs implements api.JobLists, from the stored jobs: any node can, and what it names
 // was accepted and had not ended when it was read. Counts are the leader's; without
 // it jobs are shown as queued.
-func (n *Controller) Jobs(ctx context.Context, after string, f wire.JobFilter) (wire.JobList, error) {
+func (c *Controller) Jobs(ctx context.Context, after string, f wire.JobFilter) (wire.JobList, error) {
 	out := wire.JobList{Jobs: []wire.JobSummary{}}
 	if after != "" {
 		after = jobKey(after)
 	}
-	page, err := n.store.Page(ctx, jobPrefix, after, jobsPage)
+	page, err := c.store.Page(ctx, jobPrefix, after, jobsPage)
 	if err != nil {
 		return out, api.ErrNotNow
 	}
@@ -29,11 +29,11 @@
 	for _, e := range page.Items {
 		ids = append(ids, strings.TrimPrefix(e.Key, jobPrefix))
 	}
-	over, err := n.haveEnded(ctx, ids)
+	over, err := c.haveEnded(ctx, ids)
 	if err != nil {
 		return out, api.ErrNotNow
 	}
-	counts := n.countsOf(ctx, ids)
+	counts := c.countsOf(ctx, ids)
 	for i, e := range page.Items {
 		var rec jobRecord
 		if over[ids[i]] || wire.Unmarshal(e.Value, &rec) != nil {
@@ -56,12 +56,12 @@
 }
 
 // haveEnded tells which of some jobs have an end of their own.
-func (n *Controller) haveEnded(ctx context.Context, ids []string) (map[string]bool, error) {
+func (c *Controller) haveEnded(ctx context.Context, ids []string) (map[string]bool, error) {
 	keys := make([]string, len(ids))
 	for i, id := range ids {
 		keys[i] = endKey(id)
 	}
-	there, err := kvstore.Existing(ctx, n.store, keys, n.settings.Deployment.State.TxnOps)
+	there, err := kvstore.Existing(ctx, c.store, keys, c.settings.Deployment.State.TxnOps)
 	over := make(map[string]bool, len(there))
 	for k := range there {
 		over[strings.TrimPrefix(k, endPrefix)] = true
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -67,64 +67,64 @@
 )
 
 // hasResigned says whether this node gave up the term of a token by itself.
-func (n *Controller) hasResigned(token uint64) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.resignedToken == token
+func (c *Controller) hasResigned(token uint64) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.resignedToken == token
 }
 
 // lead loads the stored state and acts as leader until the term is lost.
-func (n *Controller) lead(ctx context.Context, token uint64, h *lease) {
+func (c *Controller) lead(ctx context.Context, token uint64, h *lease) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	plain := ctx
 	ctx = kvstore.Urgent(ctx)
-	r := &leadership{controller: n, token: token, lease: h, ctx: ctx, cancel: cancel, chunkCounts: map[string]int{}, chunkVersions: map[string]uint64{},
-		directCommands: make(chan sched.DirectCommand, max(minDirects, n.settings.Deployment.Resources.Sockets/4)), cloudQueue: make(chan func(), cloudQueue)}
-	n.observeTerm(n.settings.Label, token)
+	r := &leadership{controller: c, token: token, lease: h, ctx: ctx, cancel: cancel, chunkCounts: map[string]int{}, chunkVersions: map[string]uint64{},
+		directCommands: make(chan sched.DirectCommand, max(minDirects, c.settings.Deployment.Resources.Sockets/4)), cloudQueue: make(chan func(), cloudQueue)}
+	c.observeTerm(c.settings.Label, token)
 	for {
 		if h.expired.Load() || ctx.Err() != nil {
 			return
 		}
-		if _, top, _ := n.termView(); top > token {
+		if _, top, _ := c.termView(); top > token {
 			return
 		}
 		err := r.load()
 		if err == nil {
 			break
 		}
-		n.log.Info("loading failed, trying again", "err", err)
+		c.log.Info("loading failed, trying again", "err", err)
 		time.Sleep(200 * time.Millisecond)
 	}
 	installed := make(chan bool, 1)
-	n.postToOwner(func() {
-		n.mu.Lock()
-		ok := n.token == token
+	c.postToOwner(func() {
+		c.mu.Lock()
+		ok := c.token == token
 		if ok {
-			n.leadingToken = token
-			n.leader = n.settings.Label
+			c.leadingToken = token
+			c.leader = c.settings.Label
 		}
-		n.mu.Unlock()
+		c.mu.Unlock()
 		if ok {
-			n.leadership = r
-			n.config.configureCore() // it may have changed while the state was loaded
-			n.passPending = true
+			c.leadership = r
+			c.config.configureCore() // it may have changed while the state was loaded
+			c.passPending = true
 		}
 		installed <- ok
 	})
 	if !<-installed {
 		return
 	}
-	n.log.Info("acting as leader", "token", token)
-	for _, p := range n.peers {
-		go func() { _, _ = p.Heartbeat(ctx, n.newHeartbeat()) }()
+	c.log.Info("acting as leader", "token", token)
+	for _, p := range c.peers {
+		go func() { _, _ = p.Heartbeat(ctx, c.newHeartbeat()) }()
 	}
 	go r.watch()
 	go r.compact(plain)
 	go r.snapshots(plain)
 	go r.storeSnapshots(plain)
 	// A worker that is cut off holds a sender up for two seconds.
-	for range senders(n.settings.Deployment.Resources.Sockets) {
+	for range senders(c.settings.Deployment.Resources.Sockets) {
 		go r.sendDirectCommands()
 	}
 	go r.runCloud()
@@ -137,9 +137,9 @@
 			if !h.expired.Load() {
 				continue
 			}
-			n.log.Info("term lost", "token", token)
+			c.log.Info("term lost", "token", token)
 		}
-		n.postToOwner(func() { r.stepDown() })
+		c.postToOwner(func() { r.stepDown() })
 		<-ctx.Done()
 		return
 	}
@@ -148,35 +148,35 @@
 // suspend stops all acting after a standstill until the term was read again: in
 // the meantime another node may have taken it, and reports, returns and silences
 // seen from here are as old as the gap. Owner goroutine.
-func (r *leadership) suspend(gap int64) {
-	n := r.controller
-	before := r.stalledFor
-	r.stalledFor += gap
-	n.mu.Lock()
-	if n.leadingToken == r.token {
-		n.leadingToken = 0
-	}
-	n.mu.Unlock()
-	n.log.Info("stood still", "for_us", gap, "token", r.token)
+func (l *leadership) suspend(gap int64) {
+	c := l.controller
+	before := l.stalledFor
+	l.stalledFor += gap
+	c.mu.Lock()
+	if c.leadingToken == l.token {
+		c.leadingToken = 0
+	}
+	c.mu.Unlock()
+	c.log.Info("stood still", "for_us", gap, "token", l.token)
 	if before == 0 {
-		go r.confirmTerm()
+		go l.confirmTerm()
 	}
 }
 
 // confirmTerm reads the term. While the state service is out of reach nobody can have
 // taken it, unless it is out of reach for this node alone; peers that know better
 // say so within their hello, and until the service answers nothing is started.
-func (r *leadership) confirmTerm() {
-	n := r.controller
-	for tries := 0; r.ctx.Err() == nil; tries++ {
-		e, found, err := n.store.Get(r.ctx, termKey)
+func (l *leadership) confirmTerm() {
+	c := l.controller
+	for tries := 0; l.ctx.Err() == nil; tries++ {
+		e, found, err := c.store.Get(l.ctx, termKey)
 		switch {
-		case err == nil && (!found || e.Version != r.token):
-			n.log.Info("term lost", "token", r.token)
-			n.postToOwner(func() { r.stepDown() })
+		case err == nil && (!found || e.Version != l.token):
+			c.log.Info("term lost", "token", l.token)
+			c.postToOwner(func() { l.stepDown() })
 			return
 		case err == nil || tries >= 12:
-			n.postToOwner(r.resume)
+			c.postToOwner(l.resume)
 			return
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -184,80 +184,80 @@
 }
 
 // resume goes on after a standstill. Owner goroutine.
-func (r *leadership) resume() {
-	n := r.controller
-	if n.leadership != r {
+func (l *leadership) resume() {
+	c := l.controller
+	if c.leadership != l {
 		return
 	}
-	n.mu.Lock()
-	if n.token == r.token {
-		n.leadingToken = r.token
+	c.mu.Lock()
+	if c.token == l.token {
+		c.leadingToken = l.token
 	}
-	n.mu.Unlock()
-	r.core.ResumeAfterStall(r.stalledFor, n.now())
-	r.stalledFor = 0
-	n.passPending = true
+	c.mu.Unlock()
+	l.core.ResumeAfterStall(l.stalledFor, c.now())
+	l.stalledFor = 0
+	c.passPending = true
 }
 
 // holdsTerm says whether the state service has just confirmed that the term is this node's: what
 // is said to the cloud is, unlike what is stored, not conditional on it. A node that the
 // service refuses alone may have been replaced, and a machine that it takes for silent may
 // work for the next leader.
-func (r *leadership) holdsTerm() bool {
-	n := r.controller
-	if r.ctx.Err() != nil || !n.ranRecently() {
+func (l *leadership) holdsTerm() bool {
+	c := l.controller
+	if l.ctx.Err() != nil || !c.ranRecently() {
 		return false
 	}
-	_, err := n.store.Txn(r.ctx, wire.Txn{Conditions: []wire.Condition{r.termCondition()}})
+	_, err := c.store.Txn(l.ctx, wire.Txn{Conditions: []wire.Condition{l.termCondition()}})
 	if errors.Is(err, kvstore.ErrConflict) {
-		n.postToOwner(func() { r.stepDown() })
+		c.postToOwner(func() { l.stepDown() })
 	}
-	return err == nil && n.ranRecently()
+	return err == nil && c.ranRecently()
 }
 
 // stepDown stops acting. It runs on the owner goroutine.
-func (r *leadership) stepDown() {
-	n := r.controller
-	if n.leadership == r {
-		n.leadership = nil
-	}
-	n.mu.Lock()
-	if n.leadingToken == r.token {
-		n.leadingToken = 0
-	}
-	n.gauges = gauges{}
-	n.mu.Unlock()
-	r.cancel()
+func (l *leadership) stepDown() {
+	c := l.controller
+	if c.leadership == l {
+		c.leadership = nil
+	}
+	c.mu.Lock()
+	if c.leadingToken == l.token {
+		c.leadingToken = 0
+	}
+	c.gauges = gauges{}
+	c.mu.Unlock()
+	l.cancel()
 }
 
 // termCondition makes a transaction fail once another node holds the term.
-func (r *leadership) termCondition() wire.Condition {
-	return wire.Condition{Key: termKey, Version: r.token}
+func (l *leadership) termCondition() wire.Condition {
+	return wire.Condition{Key: termKey, Version: l.token}
 }
 
-func (r *leadership) jobEnded(id string, value []byte) {
-	if rec, err := r.controller.decodeEnd(id, value); err == nil {
-		r.core.JobEnded(id, rec.Status, r.controller.now())
+func (l *leadership) jobEnded(id string, value []byte) {
+	if rec, err := l.controller.decodeEnd(id, value); err == nil {
+		l.core.JobEnded(id, rec.Status, l.controller.now())
 	}
 }
 
 // watch brings accepted and ended jobs.
-func (r *leadership) watch() {
-	n := r.controller
-	from := r.revision
+func (l *leadership) watch() {
+	c := l.controller
+	from := l.revision
 	// Each opening of the watch is a request: in a flood of small jobs every change
 	// would cost one.
-	every := time.Duration(8 / max(n.settings.Deployment.State.RPS, 1) * float64(time.Second))
-	for r.ctx.Err() == nil {
-		ev, err := n.store.Changes(r.ctx, queuePrefix, from, 5*time.Second)
+	every := time.Duration(8 / max(c.settings.Deployment.State.RPS, 1) * float64(time.Second))
+	for l.ctx.Err() == nil {
+		ev, err := c.store.Changes(l.ctx, queuePrefix, from, 5*time.Second)
 		if err != nil {
 			if errors.Is(err, kvstore.ErrCompacted) {
-				if rev, ok := r.resyncQueue(); ok {
+				if rev, ok := l.resyncQueue(); ok {
 					from = rev
 				}
 			}
 			select {
-			case <-r.ctx.Done():
+			case <-l.ctx.Done():
 			case <-time.After(200 * time.Millisecond):
 			}
 			continue
@@ -267,51 +267,51 @@
 		if len(ev.Events) > 0 {
 			next = next.Add(every)
 		}
-		n.postToOwner(func() {
-			if n.leadership != r {
+		c.postToOwner(func() {
+			if c.leadership != l {
 				return
 			}
 			for _, e := range ev.Events {
-				r.applyChange(e.Put, e.Value)
+				l.applyChange(e.Put, e.Value)
 			}
-			n.passPending = n.passPending || len(ev.Events) > 0
+			c.passPending = c.passPending || len(ev.Events) > 0
 		})
 		time.Sleep(time.Until(next))
 	}
 }
 
 // applyChange applies one changed key of the queue.
-func (r *leadership) applyChange(key string, value []byte) {
-	n := r.controller
+func (l *leadership) applyChange(key string, value []byte) {
+	c := l.controller
 	if id, ok := strings.CutPrefix(key, jobPrefix); ok {
 		var rec jobRecord
 		if wire.Unmarshal(value, &rec) != nil {
 			return
 		}
-		if _, over := n.rememberedFinal(id); !over { // else its record is gone, or its core knows it
-			n.setKnown(id)
-			r.core.AddJob(rec.Job, rec.Arrival, n.now())
+		if _, over := c.rememberedFinal(id); !over { // else its record is gone, or its core knows it
+			c.setKnown(id)
+			l.core.AddJob(rec.Job, rec.Arrival, c.now())
 		}
 	} else if id, ok := strings.CutPrefix(key, endPrefix); ok {
-		r.jobEnded(id, value)
+		l.jobEnded(id, value)
 	}
 }
 
 // resyncQueue reads the queue again after the watch fell too far behind.
-func (r *leadership) resyncQueue() (uint64, bool) {
-	n := r.controller
-	jobs, rev, err := n.store.List(r.ctx, jobPrefix)
+func (l *leadership) resyncQueue() (uint64, bool) {
+	c := l.controller
+	jobs, rev, err := c.store.List(l.ctx, jobPrefix)
 	if err != nil {
 		return 0, false
 	}
-	ends, err := n.endsOf(r.ctx, jobs)
+	ends, err := c.endsOf(l.ctx, jobs)
 	if err != nil {
 		return 0, false
 	}
-	n.postToOwner(func() {
-		if n.leadership == r {
+	c.postToOwner(func() {
+		if c.leadership == l {
 			for _, e := range append(jobs, ends...) {
-				r.applyChange(e.Key, e.Value)
+				l.applyChange(e.Key, e.Value)
 			}
 		}
 	})
@@ -319,75 +319,75 @@
 }
 
 // schedule schedules and starts what follows from it. Owner goroutine.
-func (r *leadership) schedule() {
-	n := r.controller
-	if r.stalledFor > 0 {
+func (l *leadership) schedule() {
+	c := l.controller
+	if l.stalledFor > 0 {
 		return
 	}
-	if !r.busyCommit && n.store.Reachable(3*time.Second) {
-		r.passes++
-		if cm := r.core.Schedule(n.now()); cm != nil {
-			r.busyCommit = true
-			go r.commit(cm)
+	if !l.busyCommit && c.store.Reachable(3*time.Second) {
+		l.passes++
+		if cm := l.core.Schedule(c.now()); cm != nil {
+			l.busyCommit = true
+			go l.commit(cm)
 		}
 	}
-	r.serveWaiters()
-	r.dispatchEffects()
+	l.serveWaiters()
+	l.dispatchEffects()
 }
 
 // serveWaiters answers the reports that waited for launches: those whose
 // machines a pass has considered and whose launches are stored.
-func (r *leadership) serveWaiters() {
-	kept := r.waiters[:0]
-	for _, w := range r.waiters {
-		if r.passes > w.passes && !r.core.HasLaunchInFlight(w.host) {
-			w.fresh <- r.core.LaunchCommands(w.host)
-		} else if r.passes < w.passes+4 {
+func (l *leadership) serveWaiters() {
+	kept := l.waiters[:0]
+	for _, w := range l.waiters {
+		if l.passes > w.passes && !l.core.HasLaunchInFlight(w.host) {
+			w.fresh <- l.core.LaunchCommands(w.host)
+		} else if l.passes < w.passes+4 {
 			kept = append(kept, w)
 		}
 	}
-	r.waiters = kept
+	l.waiters = kept
 }
 
-func (r *leadership) dispatchEffects() {
-	n := r.controller
-	for _, d := range r.core.TakeDirectCommands() {
+func (l *leadership) dispatchEffects() {
+	c := l.controller
+	for _, d := range l.core.TakeDirectCommands() {
 		select {
-		case r.directCommands <- d:
+		case l.directCommands <- d:
 		default: // the next report's answer repeats it
 		}
 	}
-	r.pendingEnds = append(r.pendingEnds, r.core.TakeEnds()...)
-	if !r.busyEnds && len(r.pendingEnds) > 0 {
+	l.pendingEnds = append(l.pendingEnds, l.core.TakeEnds()...)
+	if !l.busyEnds && len(l.pendingEnds) > 0 {
 		// Half of a transaction: ends leave room for launches.
-		k := min(len(r.pendingEnds), max(1, n.settings.Deployment.State.TxnOps/2))
-		ids := r.pendingEnds[:k:k]
-		r.pendingEnds = r.pendingEnds[k:]
-		r.busyEnds = true
+		k := min(len(l.pendingEnds), max(1, c.settings.Deployment.State.TxnOps/2))
+		ids := l.pendingEnds[:k:k]
+		l.pendingEnds = l.pendingEnds[k:]
+		l.busyEnds = true
 		done := make([]int, len(ids))
 		for i, id := range ids {
-			_, done[i], _, _ = r.core.Counts(id)
+			_, done[i], _, _ = l.core.Counts(id)
 		}
-		go r.storeEnds(ids, done)
+		go l.storeEnds(ids, done)
 	}
-	for _, f := range r.core.TakeForgotten() {
+	for _, f := range l.core.TakeForgotten() {
 		id := f.Job
 		if f.Status == wire.JobCancelled {
-			r.cancelledRecords = append(r.cancelledRecords, jobKey(id))
+			l.cancelledRecords = append(l.cancelledRecords, jobKey(id))
 		} else {
-			r.staleKeys = append(r.staleKeys, jobKey(id))
+			l.staleKeys = append(l.staleKeys, jobKey(id))
 		}
-		for i := range r.chunkCounts[id] {
-			r.staleKeys = append(r.staleKeys, chunkKey(id, i))
-			delete(r.chunkVersions, chunkKey(id, i))
+		for i := range l.chunkCounts[id] {
+			l.staleKeys = append(l.staleKeys, chunkKey(id, i))
+			delete(l.chunkVersions, chunkKey(id, i))
 		}
-		delete(r.chunkCounts, id)
+		delete(l.chunkCounts, id)
 	}
-	if k := min(len(r.cancelledRecords), n.settings.Deployment.State.TxnOps); k > 0 && !r.busyCancelled && n.store.Reachable(3*time.Second) {
-		keys := r.cancelledRecords[:k:k]
-		r.cancelledRecords = r.cancelledRecords[k:]
-		r.busyCancelled = true
-		go r.deleteCancelled(keys)
+	if k := min(len(l.cancelledRecords), c.settings.Deployment.State.TxnOps); k > 0 && !l.busyCancelled && c.store.Reachable(3*time.Second) {
+		keys := l.cancelledRecords[:k:k]
+		l.cancelledRecords = l.cancelledRecords[k:]
+		l.busyCancelled = true
+		go l.deleteCancelled(keys)
 	}
 }
 
@@ -464,31 +464,31 @@
 	}
 }
 
-func (r *leadership) sendDirectCommands() {
+func (l *leadership) sendDirectCommands() {
 	for {
 		select {
-		case <-r.ctx.Done():
+		case <-l.ctx.Done():
 			return
-		case d := <-r.directCommands:
-			if !r.controller.ranRecently() {
+		case d := <-l.directCommands:
+			if !l.controller.ranRecently() {
 				continue // as old as the standstill; a report's answer repeats it
 			}
-			r.commandAnswered(r.controller.worker.Orders(r.ctx, d.Addr, d.Batch))
+			l.commandAnswered(l.controller.worker.Orders(l.ctx, d.Addr, d.Batch))
 		}
 	}
 }
 
 // commandAnswered hands the core what a worker said to a direct command: its report, also where it
 // refused the command (409).
-func (r *leadership) commandAnswered(said wire.Heartbeat, _ error) {
+func (l *leadership) commandAnswered(said wire.Heartbeat, _ error) {
 	if said.Host == "" {
 		return
 	}
-	n := r.controller
-	n.postToOwner(func() {
-		if n.leadership == r && r.stalledFor == 0 {
-			r.core.CommandAnswered(&said, n.now())
-			n.passPending = n.passPending || r.core.TakePassNeeded()
+	c := l.controller
+	c.postToOwner(func() {
+		if c.leadership == l && l.stalledFor == 0 {
+			l.core.CommandAnswered(&said, c.now())
+			c.passPending = c.passPending || l.core.TakePassNeeded()
 		}
 	})
 }
--- a/internal/controller/lookup.go
+++ b/internal/controller/lookup.go
@@ -47,10 +47,10 @@
 // its own, would use up the requests that the state service takes from all nodes,
 // and then nobody can renew a term; a transaction that only compares looks at many
 // jobs for the price of one.
-func (n *Controller) lookUpJob(ctx context.Context, id string, known bool) lookupResult {
+func (c *Controller) lookUpJob(ctx context.Context, id string, known bool) lookupResult {
 	done := make(chan lookupResult, 1)
 	select {
-	case n.lookupQueue <- lookup{id, known, done}:
+	case c.lookupQueue <- lookup{id, known, done}:
 	default:
 		return lookupResult{err: api.ErrNotNow}
 	}
@@ -65,42 +65,42 @@
 // lookupPace is how many batches of lookups this node may send: together the
 // nodes use some third of what the service takes. The wait for the next batch is
 // some tenths of a second at most, and only while more is asked.
-func (n *Controller) lookupPace() *rate.Limiter {
-	per := n.settings.Deployment.State.RPS * lookupShare / float64(len(n.settings.Members)+1)
+func (c *Controller) lookupPace() *rate.Limiter {
+	per := c.settings.Deployment.State.RPS * lookupShare / float64(len(c.settings.Members)+1)
 	return rate.NewLimiter(rate.Limit(max(per, 1)), max(2, int(per)))
 }
 
 // lookupLoop answers lookups in batches. What a batch takes was asked before the
 // read begins, so its answers are as fresh as a read for each would be.
-func (n *Controller) lookupLoop(ctx context.Context, pace *rate.Limiter) {
-	most := 4 * n.settings.Deployment.State.TxnOps
+func (c *Controller) lookupLoop(ctx context.Context, pace *rate.Limiter) {
+	most := 4 * c.settings.Deployment.State.TxnOps
 	for {
 		var batch []lookup
 		select {
 		case <-ctx.Done():
 			return
-		case l := <-n.lookupQueue:
+		case l := <-c.lookupQueue:
 			batch = append(batch, l)
 		}
 		if pace.Wait(ctx) != nil {
 			return
 		}
-		for conds := batch[0].conds(); conds+3 <= most && len(n.lookupQueue) > 0; {
+		for conds := batch[0].conds(); conds+3 <= most && len(c.lookupQueue) > 0; {
 			select {
-			case l := <-n.lookupQueue:
+			case l := <-c.lookupQueue:
 				batch = append(batch, l)
 				conds += l.conds()
 			default:
 				conds = most
 			}
 		}
-		n.lookUpBatch(ctx, batch)
+		c.lookUpBatch(ctx, batch)
 	}
 }
 
 // lookUpBatch answers a batch with one read, and one question to the leader for the
 // counts to show.
-func (n *Controller) lookUpBatch(ctx context.Context, batch []lookup) {
+func (c *Controller) lookUpBatch(ctx context.Context, batch []lookup) {
 	ctx, cancel := context.WithTimeout(ctx, 1200*time.Millisecond)
 	var back sync.WaitGroup // lookups that go on in the archive
 	defer func() { go func() { back.Wait(); cancel() }() }()
@@ -116,13 +116,13 @@
 		ask(jobKey(l.id))
 		ask(endKey(l.id))
 		if !l.known {
-			if guard := n.archive.Guard(l.id); !asked[guard.Key] {
+			if guard := c.archive.Guard(l.id); !asked[guard.Key] {
 				asked[guard.Key] = true
 				txn.Conditions = append(txn.Conditions, guard)
 			}
 		}
 	}
-	a, err := n.store.Txn(ctx, txn)
+	a, err := c.store.Txn(ctx, txn)
 	if err != nil && !errors.Is(err, kvstore.ErrConflict) {
 		for _, l := range batch {
 			l.done <- lookupResult{err: err}
@@ -142,11 +142,11 @@
 			running = append(running, l.id)
 		}
 	}
-	counts := n.countsOf(ctx, running)
+	counts := c.countsOf(ctx, running)
 	for _, l := range batch {
 		if !exists[jobKey(l.id)] && !exists[endKey(l.id)] {
-			moved := l.known || exists[n.archive.Guard(l.id).Key]
-			back.Go(func() { l.done <- n.lookUpArchive(ctx, l, moved) })
+			moved := l.known || exists[c.archive.Guard(l.id).Key]
+			back.Go(func() { l.done <- c.lookUpArchive(ctx, l, moved) })
 			continue
 		}
 		v := lookupResult{accepted: exists[jobKey(l.id)], ended: exists[endKey(l.id)], st: wire.JobStatus{ID: l.id, Status: wire.JobQueued}}
@@ -154,7 +154,7 @@
 			v.st = st
 		}
 		if !l.known && exists[jobKey(l.id)] {
-			n.setKnown(l.id)
+			c.setKnown(l.id)
 		}
 		l.done <- v
 	}
@@ -162,13 +162,13 @@
 
 // countsOf asks for the counts that only the leader has; without it jobs are
 // shown as queued.
-func (n *Controller) countsOf(ctx context.Context, ids []string) map[string]wire.JobStatus {
+func (c *Controller) countsOf(ctx context.Context, ids []string) map[string]wire.JobStatus {
 	if len(ids) == 0 {
 		return nil
 	}
-	sts := n.localCounts(ctx, ids)
-	leader, _, leading := n.termView()
-	if p := n.peers[leader]; p != nil && leading == 0 {
+	sts := c.localCounts(ctx, ids)
+	leader, _, leading := c.termView()
+	if p := c.peers[leader]; p != nil && leading == 0 {
 		if a, err := p.Counts(ctx, ids); err == nil {
 			sts = a.Jobs
 		}
@@ -181,23 +181,23 @@
 }
 
 // endOf reads the end of a job that is known to have one.
-func (n *Controller) endOf(ctx context.Context, id string) (endRecord, error) {
-	if st, ok := n.rememberedFinal(id); ok {
+func (c *Controller) endOf(ctx context.Context, id string) (endRecord, error) {
+	if st, ok := c.rememberedFinal(id); ok {
 		return endAs(st), nil
 	}
-	e, found, err := n.store.Get(ctx, endKey(id))
+	e, found, err := c.store.Get(ctx, endKey(id))
 	if err != nil {
 		return endRecord{}, err
 	}
 	if found {
-		return n.decodeEnd(id, e.Value)
+		return c.decodeEnd(id, e.Value)
 	}
-	a, err := n.archive.LookFresh(ctx, id) // moved meanwhile
+	a, err := c.archive.LookFresh(ctx, id) // moved meanwhile
 	if err == nil && !a.Found {
 		err = fmt.Errorf("the end of %s is missing", id)
 	}
 	if err != nil {
 		return endRecord{}, err
 	}
-	return endAs(n.archived(a.Record)), nil
+	return endAs(c.archived(a.Record)), nil
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -24,13 +24,13 @@
 
 // metrics serves the counters. Those of the core are zero on nodes that are not
 // the leader.
-func (n *Controller) metrics() http.Handler {
+func (c *Controller) metrics() http.Handler {
 	reg := prometheus.NewRegistry()
 	add := func(name, help string, read func(*gauges) int) {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: name, Help: help}, func() float64 {
-			n.mu.Lock()
-			defer n.mu.Unlock()
-			return float64(read(&n.gauges))
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			return float64(read(&c.gauges))
 		}))
 	}
 	add("waiting_jobs", "Jobs with tasks that wait for room.", func(s *gauges) int { return s.jobs })
@@ -49,15 +49,15 @@
 		name := v.String()
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "machines_silent",
 			Help: "Silent machines, by what has most likely become of them.", ConstLabels: prometheus.Labels{"verdict": name}}, func() float64 {
-			n.mu.Lock()
-			defer n.mu.Unlock()
-			return float64(n.gauges.silent[name])
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			return float64(c.gauges.silent[name])
 		}))
 	}
 	for i, name := range []string{"archived_jobs", "archive_leaves", "archive_manifests"} {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: name,
 			Help: "Size of the archive of final answers, as this node knows it."}, func() float64 {
-			jobs, leaves, manifests := n.archive.Size()
+			jobs, leaves, manifests := c.archive.Size()
 			return float64([]int{jobs, leaves, manifests}[i])
 		}))
 	}
@@ -70,34 +70,34 @@
 		"standby_lag_us": {"Microseconds since what this node follows was known to be the newest.", func(_, _ int, us int64) float64 { return float64(us) }},
 	} {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: name, Help: x.help}, func() float64 {
-			keys, bytes, us, _ := n.follower.lag()
+			keys, bytes, us, _ := c.follower.lag()
 			return x.read(keys, bytes, us)
 		}))
 	}
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "standby", Help: "1 while this node stands by warm with a copy that is good."}, func() float64 {
-		return one(n.follower.ready())
+		return one(c.follower.ready())
 	}))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "wrong_suspicions", Help: "Leaders whose term this node replaced though their process had not ended."}, func() float64 {
-		n.follower.mu.Lock()
-		defer n.follower.mu.Unlock()
-		return float64(n.follower.suspicion.WrongOnes())
+		c.follower.mu.Lock()
+		defer c.follower.mu.Unlock()
+		return float64(c.follower.suspicion.WrongOnes())
 	}))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "cancellations_waiting",
-		Help: "Users that wait here until the tasks of a job that they cancelled are gone."}, func() float64 { return float64(len(n.cancelSlots)) }))
+		Help: "Users that wait here until the tasks of a job that they cancelled are gone."}, func() float64 { return float64(len(c.cancelSlots)) }))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "goroutines", Help: "Goroutines of this process."},
 		func() float64 { return float64(runtime.NumGoroutine()) }))
 	for name, x := range map[string]struct {
 		help string
 		read func() float64
 	}{
-		"config_generation":      {"Generation of the configuration that this node decides by.", func() float64 { return float64(n.config.current().number) }},
-		"config_refused_batches": {"Batches of launches that were decided anew since the configuration had changed.", func() float64 { return float64(n.config.refused.Load()) }},
+		"config_generation":      {"Generation of the configuration that this node decides by.", func() float64 { return float64(c.config.current().number) }},
+		"config_refused_batches": {"Batches of launches that were decided anew since the configuration had changed.", func() float64 { return float64(c.config.refused.Load()) }},
 	} {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: name, Help: x.help}, x.read))
 	}
-	reg.MustRegister(shares{n})
+	reg.MustRegister(shares{c})
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "leader", Help: "1 while this node acts as leader."}, func() float64 {
-		_, _, leading := n.termView()
+		_, _, leading := c.termView()
 		return one(leading != 0)
 	}))
 	return promhttp.HandlerFor(reg, promhttp.HandlerOpts{})
@@ -112,16 +112,16 @@
 }
 
 // publishGauges updates the gauges. Owner goroutine.
-func (r *leadership) publishGauges() {
+func (l *leadership) publishGauges() {
 	var s gauges
-	s.stats = r.core.Stats
-	s.jobs, s.tasks = r.core.Waiting()
-	s.machines, s.up = r.core.FleetSize()
-	s.silent, s.zonesCut = r.core.SilentMachines()
-	s.served = r.core.ServiceShares(mostServed)
-	r.controller.mu.Lock()
-	r.controller.gauges = s
-	r.controller.mu.Unlock()
+	s.stats = l.core.Stats
+	s.jobs, s.tasks = l.core.Waiting()
+	s.machines, s.up = l.core.FleetSize()
+	s.silent, s.zonesCut = l.core.SilentMachines()
+	s.served = l.core.ServiceShares(mostServed)
+	l.controller.mu.Lock()
+	l.controller.gauges = s
+	l.controller.mu.Unlock()
 }
 
 // mostServed bounds the classes that are shown, since users choose their names. Teams are those
@@ -179,12 +179,12 @@
 }
 
 // logServiceShares logs what each class and team has had, and warns of those that are behind.
-func (r *leadership) logServiceShares() {
-	for _, s := range r.core.ServiceShares(mostServed) {
-		r.controller.log.Info("served", "of", kindOf(&s), "name", s.Name, "submitted", s.Submitted, "begun", s.Started, "done", s.Done, "late", s.Late,
+func (l *leadership) logServiceShares() {
+	for _, s := range l.core.ServiceShares(mostServed) {
+		l.controller.log.Info("served", "of", kindOf(&s), "name", s.Name, "submitted", s.Submitted, "begun", s.Started, "done", s.Done, "late", s.Late,
 			"cancelled", s.Cancelled, "waiting", s.Waiting, "share", s.Share)
 		if s.Underserved {
-			r.controller.log.Warn(kindOf(&s)+" starves", "name", s.Name, "share", s.Share, "for_us", s.UnderservedFor, "why", s.WaitReason)
+			l.controller.log.Warn(kindOf(&s)+" starves", "name", s.Name, "share", s.Share, "for_us", s.UnderservedFor, "why", s.WaitReason)
 		}
 	}
 }
--- a/internal/controller/peerheartbeat.go
+++ b/internal/controller/peerheartbeat.go
@@ -9,16 +9,16 @@
 )
 
 // heartbeatPeer exchanges what is known about the term with a peer.
-func (n *Controller) heartbeatPeer(ctx context.Context, label string, p *peer.Client) {
+func (c *Controller) heartbeatPeer(ctx context.Context, label string, p *peer.Client) {
 	for {
-		a, err := p.Heartbeat(ctx, n.newHeartbeat())
+		a, err := p.Heartbeat(ctx, c.newHeartbeat())
 		if err == nil {
-			n.mu.Lock()
-			n.peerSeenAt[label] = time.Now()
-			n.mu.Unlock()
-			n.handlePeerHeartbeat(label, a)
-			n.recordOwnRestarts(a.RecentRestarts)
-			n.acceptRenewalToken(a)
+			c.mu.Lock()
+			c.peerSeenAt[label] = time.Now()
+			c.mu.Unlock()
+			c.handlePeerHeartbeat(label, a)
+			c.recordOwnRestarts(a.RecentRestarts)
+			c.acceptRenewalToken(a)
 		}
 		select {
 		case <-ctx.Done():
@@ -33,39 +33,39 @@
 
 // handlePeerHeartbeat takes a hello of a peer, or the answer to one, and is how often that peer was
 // started anew lately.
-func (n *Controller) handlePeerHeartbeat(label string, h *peer.Heartbeat) int {
-	n.recordTermOf(h)
-	n.config.recordPeerConfig(label, h)
-	n.follower.leaderIsAlive(label, h.ProcessID)
-	return n.recordPeerProcess(label, h.ProcessID, time.Now())
+func (c *Controller) handlePeerHeartbeat(label string, h *peer.Heartbeat) int {
+	c.recordTermOf(h)
+	c.config.recordPeerConfig(label, h)
+	c.follower.leaderIsAlive(label, h.ProcessID)
+	return c.recordPeerProcess(label, h.ProcessID, time.Now())
 }
 
 // recordTermOf takes what a peer's hello says of the term and of others.
-func (n *Controller) recordTermOf(h *peer.Heartbeat) {
+func (c *Controller) recordTermOf(h *peer.Heartbeat) {
 	if h.Token == 0 {
 		return
 	}
-	n.observeTerm(h.Leader, h.Token)
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.acceptStandbyView(h)
-	if h.CannotFollow && n.peers[h.From] != nil {
-		n.peerUnfitAt[h.From] = time.Now()
+	c.observeTerm(h.Leader, h.Token)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.acceptStandbyView(h)
+	if h.CannotFollow && c.peers[h.From] != nil {
+		c.peerUnfitAt[h.From] = time.Now()
 	}
 	if h.From == h.Leader {
-		n.renewalToken = max(n.renewalToken, h.Token)
+		c.renewalToken = max(c.renewalToken, h.Token)
 	}
-	if h.Leading && h.From == h.Leader && h.Token >= n.leaderProcess.token {
-		n.leaderProcess = leaderProcess{h.Token, h.ProcessID}
+	if h.Leading && h.From == h.Leader && h.Token >= c.leaderProcess.token {
+		c.leaderProcess = leaderProcess{h.Token, h.ProcessID}
 	}
 }
 
 // acceptRenewalToken takes a grant at second hand: a node that was started within an outage has it
 // from those that live on.
-func (n *Controller) acceptRenewalToken(h *peer.Heartbeat) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.renewalToken = max(n.renewalToken, h.RenewalToken)
+func (c *Controller) acceptRenewalToken(h *peer.Heartbeat) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.renewalToken = max(c.renewalToken, h.RenewalToken)
 }
 
 // mayRenewLease says whether this node may renew the worker's lease by itself: under the
@@ -73,40 +73,40 @@
 // service is in reach. It carries no commands, and nothing is ever freed because time has
 // passed, so a grant that outlives its leader starts nothing twice, and nobody was told of a
 // cancellation whose tasks it keeps alive.
-func (n *Controller) mayRenewLease(r *wire.Heartbeat) (uint64, bool) {
-	if n.store.Reachable(3 * time.Second) {
+func (c *Controller) mayRenewLease(r *wire.Heartbeat) (uint64, bool) {
+	if c.store.Reachable(3 * time.Second) {
 		return 0, false // then another leader can be found
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.renewalToken, n.renewalToken > 0 && n.renewalToken == n.token && r.FencingToken <= n.renewalToken
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.renewalToken, c.renewalToken > 0 && c.renewalToken == c.token && r.FencingToken <= c.renewalToken
 }
 
-func (n *Controller) newHeartbeat() *peer.Heartbeat {
-	leader, token, leading := n.termView()
-	h := &peer.Heartbeat{From: n.settings.Label, Leader: leader, Token: token, ProcessID: n.processID, Leading: leading != 0 && leading == token}
-	h.CannotFollow = n.follower.unfit()
-	h.SupportsConfig, h.Generation = true, n.config.current().number
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.standbyView.Token > 0 {
-		v := n.standbyView
+func (c *Controller) newHeartbeat() *peer.Heartbeat {
+	leader, token, leading := c.termView()
+	h := &peer.Heartbeat{From: c.settings.Label, Leader: leader, Token: token, ProcessID: c.processID, Leading: leading != 0 && leading == token}
+	h.CannotFollow = c.follower.unfit()
+	h.SupportsConfig, h.Generation = true, c.config.current().number
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.standbyView.Token > 0 {
+		v := c.standbyView
 		h.StandbyView = &v
 	}
-	h.RenewalToken = n.renewalToken
+	h.RenewalToken = c.renewalToken
 	return h
 }
 
 // PeerHeartbeat implements peer.Server.
-func (n *Controller) PeerHeartbeat(ctx context.Context, h *peer.Heartbeat) (*peer.Heartbeat, error) {
-	ends := n.handlePeerHeartbeat(h.From, h)
-	a := n.newHeartbeat()
+func (c *Controller) PeerHeartbeat(ctx context.Context, h *peer.Heartbeat) (*peer.Heartbeat, error) {
+	ends := c.handlePeerHeartbeat(h.From, h)
+	a := c.newHeartbeat()
 	a.RecentRestarts = ends
 	if h.Probe != "" {
-		a.Probe, a.Reached = h.Probe, n.reachesProcess(ctx, h.Probe, h.ProbeProcessID)
+		a.Probe, a.Reached = h.Probe, c.reachesProcess(ctx, h.Probe, h.ProbeProcessID)
 	}
 	if h.WantContacts {
-		a.Contacts = n.workerContacts()
+		a.Contacts = c.workerContacts()
 	}
 	return a, nil
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -20,28 +20,28 @@
 // load builds the core from what is stored: from the copy that this node has followed, if
 // all checks pass, otherwise from what it reads now. From the moment the term was taken nobody
 // else can change it but by accepting and ending jobs, which the watch brings.
-func (r *leadership) load() error {
-	n := r.controller
+func (l *leadership) load() error {
+	c := l.controller
 	began := time.Now()
 	// A peer that is gone costs its time limit: the store is read meanwhile, and a copy
 	// does not wait for it. It is evidence about silent machines and nothing else.
 	heard := make(chan map[string]int64, 1)
-	go func() { heard <- n.gatherWorkerContacts(r.ctx) }()
-	s, why := n.follower.takeOver(r.ctx, r.token, r.lease)
+	go func() { heard <- c.gatherWorkerContacts(l.ctx) }()
+	s, why := c.follower.takeOver(l.ctx, l.token, l.lease)
 	if s == nil {
 		var err error
-		if s, err = r.read(); err != nil {
+		if s, err = l.read(); err != nil {
 			return err
 		}
 	}
-	core, err := r.build(s)
+	core, err := l.build(s)
 	if err != nil {
 		return err
 	}
 	if why == "" {
 		go func() {
 			at := <-heard
-			n.postToOwner(func() {
+			c.postToOwner(func() {
 				for host, t := range at {
 					core.PeerContact(host, t)
 				}
@@ -52,23 +52,23 @@
 			core.PeerContact(host, at)
 		}
 	}
-	n.log.Info("loaded", "warm", why == "", "cold_because", why, "jobs", len(s.jobs), "entries", len(s.ledger), "revision", s.revision,
+	c.log.Info("loaded", "warm", why == "", "cold_because", why, "jobs", len(s.jobs), "entries", len(s.ledger), "revision", s.revision,
 		"took_us", time.Since(began).Microseconds())
-	if n.log.Enabled(r.ctx, slog.LevelDebug) {
-		n.log.Debug("state", "digest", fmt.Sprintf("%x", sha256.Sum256([]byte(core.Dump()))))
+	if c.log.Enabled(l.ctx, slog.LevelDebug) {
+		c.log.Debug("state", "digest", fmt.Sprintf("%x", sha256.Sum256([]byte(core.Dump()))))
 	}
-	r.core, r.revision = core, s.revision
+	l.core, l.revision = core, s.revision
 	return nil
 }
 
 // read reads what a takeover needs.
-func (r *leadership) read() (*stored, error) {
-	n := r.controller
+func (l *leadership) read() (*stored, error) {
+	c := l.controller
 	s := &stored{ledger: map[string]sched.LedgerEntry{}}
-	copied := r.loadCopy()
+	copied := l.loadCopy()
 	configured := make(chan error, 1)
-	go func() { configured <- n.config.refresh(r.ctx) }()
-	jobs, rev, err := r.list(copied, jobPrefix)
+	go func() { configured <- c.config.refresh(l.ctx) }()
+	jobs, rev, err := l.list(copied, jobPrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -79,7 +79,7 @@
 			s.jobs = append(s.jobs, rec)
 		}
 	}
-	chunks, _, err := r.list(copied, donePrefix)
+	chunks, _, err := l.list(copied, donePrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 		readable := wire.Unmarshal(e.Value, &text) == nil
 		s.chunk(e.Key, e.Version, text, readable)
 	}
-	entries, _, err := r.list(copied, ledgerPrefix)
+	entries, _, err := l.list(copied, ledgerPrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -99,26 +99,26 @@
 		}
 		s.ledger[strings.TrimPrefix(e.Key, ledgerPrefix)] = entry
 	}
-	learned, _, err := r.list(copied, learnedKey)
+	learned, _, err := l.list(copied, learnedKey)
 	if err != nil {
 		return nil, err
 	}
 	if len(learned) > 0 {
 		s.learn(learned[0].Value)
 	}
-	hires, _, err := r.list(copied, hirePrefix)
+	hires, _, err := l.list(copied, hirePrefix)
 	if err != nil {
 		return nil, err
 	}
 	for _, e := range hires {
 		s.hires = append(s.hires, e.Key)
 	}
-	if n.calendar != nil {
-		if s.schedule, _, err = r.list(copied, schedulePrefix); err != nil {
+	if c.calendar != nil {
+		if s.schedule, _, err = l.list(copied, schedulePrefix); err != nil {
 			return nil, err
 		}
 	}
-	ends, err := n.endsOf(r.ctx, jobs)
+	ends, err := c.endsOf(l.ctx, jobs)
 	if err != nil {
 		return nil, err
 	}
@@ -144,29 +144,29 @@
 }
 
 // build makes the core of the term from what is stored, however it came here.
-func (r *leadership) build(s *stored) (*sched.Core, error) {
-	n := r.controller
-	cat, _ := n.machineTypes()
-	now := n.now()
-	if err := n.config.follows(s.config, s.revision); err != nil {
+func (l *leadership) build(s *stored) (*sched.Core, error) {
+	c := l.controller
+	cat, _ := c.machineTypes()
+	now := c.now()
+	if err := c.config.follows(s.config, s.revision); err != nil {
 		return nil, err
 	}
-	inForce := n.config.current()
-	core := sched.New(inForce.settings, r.token, now, cat, func(msg string, args ...any) { n.log.Info(msg, args...) })
+	inForce := c.config.current()
+	core := sched.New(inForce.settings, l.token, now, cat, func(msg string, args ...any) { c.log.Info(msg, args...) })
 	core.Configure(inForce.settings, inForce.cordons, inForce.version, now)
-	r.staleKeys, r.chunkCounts, r.chunkVersions = nil, map[string]int{}, map[string]uint64{}
+	l.staleKeys, l.chunkCounts, l.chunkVersions = nil, map[string]int{}, map[string]uint64{}
 	for _, rec := range s.jobs {
 		core.AddJob(rec.Job, rec.Arrival, now)
-		n.setKnown(rec.Job.ID)
+		c.setKnown(rec.Job.ID)
 	}
-	for _, c := range s.chunks {
-		if _, _, _, known := core.Counts(c.id); !known {
-			r.staleKeys = append(r.staleKeys, c.key) // left by a job that is over and gone
+	for _, chunk := range s.chunks {
+		if _, _, _, known := core.Counts(chunk.id); !known {
+			l.staleKeys = append(l.staleKeys, chunk.key) // left by a job that is over and gone
 			continue
 		}
-		core.SetProgress(c.id, c.index, c.text)
-		r.chunkVersions[c.key] = c.version
-		r.chunkCounts[c.id] = max(r.chunkCounts[c.id], c.index+1)
+		core.SetProgress(chunk.id, chunk.index, chunk.text)
+		l.chunkVersions[chunk.key] = chunk.version
+		l.chunkCounts[chunk.id] = max(l.chunkCounts[chunk.id], chunk.index+1)
 	}
 	core.RecoverLedger(s.ledger)
 	if s.learned != nil {
@@ -174,14 +174,14 @@
 	}
 	// The machines of a hire whose answer was lost show up in the list and in reports, and
 	// are adopted; the name is never used again.
-	r.staleKeys = append(r.staleKeys, s.hires...)
+	l.staleKeys = append(l.staleKeys, s.hires...)
 	for _, e := range s.ends {
 		if e.Status == wire.JobDone {
-			n.rememberFinal(e.answer(e.id))
+			c.rememberFinal(e.answer(e.id))
 		}
-		core.JobEnded(e.id, e.Status, n.now())
+		core.JobEnded(e.id, e.Status, c.now())
 	}
-	return core, r.loadSchedules(s.schedule)
+	return core, l.loadSchedules(s.schedule)
 }
 
 // endReaders is how many ends are read at a time at a takeover.
@@ -191,12 +191,12 @@
 // for many at a time, by a transaction that only compares; their ends are read side
 // by side: after a flood of small jobs hundreds may wait to be tidied up, and a
 // takeover must not ask for one after the other.
-func (n *Controller) endsOf(ctx context.Context, jobs []wire.KeyValue) (ends []wire.KeyValue, err error) {
+func (c *Controller) endsOf(ctx context.Context, jobs []wire.KeyValue) (ends []wire.KeyValue, err error) {
 	var ids, keys []string
 	for _, e := range jobs {
 		ids = append(ids, strings.TrimPrefix(e.Key, jobPrefix))
 	}
-	over, err := n.haveEnded(ctx, ids)
+	over, err := c.haveEnded(ctx, ids)
 	if err != nil {
 		return nil, err
 	}
@@ -214,7 +214,7 @@
 		all.Go(func() {
 			defer func() { <-turn }()
 			var found bool
-			if ends[i], found, errs[i] = n.store.Get(ctx, k); errs[i] == nil && !found {
+			if ends[i], found, errs[i] = c.store.Get(ctx, k); errs[i] == nil && !found {
 				errs[i] = fmt.Errorf("%s is missing", k)
 			}
 		})
--- a/internal/controller/recurring.go
+++ b/internal/controller/recurring.go
@@ -54,45 +54,45 @@
 
 // submitRecurring decides what is due and has it stored, one batch at a time: as many
 // schedules as a transaction takes, two changes for each that runs. Owner goroutine.
-func (r *leadership) submitRecurring() {
-	if r.recurring == nil || r.busyRecur {
+func (l *leadership) submitRecurring() {
+	if l.recurring == nil || l.busyRecur {
 		return
 	}
-	most := max(1, min(r.controller.settings.Deployment.State.TxnOps/4, 8))
-	if ds := r.recurring.Due(time.Now().UnixMicro(), most, jobs{r}); len(ds) > 0 {
-		r.busyRecur = true
-		go r.storeRuns(ds)
+	most := max(1, min(l.controller.settings.Deployment.State.TxnOps/4, 8))
+	if ds := l.recurring.Due(time.Now().UnixMicro(), most, jobs{l}); len(ds) > 0 {
+		l.busyRecur = true
+		go l.storeRuns(ds)
 	}
 }
 
 // storeRuns stores decisions together or, if that is refused, one by one. What the
 // service takes is shared with launches: a batch waits until its changes are no more
 // than an eighth of it.
-func (r *leadership) storeRuns(ds []recurring.Decision) {
-	n := r.controller
+func (l *leadership) storeRuns(ds []recurring.Decision) {
+	c := l.controller
 	changes := 0
 	for _, d := range ds {
 		changes += 1 + len(d.Jobs)
 	}
-	if _, version, err := r.storeDecisions(ds); err == nil {
-		n.postToOwner(func() { r.runsStored(ds, version) })
+	if _, version, err := l.storeDecisions(ds); err == nil {
+		c.postToOwner(func() { l.runsStored(ds, version) })
 	} else {
 		for _, d := range ds {
-			r.storeOne(d)
+			l.storeOne(d)
 		}
 	}
 	select {
-	case <-r.ctx.Done():
-	case <-time.After(time.Duration(float64(changes) * 8 / max(n.settings.Deployment.State.WriteRPS, 1) * float64(time.Second))):
+	case <-l.ctx.Done():
+	case <-time.After(time.Duration(float64(changes) * 8 / max(c.settings.Deployment.State.WriteRPS, 1) * float64(time.Second))):
 	}
-	n.postToOwner(func() { r.busyRecur = false })
+	c.postToOwner(func() { l.busyRecur = false })
 }
 
 // storeDecisions runs one transaction: each schedule's state is what the decision
 // rests on, no job of the ids exists or ever did, and the term is this node's.
-func (r *leadership) storeDecisions(ds []recurring.Decision) (failed []string, version uint64, err error) {
-	n := r.controller
-	txn := wire.Txn{Conditions: []wire.Condition{r.termCondition()}}
+func (l *leadership) storeDecisions(ds []recurring.Decision) (failed []string, version uint64, err error) {
+	c := l.controller
+	txn := wire.Txn{Conditions: []wire.Condition{l.termCondition()}}
 	for _, d := range ds {
 		key := scheduleKey(d.Name)
 		txn.Conditions = append(txn.Conditions, wire.Condition{Key: key, Version: d.Version})
@@ -102,45 +102,45 @@
 		}
 		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: key, Value: d.State})
 		for _, j := range d.Jobs {
-			a, err := n.archive.Look(r.ctx, j.ID)
+			a, err := c.archive.Look(l.ctx, j.ID)
 			if err != nil {
 				return nil, 0, err
 			}
 			if a.Found { // by a job of long ago
 				return []string{endKey(j.ID)}, 0, kvstore.ErrConflict
 			}
-			txn.Conditions = n.withArchiveGuards(append(txn.Conditions, wire.Condition{Key: jobKey(j.ID)}, wire.Condition{Key: endKey(j.ID)}), j.ID)
-			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: jobKey(j.ID), Value: jobRecord{Job: j, Arrival: n.now()}})
+			txn.Conditions = c.withArchiveGuards(append(txn.Conditions, wire.Condition{Key: jobKey(j.ID)}, wire.Condition{Key: endKey(j.ID)}), j.ID)
+			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: jobKey(j.ID), Value: jobRecord{Job: j, Arrival: c.now()}})
 		}
 		if d.Cancel != "" {
-			txn.Conditions = n.withArchiveGuards(append(txn.Conditions, wire.Condition{Key: endKey(d.Cancel)}), d.Cancel)
-			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: endKey(d.Cancel), Value: endRecord{Status: wire.JobCancelled, At: n.now()}})
+			txn.Conditions = c.withArchiveGuards(append(txn.Conditions, wire.Condition{Key: endKey(d.Cancel)}), d.Cancel)
+			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: endKey(d.Cancel), Value: endRecord{Status: wire.JobCancelled, At: c.now()}})
 		}
 	}
-	if len(txn.Mutations) > n.settings.Deployment.State.TxnOps || len(txn.Conditions) > 4*n.settings.Deployment.State.TxnOps {
+	if len(txn.Mutations) > c.settings.Deployment.State.TxnOps || len(txn.Conditions) > 4*c.settings.Deployment.State.TxnOps {
 		return nil, 0, errors.New("too much for one transaction")
 	}
-	a, err := n.store.Txn(r.ctx, txn)
+	a, err := c.store.Txn(l.ctx, txn)
 	return a.FailedKeys, a.Revision, err
 }
 
 // runsStored tells the engine and the core. Owner goroutine.
-func (r *leadership) runsStored(ds []recurring.Decision, version uint64) {
-	n := r.controller
-	if n.leadership != r {
+func (l *leadership) runsStored(ds []recurring.Decision, version uint64) {
+	c := l.controller
+	if c.leadership != l {
 		return
 	}
 	for _, d := range ds {
-		r.recurring.Stored(d, version)
+		l.recurring.Stored(d, version)
 		for _, j := range d.Jobs {
-			n.setKnown(j.ID)
-			r.core.AddJob(j, n.now(), n.now())
-			n.log.Info("scheduled run", "schedule", d.Name, "job", j.ID)
-			n.passPending = true
+			c.setKnown(j.ID)
+			l.core.AddJob(j, c.now(), c.now())
+			c.log.Info("scheduled run", "schedule", d.Name, "job", j.ID)
+			c.passPending = true
 		}
 		if d.State != nil && len(d.State.Runs) > 0 {
 			if last := d.State.Runs[len(d.State.Runs)-1]; last.Status != wire.RunSubmitted {
-				n.log.Info("schedule", "schedule", d.Name, "status", last.Status, "reason", last.Reason,
+				c.log.Info("schedule", "schedule", d.Name, "status", last.Status, "reason", last.Reason,
 					"at", time.UnixMicro(last.At).UTC().Format(time.RFC3339))
 			}
 		}
@@ -150,21 +150,21 @@
 // storeOne stores a decision, or finds out why it is not stored. Without an answer it
 // may be applied even later, but only as long as the schedule's state is the same: so
 // what is read back is decided upon anew, and one of the two is refused.
-func (r *leadership) storeOne(d recurring.Decision) {
-	n := r.controller
-	failed, version, err := r.storeDecisions([]recurring.Decision{d})
+func (l *leadership) storeOne(d recurring.Decision) {
+	c := l.controller
+	failed, version, err := l.storeDecisions([]recurring.Decision{d})
 	if err == nil {
-		n.postToOwner(func() { r.runsStored([]recurring.Decision{d}, version) })
+		c.postToOwner(func() { l.runsStored([]recurring.Decision{d}, version) })
 		return
 	}
-	_, _ = n.archive.Refresh(r.ctx, failed) // if that fails, the next try does
+	_, _ = c.archive.Refresh(l.ctx, failed) // if that fails, the next try does
 	taken := false                          // by a job that is not of this schedule
 	for _, j := range d.Jobs {
 		taken = taken || slices.Contains(failed, jobKey(j.ID)) || slices.Contains(failed, endKey(j.ID))
 	}
 	taken = taken && !slices.Contains(failed, scheduleKey(d.Name))
-	for r.ctx.Err() == nil {
-		e, found, err := n.store.Get(r.ctx, scheduleKey(d.Name))
+	for l.ctx.Err() == nil {
+		e, found, err := c.store.Get(l.ctx, scheduleKey(d.Name))
 		var st recurring.State
 		if err == nil && found {
 			err = wire.Unmarshal(e.Value, &st)
@@ -173,15 +173,15 @@
 			if !found {
 				e.Version = 0
 			}
-			n.postToOwner(func() {
-				if n.leadership == r {
-					r.recurring.Again(d, st, e.Version, taken, time.Now().UnixMicro()+1_000_000)
+			c.postToOwner(func() {
+				if c.leadership == l {
+					l.recurring.Again(d, st, e.Version, taken, time.Now().UnixMicro()+1_000_000)
 				}
 			})
 			return
 		}
 		select {
-		case <-r.ctx.Done():
+		case <-l.ctx.Done():
 		case <-time.After(500 * time.Millisecond):
 		}
 	}
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -12,29 +12,29 @@
 )
 
 // scaleFleet decides about machines. Owner goroutine.
-func (r *leadership) scaleFleet(blind bool) {
-	n := r.controller
-	now := n.now()
-	r.core.DetectFailures(now, n.peersForDetector())
+func (l *leadership) scaleFleet(blind bool) {
+	c := l.controller
+	now := c.now()
+	l.core.DetectFailures(now, c.peersForDetector())
 	var returns []string
 	var hires []wire.ScaleOutRequest
-	if n.store.Reachable(3 * time.Second) {
-		returns, hires = r.core.ScaleIn(now, blind), r.core.ScaleOut(now)
+	if c.store.Reachable(3 * time.Second) {
+		returns, hires = l.core.ScaleIn(now, blind), l.core.ScaleOut(now)
 	}
 	for i := range hires {
-		r.scaleOutSequence++
+		l.scaleOutSequence++
 		// The token makes the name unique over terms, the number within one.
-		hires[i].RequestID = fmt.Sprintf("r-%d-%d", r.token, r.scaleOutSequence)
+		hires[i].RequestID = fmt.Sprintf("r-%d-%d", l.token, l.scaleOutSequence)
 	}
-	list := r.lastList(now)
+	list := l.lastList(now)
 	if len(returns) == 0 && len(hires) == 0 && !list {
 		return
 	}
-	r.busyCloud = true
+	l.busyCloud = true
 	select {
-	case r.cloudQueue <- func() { r.cloudRound(returns, hires, list) }:
+	case l.cloudQueue <- func() { l.cloudRound(returns, hires, list) }:
 	default:
-		r.busyCloud = false
+		l.busyCloud = false
 	}
 }
 
@@ -45,24 +45,24 @@
 	listShare = 4
 )
 
-func (r *leadership) lastList(now int64) bool {
+func (l *leadership) lastList(now int64) bool {
 	// A list takes a request for each page of machines: a quarter of what the cloud takes.
-	known, _ := r.core.FleetSize()
+	known, _ := l.core.FleetSize()
 	pages := float64(known/cloud.ListPage + 1)
-	every := int64(max(minListS, r.controller.settings.Deployment.Cloud.ListLagS/2, listShare*pages/max(r.controller.settings.Deployment.Cloud.RPS, 0.1)) * 1e6)
-	if now-r.lastListed < every {
+	every := int64(max(minListS, l.controller.settings.Deployment.Cloud.ListLagS/2, listShare*pages/max(l.controller.settings.Deployment.Cloud.RPS, 0.1)) * 1e6)
+	if now-l.lastListed < every {
 		return false
 	}
-	r.lastListed = now
+	l.lastListed = now
 	return true
 }
 
-func (r *leadership) runCloud() {
+func (l *leadership) runCloud() {
 	for {
 		select {
-		case <-r.ctx.Done():
+		case <-l.ctx.Done():
 			return
-		case f := <-r.cloudQueue:
+		case f := <-l.cloudQueue:
 			f()
 		}
 	}
@@ -70,22 +70,22 @@
 
 var errNotMine = errors.New("the term may be another node's")
 
-func (r *leadership) cloudRound(returns []string, hires []wire.ScaleOutRequest, list bool) {
-	n := r.controller
-	defer n.postToOwner(func() { r.busyCloud = false; n.passPending = true })
+func (l *leadership) cloudRound(returns []string, hires []wire.ScaleOutRequest, list bool) {
+	c := l.controller
+	defer c.postToOwner(func() { l.busyCloud = false; c.passPending = true })
 	for hosts := range slices.Chunk(returns, cloud.MaxReturn) {
-		r.giveBack(hosts)
+		l.giveBack(hosts)
 	}
-	r.scaleOutAll(hires)
+	l.scaleOutAll(hires)
 	if list {
-		ms, err := n.cloud.List(r.ctx)
+		ms, err := c.cloud.List(l.ctx)
 		if err != nil {
-			n.log.Info("machine list", "err", err)
+			c.log.Info("machine list", "err", err)
 			return
 		}
-		n.postToOwner(func() {
-			if n.leadership == r {
-				r.core.MachinesListed(ms, n.now())
+		c.postToOwner(func() {
+			if c.leadership == l {
+				l.core.MachinesListed(ms, c.now())
 			}
 		})
 	}
@@ -93,63 +93,63 @@
 
 // giveBack returns machines, of which one request may name so many, and hands the core what
 // became of it.
-func (r *leadership) giveBack(hosts []string) {
-	n := r.controller
+func (l *leadership) giveBack(hosts []string) {
+	c := l.controller
 	err := errNotMine
-	if r.holdsTerm() {
-		err = n.cloud.Return(r.ctx, hosts)
+	if l.holdsTerm() {
+		err = c.cloud.Return(l.ctx, hosts)
 	}
-	n.postToOwner(func() {
-		if n.leadership != r {
+	c.postToOwner(func() {
+		if c.leadership != l {
 			return
 		}
 		if err != nil {
-			r.core.ScaleInFailed(hosts, n.now())
+			l.core.ScaleInFailed(hosts, c.now())
 		} else {
-			r.core.MachinesReturned(hosts, n.now())
+			l.core.MachinesReturned(hosts, c.now())
 		}
-		n.passPending = true
+		c.passPending = true
 	})
 }
 
 // scaleOutAll stores the names of a round's requests, in one write, and then asks for
 // the machines, side by side: none waits behind a slow answer to another.
-func (r *leadership) scaleOutAll(hires []wire.ScaleOutRequest) {
+func (l *leadership) scaleOutAll(hires []wire.ScaleOutRequest) {
 	if len(hires) == 0 {
 		return
 	}
-	n := r.controller
+	c := l.controller
 	key := hirePrefix + hires[0].RequestID
-	_, stored := n.store.Txn(r.ctx, wire.Txn{Conditions: []wire.Condition{r.termCondition()}, Mutations: []wire.Mutation{{Put: key, Value: hires}}})
+	_, stored := c.store.Txn(l.ctx, wire.Txn{Conditions: []wire.Condition{l.termCondition()}, Mutations: []wire.Mutation{{Put: key, Value: hires}}})
 	var all sync.WaitGroup
 	for _, h := range hires {
 		all.Go(func() {
 			var hosts []string
 			err := stored
 			if err == nil {
-				hosts, err = r.scaleOut(h)
+				hosts, err = l.scaleOut(h)
 			}
-			n.log.Info("hire", "type", h.Type, "zone", h.Zone, "spot", h.Spot, "count", h.Count, "got", len(hosts), "err", err)
-			n.postToOwner(func() {
-				if n.leadership != r {
+			c.log.Info("hire", "type", h.Type, "zone", h.Zone, "spot", h.Spot, "count", h.Count, "got", len(hosts), "err", err)
+			c.postToOwner(func() {
+				if c.leadership != l {
 					return
 				}
 				if err != nil {
-					r.core.ScaleOutFailed(h, errors.Is(err, cloud.ErrNoCapacity), n.now())
+					l.core.ScaleOutFailed(h, errors.Is(err, cloud.ErrNoCapacity), c.now())
 				} else {
-					r.core.ScaledOut(h, hosts, n.now())
+					l.core.ScaledOut(h, hosts, c.now())
 				}
 			})
 		})
 	}
 	all.Wait()
-	n.postToOwner(func() { r.staleKeys = append(r.staleKeys, key) })
+	c.postToOwner(func() { l.staleKeys = append(l.staleKeys, key) })
 }
 
-func (r *leadership) scaleOut(h wire.ScaleOutRequest) ([]string, error) {
+func (l *leadership) scaleOut(h wire.ScaleOutRequest) ([]string, error) {
 	for i := 0; ; i++ {
-		hosts, err := r.controller.cloud.Hire(r.ctx, h)
-		if err == nil || errors.Is(err, cloud.ErrNoCapacity) || i == 2 || r.ctx.Err() != nil {
+		hosts, err := l.controller.cloud.Hire(l.ctx, h)
+		if err == nil || errors.Is(err, cloud.ErrNoCapacity) || i == 2 || l.ctx.Err() != nil {
 			return hosts, err
 		}
 		time.Sleep(300 * time.Millisecond) // the same name: it rents once
--- a/internal/controller/schedules.go
+++ b/internal/controller/schedules.go
@@ -20,12 +20,12 @@
 const maxNextLooks = 400
 
 // show makes what users see of a schedule.
-func (n *Controller) showSchedule(name string, st *recurring.State, runs bool) wire.Schedule {
+func (c *Controller) showSchedule(name string, st *recurring.State, runs bool) wire.Schedule {
 	out := wire.Schedule{Name: name, Revision: st.Revision, Paused: st.Paused, Gone: st.Gone > 0, Ran: st.Ran, Missed: st.Missed, Skipped: st.Skipped}
 	if runs {
 		out.Runs = st.Runs
 	}
-	if s := n.calendar.Find(name); s != nil {
+	if s := c.calendar.Find(name); s != nil {
 		out.Zone = s.Location.String()
 		after := time.UnixMicro(st.Upto)
 		if st.Upto == 0 {
@@ -46,22 +46,22 @@
 }
 
 // Schedules implements api.Calendars: the stored ones, by name, after the one given.
-func (n *Controller) Schedules(ctx context.Context, after string) (wire.Schedules, error) {
+func (c *Controller) Schedules(ctx context.Context, after string) (wire.Schedules, error) {
 	out := wire.Schedules{Schedules: []wire.Schedule{}}
-	if n.calendar == nil {
+	if c.calendar == nil {
 		return out, api.ErrUnknown
 	}
 	if after != "" {
 		after = scheduleKey(after)
 	}
-	page, err := n.store.Page(ctx, schedulePrefix, after, schedulesPage)
+	page, err := c.store.Page(ctx, schedulePrefix, after, schedulesPage)
 	if err != nil {
 		return out, api.ErrNotNow
 	}
 	for _, e := range page.Items {
 		var st recurring.State
 		if wire.Unmarshal(e.Value, &st) == nil {
-			out.Schedules = append(out.Schedules, n.showSchedule(strings.TrimPrefix(e.Key, schedulePrefix), &st, false))
+			out.Schedules = append(out.Schedules, c.showSchedule(strings.TrimPrefix(e.Key, schedulePrefix), &st, false))
 		}
 	}
 	out.More = page.More
@@ -69,43 +69,43 @@
 }
 
 // schedule reads the state of one.
-func (n *Controller) schedule(ctx context.Context, name string) (st recurring.State, version uint64, err error) {
-	if n.calendar == nil || name == "" || len(name) > 64 || strings.ContainsAny(name, "/ ") {
+func (c *Controller) schedule(ctx context.Context, name string) (st recurring.State, version uint64, err error) {
+	if c.calendar == nil || name == "" || len(name) > 64 || strings.ContainsAny(name, "/ ") {
 		return st, 0, api.ErrUnknown
 	}
-	e, found, err := n.store.Get(ctx, scheduleKey(name))
+	e, found, err := c.store.Get(ctx, scheduleKey(name))
 	switch {
 	case err != nil:
 		return st, 0, api.ErrNotNow
 	case found:
 		return st, e.Version, wire.Unmarshal(e.Value, &st)
-	case n.calendar.Find(name) != nil:
+	case c.calendar.Find(name) != nil:
 		return st, 0, api.ErrNotNow // the leader has yet to take it up
 	}
 	return st, 0, api.ErrUnknown
 }
 
 // Schedule implements api.Calendars.
-func (n *Controller) Schedule(ctx context.Context, name string) (wire.Schedule, error) {
-	st, _, err := n.schedule(ctx, name)
+func (c *Controller) Schedule(ctx context.Context, name string) (wire.Schedule, error) {
+	st, _, err := c.schedule(ctx, name)
 	if err != nil {
 		return wire.Schedule{}, err
 	}
-	return n.showSchedule(name, &st, true), nil
+	return c.showSchedule(name, &st, true), nil
 }
 
 // PauseSchedule implements api.Calendars. Any node may: the change is conditional on
 // what was read, and the leader's next decision, conditional on what it knows, is
 // refused and made anew.
-func (n *Controller) PauseSchedule(ctx context.Context, name string, paused bool) (wire.Schedule, error) {
+func (c *Controller) PauseSchedule(ctx context.Context, name string, paused bool) (wire.Schedule, error) {
 	for range 5 {
-		st, version, err := n.schedule(ctx, name)
+		st, version, err := c.schedule(ctx, name)
 		if err != nil {
 			return wire.Schedule{}, err
 		}
 		if st.Paused != paused {
 			st.Paused = paused
-			_, err = n.store.Txn(ctx, wire.Txn{
+			_, err = c.store.Txn(ctx, wire.Txn{
 				Conditions: []wire.Condition{{Key: scheduleKey(name), Version: version}},
 				Mutations:  []wire.Mutation{{Put: scheduleKey(name), Value: st}},
 			})
@@ -116,7 +116,7 @@
 				return wire.Schedule{}, api.ErrNotNow
 			}
 		}
-		return n.showSchedule(name, &st, true), nil
+		return c.showSchedule(name, &st, true), nil
 	}
 	return wire.Schedule{}, api.ErrNotNow
 }
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -27,34 +27,34 @@
 // snapshots writes a copy of the state into the operator's directory from time to
 // time, while this node holds the term. Reads wait for this node's share of the state
 // service's limit, and between pages for more, so that users come first.
-func (r *leadership) snapshots(ctx context.Context) {
-	n := r.controller
-	dir := n.settings.Operator.SnapshotDir
+func (l *leadership) snapshots(ctx context.Context) {
+	c := l.controller
+	dir := c.settings.Operator.SnapshotDir
 	if dir == "" {
 		return
 	}
-	every := seconds(*n.settings.Operator.SnapshotEvery)
-	store := paced{n.store, seconds(10 / n.settings.Deployment.State.RPS)}
+	every := seconds(*c.settings.Operator.SnapshotEvery)
+	store := paced{c.store, seconds(10 / c.settings.Deployment.State.RPS)}
 	for rest := min(every, time.Minute); ; rest = every {
 		select {
-		case <-r.ctx.Done():
+		case <-l.ctx.Done():
 			return
 		case <-time.After(rest):
 		}
-		if !n.store.Reachable(3*time.Second) || !n.ranRecently() {
+		if !c.store.Reachable(3*time.Second) || !c.ranRecently() {
 			continue
 		}
 		began := time.Now()
-		snap, err := snapshot.Take(ctx, store, snapshot.All, Ephemeral, n.now)
+		snap, err := snapshot.Take(ctx, store, snapshot.All, Ephemeral, c.now)
 		path := ""
 		if err == nil {
-			path, err = snap.Save(dir, n.snapshotKey)
+			path, err = snap.Save(dir, c.snapshotKey)
 		}
 		if err != nil {
-			n.log.Warn("no snapshot was written", "err", err)
+			c.log.Warn("no snapshot was written", "err", err)
 			continue
 		}
-		n.log.Info("snapshot", "file", path, "content", snap.String(), "took_us", time.Since(began).Microseconds())
+		c.log.Info("snapshot", "file", path, "content", snap.String(), "took_us", time.Since(began).Microseconds())
 	}
 }
 
@@ -106,30 +106,30 @@
 // loadCopy returns the stored state as of now from the newest copy and what has
 // changed since, or nil: then everything is read, which comes to the same. What is
 // older than the term is never used, since the last leader may have written after it.
-func (r *leadership) loadCopy() *snapshot.Snapshot {
-	n := r.controller
-	if *n.settings.Operator.TakeoverCopyS <= 0 {
+func (l *leadership) loadCopy() *snapshot.Snapshot {
+	c := l.controller
+	if *c.settings.Operator.TakeoverCopyS <= 0 {
 		return nil
 	}
 	began := time.Now()
-	snap, err := snapshot.Load(r.ctx, n.store)
+	snap, err := snapshot.Load(l.ctx, c.store)
 	if err == nil {
-		err = snap.Follow(r.ctx, n.store, copyPrefixes, nothing, r.token)
+		err = snap.Follow(l.ctx, c.store, copyPrefixes, nothing, l.token)
 	}
 	if err != nil {
-		n.log.Info("everything is read", "err", err)
+		c.log.Info("everything is read", "err", err)
 		return nil
 	}
-	n.log.Info("loaded a copy", "content", snap.String(), "took_us", time.Since(began).Microseconds())
+	c.log.Info("loaded a copy", "content", snap.String(), "took_us", time.Since(began).Microseconds())
 	return snap
 }
 
 // list reads the keys with a prefix from a copy, or from the state service.
-func (r *leadership) list(copied *snapshot.Snapshot, prefix string) ([]wire.KeyValue, uint64, error) {
+func (l *leadership) list(copied *snapshot.Snapshot, prefix string) ([]wire.KeyValue, uint64, error) {
 	if copied != nil {
 		return copied.Entries(prefix), copied.Revision, nil
 	}
-	return r.controller.store.List(r.ctx, prefix)
+	return l.controller.store.List(l.ctx, prefix)
 }
 
 // paced waits before each page.
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -78,45 +78,45 @@
 	delete(n.knownJobs, st.ID)
 }
 
-func (n *Controller) rememberedFinal(id string) (wire.JobStatus, bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	st, ok := n.finalStatuses[id]
+func (c *Controller) rememberedFinal(id string) (wire.JobStatus, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	st, ok := c.finalStatuses[id]
 	return st, ok
 }
 
-func (n *Controller) isKnown(id string) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	_, ok := n.knownJobs[id]
+func (c *Controller) isKnown(id string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, ok := c.knownJobs[id]
 	return ok
 }
 
-func (n *Controller) setKnown(id string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if len(n.knownJobs) >= maxKnownJobs {
-		clear(n.knownJobs) // only costs one read more
+func (c *Controller) setKnown(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.knownJobs) >= maxKnownJobs {
+		clear(c.knownJobs) // only costs one read more
 	}
-	n.knownJobs[id] = struct{}{}
+	c.knownJobs[id] = struct{}{}
 }
 
 // decodeEnd reads a stored end. One as done may be told at once.
-func (n *Controller) decodeEnd(id string, v msgpack.RawMessage) (e endRecord, err error) {
+func (c *Controller) decodeEnd(id string, v msgpack.RawMessage) (e endRecord, err error) {
 	if err = wire.Unmarshal(v, &e); err == nil && e.Status == wire.JobDone {
-		n.rememberFinal(e.answer(id))
+		c.rememberFinal(e.answer(id))
 	}
 	return e, err
 }
 
 // Status implements api.Service. A non-final answer always rests on a fresh look at the
 // job's end: another node may have told the user of it a moment ago.
-func (n *Controller) Status(ctx context.Context, id string) (wire.JobStatus, error) {
-	if st, ok := n.rememberedFinal(id); ok {
+func (c *Controller) Status(ctx context.Context, id string) (wire.JobStatus, error) {
+	if st, ok := c.rememberedFinal(id); ok {
 		return st, nil
 	}
-	v := n.lookUpJob(ctx, id, n.isKnown(id))
-	if late, ok := n.rememberedFinal(id); ok {
+	v := c.lookUpJob(ctx, id, c.isKnown(id))
+	if late, ok := c.rememberedFinal(id); ok {
 		// The end came by another way while it was looked up. Asking once more
 		// whether the job is known would find it gone from the known ones, and
 		// an accepted job would get 404.
@@ -129,12 +129,12 @@
 		if wire.Final(v.st.Status) {
 			return v.st, nil
 		}
-		end, err := n.endOf(ctx, id)
+		end, err := c.endOf(ctx, id)
 		switch {
 		case err != nil:
 			return wire.JobStatus{}, api.ErrNotNow
 		case end.Status == wire.JobDone || !v.accepted:
-			n.rememberFinal(end.answer(id))
+			c.rememberFinal(end.answer(id))
 			return end.answer(id), nil
 		case !end.Untold:
 			return wire.JobStatus{}, api.ErrNotNow
@@ -147,39 +147,39 @@
 }
 
 // Submit implements api.Service: a job is accepted by creating its key, as any node may.
-func (n *Controller) Submit(ctx context.Context, j *wire.Job) (wire.JobStatus, bool, error) {
-	if st, ok := n.rememberedFinal(j.ID); ok {
+func (c *Controller) Submit(ctx context.Context, j *wire.Job) (wire.JobStatus, bool, error) {
+	if st, ok := c.rememberedFinal(j.ID); ok {
 		return st, false, nil
 	}
-	if n.isKnown(j.ID) {
-		st, err := n.Status(ctx, j.ID)
+	if c.isKnown(j.ID) {
+		st, err := c.Status(ctx, j.ID)
 		return st, false, err
 	}
-	cat, ok := n.machineTypes()
+	cat, ok := c.machineTypes()
 	if !ok {
 		return wire.JobStatus{}, false, api.ErrNotNow
 	}
-	never := sched.Admit(n.config.current().settings, cat, j)
+	never := sched.Admit(c.config.current().settings, cat, j)
 	if never != nil {
 		// A known job stays known, whatever the settings say by now.
-		st, err := n.Status(ctx, j.ID)
+		st, err := c.Status(ctx, j.ID)
 		if errors.Is(err, api.ErrUnknown) {
 			return st, false, fmt.Errorf("%w: %v", api.ErrNever, never)
 		}
 		return st, false, err
 	}
 	select {
-	case n.submitSlots <- struct{}{}:
-		defer func() { <-n.submitSlots }()
+	case c.submitSlots <- struct{}{}:
+		defer func() { <-c.submitSlots }()
 	default:
 		return wire.JobStatus{}, false, api.ErrOverload
 	}
-	rec := jobRecord{Job: *j, Arrival: n.now()}
-	if b, err := wire.Marshal(rec); err != nil || float64(len(b)) > 0.9*1024*n.settings.Deployment.State.ValueKB {
+	rec := jobRecord{Job: *j, Arrival: c.now()}
+	if b, err := wire.Marshal(rec); err != nil || float64(len(b)) > 0.9*1024*c.settings.Deployment.State.ValueKB {
 		// Sizes count in the longer text form; no sensible job comes near.
 		return wire.JobStatus{}, false, fmt.Errorf("%w: too large to be stored", wire.ErrMalformed)
 	}
-	st, err := n.unlessEnded(ctx, j.ID, wire.Txn{
+	st, err := c.unlessEnded(ctx, j.ID, wire.Txn{
 		Conditions: []wire.Condition{{Key: jobKey(j.ID)}, {Key: endKey(j.ID)}},
 		Mutations:  []wire.Mutation{{Put: jobKey(j.ID), Value: rec}},
 	})
@@ -187,11 +187,11 @@
 	case err == nil && wire.Final(st.Status):
 		return st, false, nil
 	case err == nil:
-		n.setKnown(j.ID)
+		c.setKnown(j.ID)
 		return wire.JobStatus{ID: j.ID, Status: wire.JobQueued}, true, nil
 	case errors.Is(err, kvstore.ErrConflict), errors.Is(err, kvstore.ErrUnknown):
 		// Accepted before, or perhaps just now: read it back.
-		st, err := n.Status(ctx, j.ID)
+		st, err := c.Status(ctx, j.ID)
 		if errors.Is(err, api.ErrUnknown) {
 			err = api.ErrNotNow // it may still be applied
 		}
@@ -202,9 +202,9 @@
 
 // createEnd creates a job's end or returns the one that exists. An error means
 // that it isn't known whether there is an end.
-func (n *Controller) createEnd(ctx context.Context, id, status string, done int, conds []wire.Condition) (endRecord, error) {
-	end := endRecord{Status: status, At: n.now(), Done: done, Untold: status == wire.JobCancelled}
-	st, err := n.unlessEnded(ctx, id, wire.Txn{
+func (c *Controller) createEnd(ctx context.Context, id, status string, done int, conds []wire.Condition) (endRecord, error) {
+	end := endRecord{Status: status, At: c.now(), Done: done, Untold: status == wire.JobCancelled}
+	st, err := c.unlessEnded(ctx, id, wire.Txn{
 		Conditions: append(slices.Clone(conds), wire.Condition{Key: endKey(id)}),
 		Mutations:  []wire.Mutation{{Put: endKey(id), Value: end}},
 	})
@@ -213,11 +213,11 @@
 		return endAs(st), nil
 	case err == nil:
 		if status == wire.JobDone {
-			n.rememberFinal(end.answer(id))
+			c.rememberFinal(end.answer(id))
 		}
 		return end, nil
 	case errors.Is(err, kvstore.ErrConflict), errors.Is(err, kvstore.ErrUnknown):
-		if there, rerr := n.endOf(ctx, id); rerr == nil {
+		if there, rerr := c.endOf(ctx, id); rerr == nil {
 			return there, nil
 		}
 	}
--- a/internal/controller/workercontacts.go
+++ b/internal/controller/workercontacts.go
@@ -17,40 +17,40 @@
 
 // recordWorkerContact notes that a worker has reported to this node. What each node has heard is
 // all that is left of it when a leader ends.
-func (n *Controller) recordWorkerContact(host string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if _, known := n.workerSeenAt[host]; !known && len(n.workerSeenAt) >= peer.MostHeard {
-		for h, at := range n.workerSeenAt {
+func (c *Controller) recordWorkerContact(host string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if _, known := c.workerSeenAt[host]; !known && len(c.workerSeenAt) >= peer.MostHeard {
+		for h, at := range c.workerSeenAt {
 			if time.Since(at) > workerContactTTL {
-				delete(n.workerSeenAt, h)
+				delete(c.workerSeenAt, h)
 			}
 		}
-		if len(n.workerSeenAt) >= peer.MostHeard {
+		if len(c.workerSeenAt) >= peer.MostHeard {
 			return
 		}
 	}
-	n.workerSeenAt[host] = time.Now()
-	n.paceSendOn()
+	c.workerSeenAt[host] = time.Now()
+	c.paceSendOn()
 }
 
 // paceSendOn sets, once a second, how many workers may be sent on by how many reported to this
 // node within a lease. n.mu is held.
-func (n *Controller) paceSendOn() {
-	if time.Since(n.sendOnAt) < time.Second {
+func (c *Controller) paceSendOn() {
+	if time.Since(c.sendOnAt) < time.Second {
 		return
 	}
-	n.sendOnAt = time.Now()
-	lease := time.Duration(config.Micro(n.settings.Deployment.Workers.LeaseS)) * time.Microsecond
+	c.sendOnAt = time.Now()
+	lease := time.Duration(config.Micro(c.settings.Deployment.Workers.LeaseS)) * time.Microsecond
 	heard := 0
-	for _, at := range n.workerSeenAt {
+	for _, at := range c.workerSeenAt {
 		if time.Since(at) <= lease {
 			heard++
 		}
 	}
 	most := sendOnRate(heard)
-	n.redirectLimiter.SetLimit(rate.Limit(most))
-	n.redirectLimiter.SetBurst(sendOnBurst * most)
+	c.redirectLimiter.SetLimit(rate.Limit(most))
+	c.redirectLimiter.SetBurst(sendOnBurst * most)
 }
 
 // sendOnRate is how many workers a second may be sent on if so many report to this node.
@@ -71,23 +71,23 @@
 
 // gatherWorkerContacts is when this node and its peers last heard which worker. Peers that don't
 // answer at once are left out: it is evidence, and proves nothing.
-func (n *Controller) gatherWorkerContacts(ctx context.Context) map[string]config.Micros {
+func (c *Controller) gatherWorkerContacts(ctx context.Context) map[string]config.Micros {
 	at := map[string]config.Micros{}
 	var mu sync.Mutex
 	take := func(hs []peer.Contact) {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, h := range hs {
-			at[h.Host] = max(at[h.Host], n.now()-max(0, h.AgeMicros))
+			at[h.Host] = max(at[h.Host], c.now()-max(0, h.AgeMicros))
 		}
 	}
-	take(n.workerContacts())
+	take(c.workerContacts())
 	ctx, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
 	defer cancel()
 	var all sync.WaitGroup
-	for _, p := range n.peers {
+	for _, p := range c.peers {
 		all.Go(func() {
-			h := n.newHeartbeat()
+			h := c.newHeartbeat()
 			h.WantContacts = true
 			if a, err := p.Heartbeat(ctx, h); err == nil {
 				take(a.Contacts)
@@ -99,16 +99,16 @@
 }
 
 // peersForDetector is what this node knows of the others, for the detector.
-func (n *Controller) peersForDetector() []failuredomain.Controller {
-	out := make([]failuredomain.Controller, 0, len(n.settings.Members))
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, m := range n.settings.Members {
-		c := failuredomain.Controller{Zone: m.Zone}
-		if at, ok := n.peerSeenAt[m.Label]; ok {
-			c.Heard = max(1, n.now()-config.Micros(time.Since(at)/time.Microsecond))
+func (c *Controller) peersForDetector() []failuredomain.Controller {
+	out := make([]failuredomain.Controller, 0, len(c.settings.Members))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, m := range c.settings.Members {
+		peerView := failuredomain.Controller{Zone: m.Zone}
+		if at, ok := c.peerSeenAt[m.Label]; ok {
+			peerView.Heard = max(1, c.now()-config.Micros(time.Since(at)/time.Microsecond))
 		}
-		out = append(out, c)
+		out = append(out, peerView)
 	}
 	return out
 }
