--- a/internal/node/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"dalefront/internal/api"
 	"dalefront/internal/archive"
 	"dalefront/internal/config"
-	"dalefront/internal/site"
-	"dalefront/internal/state"
+	"dalefront/internal/emulator"
+	"dalefront/internal/kvstore"
 	"dalefront/wire"
 )
 
@@ -23,8 +23,8 @@
 // that runs at moments of the test's choice.
 type scene struct {
 	t       *testing.T
-	svc     *site.Services
-	n       *Node
+	svc     *emulator.Services
+	n       *Controller
 	compact *archive.Compactor
 	reader  *archive.Reader
 	before  func(request int64) // runs before each of the node's requests
@@ -37,7 +37,7 @@
 
 func newScene(t *testing.T) *scene {
 	t.Helper()
-	s := &scene{t: t, svc: site.NewServices(wire.Catalog{})}
+	s := &scene{t: t, svc: emulator.NewServices(wire.Catalog{})}
 	s.n = testNode(t, func(w http.ResponseWriter, r *http.Request) {
 		if k := s.count.Add(1); s.before != nil {
 			s.before(k)
@@ -47,15 +47,15 @@
 		set.Deployment.Teams = []config.Team{{Name: "a"}}
 		set.Deployment.State.ValueKB, set.Deployment.State.TxnOps = 16, 12
 	})
-	s.n.takeCatalog(wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 4, Zones: []string{"x"}}}})
+	s.n.setCatalog(wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 4, Zones: []string{"x"}}}})
 	direct := httptest.NewServer(s.svc)
 	t.Cleanup(direct.Close)
 	s.svc.Set(termKey, termRecord{Node: "b", Mark: "b.1"})
 	e, _ := s.svc.Entry(termKey)
-	store := state.New(strings.TrimPrefix(direct.URL, "http://"), 1e6, 1e6, 1)
+	store := kvstore.New(strings.TrimPrefix(direct.URL, "http://"), 1e6, 1e6, 1)
 	s.reader = archive.NewReader(store)
 	s.compact = archive.NewCompactor(s.reader,
-		endSource(func() wire.Cond { return wire.Cond{Key: termKey, Version: e.Version} }, func() int64 { return 1000 }),
+		endSource(func() wire.Condition { return wire.Condition{Key: termKey, Version: e.Version} }, func() int64 { return 1000 }),
 		archive.Limits{Ops: 12, Value: 16 << 10, After: 10})
 	return s
 }
@@ -85,13 +85,13 @@
 	s.t.Fatal("no end of archiving")
 }
 
-var sceneOps = map[string]func(*Node, string) (wire.JobStatus, error){
-	"poll": func(n *Node, id string) (wire.JobStatus, error) { return n.Status(context.Background(), id) },
-	"submit": func(n *Node, id string) (wire.JobStatus, error) {
+var sceneOps = map[string]func(*Controller, string) (wire.JobStatus, error){
+	"poll": func(n *Controller, id string) (wire.JobStatus, error) { return n.Status(context.Background(), id) },
+	"submit": func(n *Controller, id string) (wire.JobStatus, error) {
 		st, _, err := n.Submit(context.Background(), sceneJob(id))
 		return st, err
 	},
-	"withdraw": func(n *Node, id string) (wire.JobStatus, error) { return n.Cancel(context.Background(), id) },
+	"withdraw": func(n *Controller, id string) (wire.JobStatus, error) { return n.Cancel(context.Background(), id) },
 }
 
 func sceneJob(id string) *wire.Job {
@@ -100,7 +100,7 @@
 
 // check asks until it gets an answer, which must be the job's end, and looks whether
 // anything of the job came back to life.
-func (s *scene) check(what string, op func(*Node, string) (wire.JobStatus, error), id string, want endRecord) {
+func (s *scene) check(what string, op func(*Controller, string) (wire.JobStatus, error), id string, want endRecord) {
 	s.t.Helper()
 	for tries := 0; ; tries++ {
 		st, err := op(s.n, id)
--- a/internal/node/load.go
+++ b/internal/controller/recovery.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -21,13 +21,13 @@
 // all checks pass, otherwise from what it reads now. From the moment the term was taken nobody
 // else can change it but by accepting and ending jobs, which the watch brings.
 func (r *leadership) load() error {
-	n := r.n
+	n := r.controller
 	began := time.Now()
 	// A peer that is gone costs its time limit: the store is read meanwhile, and a copy
 	// does not wait for it. It is evidence about silent machines and nothing else.
 	heard := make(chan map[string]int64, 1)
-	go func() { heard <- n.gatherHeard(r.ctx) }()
-	s, why := n.warm.takeOver(r.ctx, r.token, r.lease)
+	go func() { heard <- n.gatherWorkerContacts(r.ctx) }()
+	s, why := n.follower.takeOver(r.ctx, r.token, r.lease)
 	if s == nil {
 		var err error
 		if s, err = r.read(); err != nil {
@@ -41,15 +41,15 @@
 	if why == "" {
 		go func() {
 			at := <-heard
-			n.post(func() {
+			n.postToOwner(func() {
 				for host, t := range at {
-					core.Told(host, t)
+					core.PeerContact(host, t)
 				}
 			})
 		}()
 	} else {
 		for host, at := range <-heard {
-			core.Told(host, at)
+			core.PeerContact(host, at)
 		}
 	}
 	n.log.Info("loaded", "warm", why == "", "cold_because", why, "jobs", len(s.jobs), "entries", len(s.ledger), "revision", s.revision,
@@ -63,8 +63,8 @@
 
 // read reads what a takeover needs.
 func (r *leadership) read() (*stored, error) {
-	n := r.n
-	s := &stored{ledger: map[string]sched.Entry{}}
+	n := r.controller
+	s := &stored{ledger: map[string]sched.LedgerEntry{}}
 	copied := r.loadCopy()
 	configured := make(chan error, 1)
 	go func() { configured <- n.config.refresh(r.ctx) }()
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	for _, e := range entries {
-		var entry sched.Entry
+		var entry sched.LedgerEntry
 		if err := wire.Unmarshal(e.Value, &entry); err != nil {
 			return nil, fmt.Errorf("ledger entry %s: %w", e.Key, err)
 		}
@@ -113,7 +113,7 @@
 	for _, e := range hires {
 		s.hires = append(s.hires, e.Key)
 	}
-	if n.cal != nil {
+	if n.calendar != nil {
 		if s.schedule, _, err = r.list(copied, schedulePrefix); err != nil {
 			return nil, err
 		}
@@ -145,8 +145,8 @@
 
 // build makes the core of the term from what is stored, however it came here.
 func (r *leadership) build(s *stored) (*sched.Core, error) {
-	n := r.n
-	cat, _ := n.types()
+	n := r.controller
+	cat, _ := n.machineTypes()
 	now := n.now()
 	if err := n.config.follows(s.config, s.revision); err != nil {
 		return nil, err
@@ -154,41 +154,44 @@
 	inForce := n.config.current()
 	core := sched.New(inForce.settings, r.token, now, cat, func(msg string, args ...any) { n.log.Info(msg, args...) })
 	core.Configure(inForce.settings, inForce.cordons, inForce.version, now)
-	r.tidy, r.chunks, r.chunkAt = nil, map[string]int{}, map[string]uint64{}
+	r.staleKeys, r.chunkCounts, r.chunkVersions = nil, map[string]int{}, map[string]uint64{}
 	for _, rec := range s.jobs {
 		core.AddJob(rec.Job, rec.Arrival, now)
 		n.setKnown(rec.Job.ID)
 	}
 	for _, c := range s.chunks {
 		if _, _, _, known := core.Counts(c.id); !known {
-			r.tidy = append(r.tidy, c.key) // left by a job that is over and gone
+			r.staleKeys = append(r.staleKeys, c.key) // left by a job that is over and gone
 			continue
 		}
 		core.SetProgress(c.id, c.index, c.text)
-		r.chunkAt[c.key] = c.version
-		r.chunks[c.id] = max(r.chunks[c.id], c.index+1)
+		r.chunkVersions[c.key] = c.version
+		r.chunkCounts[c.id] = max(r.chunkCounts[c.id], c.index+1)
 	}
-	core.Load(s.ledger)
+	core.RecoverLedger(s.ledger)
 	if s.learned != nil {
-		core.Remember(*s.learned)
+		core.RestoreStatistics(*s.learned)
 	}
 	// The machines of a hire whose answer was lost show up in the list and in reports, and
 	// are adopted; the name is never used again.
-	r.tidy = append(r.tidy, s.hires...)
+	r.staleKeys = append(r.staleKeys, s.hires...)
 	for _, e := range s.ends {
 		if e.Status == wire.JobDone {
-			n.remember(e.answer(e.id))
+			n.rememberFinal(e.answer(e.id))
 		}
-		core.Ended(e.id, e.Status, n.now())
+		core.JobEnded(e.id, e.Status, n.now())
 	}
 	return core, r.loadSchedules(s.schedule)
 }
 
+// endReaders is how many ends are read at a time at a takeover.
+const endReaders = 8
+
 // endsOf reads the ends of those of the jobs that have ended. Which have is asked
 // for many at a time, by a transaction that only compares; their ends are read side
 // by side: after a flood of small jobs hundreds may wait to be tidied up, and a
 // takeover must not ask for one after the other.
-func (n *Node) endsOf(ctx context.Context, jobs []wire.Entry) (ends []wire.Entry, err error) {
+func (n *Controller) endsOf(ctx context.Context, jobs []wire.KeyValue) (ends []wire.KeyValue, err error) {
 	var ids, keys []string
 	for _, e := range jobs {
 		ids = append(ids, strings.TrimPrefix(e.Key, jobPrefix))
@@ -202,16 +205,16 @@
 			keys = append(keys, endKey(id))
 		}
 	}
-	ends = make([]wire.Entry, len(keys))
+	ends = make([]wire.KeyValue, len(keys))
 	errs := make([]error, len(keys))
 	var all sync.WaitGroup
-	turn := make(chan struct{}, 8)
+	turn := make(chan struct{}, endReaders)
 	for i, k := range keys {
 		turn <- struct{}{}
 		all.Go(func() {
 			defer func() { <-turn }()
 			var found bool
-			if ends[i], found, errs[i] = n.state.Get(ctx, k); errs[i] == nil && !found {
+			if ends[i], found, errs[i] = n.store.Get(ctx, k); errs[i] == nil && !found {
 				errs[i] = fmt.Errorf("%s is missing", k)
 			}
 		})
@@ -224,11 +227,11 @@
 type stored struct {
 	jobs     []*jobRecord
 	chunks   []storedChunk
-	ledger   map[string]sched.Entry
-	learned  *sched.Learned
+	ledger   map[string]sched.LedgerEntry
+	learned  *sched.Statistics
 	hires    []string // keys
-	schedule []wire.Entry
-	config   []wire.Entry // of a copy; otherwise it was read already
+	schedule []wire.KeyValue
+	config   []wire.KeyValue // of a copy; otherwise it was read already
 	ends     []storedEnd
 	revision uint64
 }
@@ -247,7 +250,7 @@
 
 // storedOf sorts what a copy has.
 func storedOf(c *standby.Copy) *stored {
-	s := &stored{ledger: map[string]sched.Entry{}, revision: c.Revision()}
+	s := &stored{ledger: map[string]sched.LedgerEntry{}, revision: c.Revision()}
 	for _, k := range c.Under(jobPrefix) {
 		it, _ := c.Get(k)
 		s.jobs = append(s.jobs, it.Decoded.(*jobRecord))
@@ -262,7 +265,7 @@
 	}
 	for _, k := range c.Under(ledgerPrefix) {
 		it, _ := c.Get(k)
-		s.ledger[strings.TrimPrefix(k, ledgerPrefix)] = *it.Decoded.(*sched.Entry)
+		s.ledger[strings.TrimPrefix(k, ledgerPrefix)] = *it.Decoded.(*sched.LedgerEntry)
 	}
 	if it, ok := c.Get(learnedKey); ok {
 		s.learn(it.Value)
@@ -270,17 +273,17 @@
 	s.hires = c.Under(hirePrefix)
 	for _, k := range c.Under(dynconfig.Prefix) {
 		it, _ := c.Get(k)
-		s.config = append(s.config, wire.Entry{Key: k, Value: it.Value, Version: it.Version})
+		s.config = append(s.config, wire.KeyValue{Key: k, Value: it.Value, Version: it.Version})
 	}
 	for _, k := range c.Under(schedulePrefix) {
 		it, _ := c.Get(k)
-		s.schedule = append(s.schedule, wire.Entry{Key: k, Value: it.Value, Version: it.Version})
+		s.schedule = append(s.schedule, wire.KeyValue{Key: k, Value: it.Value, Version: it.Version})
 	}
 	return s
 }
 
 func (s *stored) learn(value []byte) {
-	var l sched.Learned
+	var l sched.Statistics
 	if wire.Unmarshal(value, &l) == nil {
 		s.learned = &l
 	}
--- a/internal/load/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,8 +1,8 @@
-// Package load runs experiments: classes of jobs that arrive at random, at a site that
+// Package experiment runs experiments: classes of jobs that arrive at random, at a site that
 // is played in simulated time around the scheduler's core, with faults, repetitions,
 // variants and sweeps of settings that are compared; or, in real time, at a site that
 // runs.
-package load
+package experiment
 
 import (
 	"cmp"
@@ -15,8 +15,8 @@
 	"github.com/hashicorp/hcl/v2/gohcl"
 
 	"dalefront/internal/config"
+	"dalefront/internal/emulator"
 	"dalefront/internal/hclfile"
-	"dalefront/internal/site"
 	"dalefront/wire"
 )
 
@@ -31,13 +31,13 @@
 	Faults    []Fault   `hcl:"fault,block"`
 	Variants  []Variant `hcl:"variant,block"` // one, adaptive, if there is none
 	Sweeps    []Sweep   `hcl:"sweep,block"`   // each variant is played with each combination
-	Site      site.Spec
+	Site      emulator.Spec
 }
 
 // file is an experiment as it is written: its site may be left out.
 type file struct {
-	Body hcl.Body   `hcl:",remain"`
-	Site *site.Spec `hcl:"site,block"`
+	Body hcl.Body       `hcl:",remain"`
+	Site *emulator.Spec `hcl:"site,block"`
 }
 
 // Sweep is a setting and the values with which it is played: "machines", or one of the
@@ -183,27 +183,33 @@
 	}
 }
 
+const (
+	mostMachines = 10_000 // of an experiment
+	mostTasks    = 10_000 // of one of its jobs
+	mostRepeats  = 100    // runs of a variant
+)
+
 func (e *Experiment) check(name string) error {
 	top := hcl.Range{Filename: name, Start: hcl.InitialPos}
 	if !(e.DurationS >= 1 && e.DurationS <= 1e6) || !(e.DrainS >= 0 && e.DrainS <= 1e7) {
 		return hclfile.At(top, "duration_s must be from 1 to 1000000, and drain_s from 0 to 10000000")
 	}
-	if e.Repeat > 100 || e.Machines < 1 || e.Machines > 10_000 || len(e.Classes) == 0 {
+	if e.Repeat > mostRepeats || e.Machines < 1 || e.Machines > mostMachines || len(e.Classes) == 0 {
 		return hclfile.At(top, "repeat is at most 100, machines from 1 to 10000, and there must be a class")
 	}
 	for _, c := range e.Classes {
 		switch {
-		case !slices.ContainsFunc(e.Site.Teams, func(t site.SpecTeam) bool { return t.Name == c.Team }):
+		case !slices.ContainsFunc(e.Site.Teams, func(t emulator.SpecTeam) bool { return t.Name == c.Team }):
 			return hclfile.At(c.Range, "class %s: team %s is not one of the site's", c.Name, c.Team)
 		case !slices.Contains([]string{wire.Production, wire.High, wire.Normal, wire.Low}, c.Priority):
 			return hclfile.At(c.Range, "class %s: priority must be production, urgent, normal or low", c.Name)
 		case c.Shape != wire.Array && c.Shape != wire.Gang:
 			return hclfile.At(c.Range, "class %s: shape must be %s or %s", c.Name, wire.Array, wire.Gang)
-		case len(c.Tasks) != 2 || c.Tasks[0] < 1 || c.Tasks[1] < c.Tasks[0] || c.Tasks[1] > 10_000:
+		case len(c.Tasks) != 2 || c.Tasks[0] < 1 || c.Tasks[1] < c.Tasks[0] || c.Tasks[1] > mostTasks:
 			return hclfile.At(c.Range, "class %s: tasks must be [FROM, TO], from 1 to 10000", c.Name)
 		case len(c.RunS) != 2 || !(c.RunS[0] > 0 && c.RunS[0] < 1e6) || !(c.RunS[1] >= 0 && c.RunS[1] <= 3):
 			return hclfile.At(c.Range, "class %s: run_s must be [MEAN, DEVIATION], the mean above 0, the deviation of its logarithm from 0 to 3", c.Name)
-		case !(c.CPUs > 0 && c.MemoryGB > 0 && c.GPUs >= 0) || !slices.ContainsFunc(e.Site.Types, func(m site.SpecMachine) bool {
+		case !(c.CPUs > 0 && c.MemoryGB > 0 && c.GPUs >= 0) || !slices.ContainsFunc(e.Site.Types, func(m emulator.SpecMachine) bool {
 			return c.CPUs <= m.CPUs && c.GPUs <= m.GPUs && c.MemoryGB <= m.MemoryGB
 		}):
 			return hclfile.At(c.Range, "class %s: cpus and memory_gb must be above 0, gpus not below, and fit a machine", c.Name)
@@ -216,8 +222,8 @@
 		}
 	}
 	for _, f := range e.Faults {
-		if !slices.Contains(site.Faults, f.Kind) || f.Count < 1 || f.AtS < 0 || f.ForS < 0 {
-			return hclfile.At(f.Range, "fault must be one of %v, at_s and for_s not negative", site.Faults)
+		if !slices.Contains(emulator.Faults, f.Kind) || f.Count < 1 || f.AtS < 0 || f.ForS < 0 {
+			return hclfile.At(f.Range, "fault must be one of %v, at_s and for_s not negative", emulator.Faults)
 		}
 	}
 	names := map[string]bool{}
@@ -231,7 +237,7 @@
 		if _, err := e.settings(v); err != nil {
 			return hclfile.At(v.Range, "variant %s: %v", v.Name, err)
 		}
-		if names[v.Name] || v.Machines < 0 || v.Machines > 10_000 {
+		if names[v.Name] || v.Machines < 0 || v.Machines > mostMachines {
 			return hclfile.At(v.Range, "variant %s: names differ, and machines are from 1 to 10000", v.Name)
 		}
 		names[v.Name] = true
--- /dev/null
+++ b/internal/sched/statistics.go
@@ -0,0 +1,169 @@
+package sched
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"sort"
+
+	"dalefront/internal/failuredomain"
+)
+
+// Statistics is what a leader has observed and its successor would otherwise have
+// to observe anew. It decides nothing by itself: a late or missing copy only costs
+// time.
+type Statistics struct {
+	At      Micros               `msgpack:"A"` // time of day
+	Write   float64              `msgpack:"W"` // bandwidth of saves, GB/s
+	Classes []ClassStatistics    `msgpack:"C"`
+	Teams   []TeamStatistics     `msgpack:"T,omitempty"`
+	Suspect []JobStatistics      `msgpack:"J,omitempty"`
+	Silence failuredomain.Memory `msgpack:"S"` // how past silences of machines and zones ended
+}
+
+// ClassStatistics is what was observed of a class of jobs.
+type ClassStatistics struct {
+	Name     string  `msgpack:"N"`
+	Ratio    float64 `msgpack:"R"`
+	Arrivals float64 `msgpack:"A"`
+	Size     float64 `msgpack:"S"`
+	Ended    float64 `msgpack:"E,omitempty"` // jobs done lately
+}
+
+// TeamStatistics is what was observed of a team.
+type TeamStatistics struct {
+	Name  string  `msgpack:"N"`
+	Ended float64 `msgpack:"E"`
+}
+
+// JobStatistics is a job that failed on several machines and did nothing anywhere.
+type JobStatistics struct {
+	ID    string   `msgpack:"I"`
+	Hosts []string `msgpack:"H"` // two of those machines
+	Times int      `msgpack:"T"` // rounds of failures
+}
+
+// mostLearned bounds what is stored, well below any value limit: the classes that
+// most arrives of.
+const mostLearned = 64
+
+// maxLearnedName is how long a name may be of which something is stored.
+const maxLearnedName = 64
+
+const (
+	// learnedShare is the part of a stored value's limit that what was learned may fill with teams.
+	learnedShare = 0.75
+	// learnedClassBytes, learnedTeamBytes and learnedJobBytes are what a class, a team and a suspect
+	// job take of the longer text form, by which the limit counts, beside their names.
+	learnedClassBytes = 120
+	learnedTeamBytes  = 40
+	learnedJobBytes   = 50
+	// learnedRestBytes is for what doesn't grow with the site.
+	learnedRestBytes = 1200
+)
+
+// room is how many bytes of a stored value of at most limit bytes are left for teams.
+func (l *Statistics) room(limit float64) int {
+	left := int(limit*learnedShare) - learnedRestBytes
+	for i := range l.Classes {
+		left -= learnedClassBytes + len(l.Classes[i].Name)
+	}
+	for i := range l.Suspect {
+		left -= learnedJobBytes + len(l.Suspect[i].ID)
+		for _, host := range l.Suspect[i].Hosts {
+			left -= len(host)
+		}
+	}
+	return left
+}
+
+// cutTeams keeps the teams of which most jobs have ended: mostLearned of them, and more as far as
+// they fit. Their order stays.
+func (l *Statistics) cutTeams(limit float64) {
+	if len(l.Teams) <= mostLearned {
+		return
+	}
+	byEnded := slices.Clone(l.Teams)
+	slices.SortStableFunc(byEnded, func(a, b TeamStatistics) int { return cmp.Compare(b.Ended, a.Ended) })
+	left := l.room(limit)
+	kept := map[string]bool{}
+	for i, t := range byEnded {
+		if left -= learnedTeamBytes + len(t.Name); left < 0 && i >= mostLearned {
+			break
+		}
+		kept[t.Name] = true
+	}
+	l.Teams = slices.DeleteFunc(l.Teams, func(t TeamStatistics) bool { return !kept[t.Name] })
+}
+
+// Statistics sums up what was observed.
+func (c *Core) Statistics(now Micros) Statistics {
+	l := Statistics{At: now, Write: c.writeGBPerS, Silence: c.detector.Memory()}
+	for _, cl := range c.classesByName() {
+		cl.decay(now)
+		if len(cl.name) <= maxLearnedName {
+			cl.service.decay(now)
+			l.Classes = append(l.Classes, ClassStatistics{cl.name, cl.runTimeRatio, cl.decayedArrivals, cl.meanTasks, cl.service.decayedDone})
+		}
+	}
+	for _, t := range c.teamsByName() {
+		if t.service.decay(now); t.service.decayedDone > 0.1 && len(t.Name) <= maxLearnedName {
+			l.Teams = append(l.Teams, TeamStatistics{t.Name, t.service.decayedDone})
+		}
+	}
+	sort.Slice(l.Classes, func(a, b int) bool {
+		x, y := &l.Classes[a], &l.Classes[b]
+		if x.Arrivals != y.Arrivals {
+			return x.Arrivals > y.Arrivals
+		}
+		return x.Name < y.Name
+	})
+	l.Classes = l.Classes[:min(len(l.Classes), mostLearned)]
+	for _, j := range c.jobsByID(func(j *job) bool { return !j.isOver() && j.isSuspect() }) {
+		if len(l.Suspect) < mostLearned {
+			hosts := slices.Sorted(maps.Keys(j.failedHosts))
+			l.Suspect = append(l.Suspect, JobStatistics{j.id, hosts[:2], j.failureRounds})
+		}
+	}
+	l.cutTeams(c.settings.Deployment.State.ValueKB * 1024)
+	return l
+}
+
+// RestoreStatistics takes what the last leader observed, after the jobs. Times of day of
+// different nodes differ a little, which does not matter here.
+func (c *Core) RestoreStatistics(l Statistics) {
+	if l.Write > 0 {
+		c.writeGBPerS = l.Write
+	}
+	c.detector.Remember(l.Silence)
+	for _, x := range l.Classes {
+		if x.Ratio <= 0 || x.Arrivals < 0 || x.Size < 0 {
+			continue
+		}
+		cl := c.classOf(x.Name)
+		cl.runTimeRatio = x.Ratio
+		cl.service.restore(x.Ended, min(l.At, c.now), c.now)
+		old := class{decayedArrivals: x.Arrivals, decayedAt: min(l.At, c.now)}
+		old.decay(c.now)
+		if old.decayedArrivals > cl.decayedArrivals {
+			cl.decayedArrivals, cl.decayedAt, cl.meanTasks = old.decayedArrivals, c.now, x.Size
+			if cl.lastArrival == 0 {
+				cl.lastArrival = c.now // nobody says how long before
+			}
+		}
+	}
+	for _, x := range l.Suspect {
+		// Otherwise leaders that end one after the other would each try such jobs with
+		// all their tasks, in room that others wait for.
+		if j := c.jobs[x.ID]; j != nil && j.completedCount == 0 && len(x.Hosts) == 2 && x.Hosts[0] != x.Hosts[1] {
+			j.failedHosts = map[string]bool{x.Hosts[0]: true, x.Hosts[1]: true}
+			j.failureRounds = max(0, x.Times)
+			j.backoffUntil = c.now + min(failureBackoffCap, second<<min(j.failureRounds, 6))/2
+		}
+	}
+	for _, x := range l.Teams {
+		if t := c.teams[x.Name]; t != nil {
+			t.service.restore(x.Ended, min(l.At, c.now), c.now)
+		}
+	}
+}
