--- a/internal/sched/served.go
+++ b/internal/sched/served.go
@@ -58,14 +58,41 @@
 	}
 }
 
+// tally counts the unfinished jobs of a class or a team that run or have waited for a while. It
+// adds up whole numbers: these are the same whatever the order of the jobs, while sums of
+// fractions are rounded differently in each order.
+type tally struct {
+	jobs    int
+	waiting int64 // how much of these jobs waits, in parts of a job
+}
+
+// partsPerJob is how many parts of a job a tally counts.
+const partsPerJob = 1_000_000_000
+
+// waitingParts is how much of the job waits, in parts of a job.
+func (j *job) waitingParts() int64 {
+	return int64(j.pending()) * partsPerJob / int64(j.spec.Tasks)
+}
+
+// add counts one more job, of which so many parts wait.
+func (t *tally) add(waiting int64) {
+	t.jobs++
+	t.waiting += waiting
+}
+
+// without returns the tally less the jobs of another one that are all counted in it.
+func (t tally) without(other tally) tally {
+	return tally{t.jobs - other.jobs, t.waiting - other.waiting}
+}
+
 // reckon brings the share up to date: of the jobs that ended lately, run, or have waited
 // for a while, those that do not wait.
-func (s *served) reckon(now Micros, running, waiting float64) {
+func (s *served) reckon(now Micros, unfinished tally) {
 	s.decay(now)
-	s.asked = s.ended + running + waiting
+	s.asked = s.ended + float64(unfinished.jobs)
 	s.share = 1
 	if s.asked > 0 {
-		s.share = 1 - waiting/s.asked
+		s.share = 1 - float64(unfinished.waiting)/partsPerJob/s.asked
 	}
 }
 
@@ -168,11 +195,10 @@
 		return
 	}
 	c.reckoned = c.now
-	type count struct{ running, waiting float64 }
-	of := map[*served]*count{}
-	get := func(s *served) *count {
+	of := map[*served]*tally{}
+	get := func(s *served) *tally {
 		if of[s] == nil {
-			of[s] = &count{}
+			of[s] = &tally{}
 		}
 		return of[s]
 	}
@@ -180,22 +206,18 @@
 		if j.ended != "" {
 			continue
 		}
-		waits := 0.0 // part of it
+		waiting := int64(0)
 		if c.now-j.arrival > servedGrace && !j.suspect() {
-			waits = float64(j.pending()) / float64(j.spec.Tasks)
+			waiting = j.waitingParts()
 		}
-		if j.first > 0 || waits > 0 || j.finishing {
-			j.both(func(s *served) {
-				get(s).waiting += waits
-				get(s).running += 1 - waits
-			})
+		if j.first > 0 || waiting > 0 || j.finishing {
+			j.both(func(s *served) { get(s).add(waiting) })
 		}
 	}
 	young := c.now-c.since < 3*c.lease
 	group := func(all []*served, rival func(a, b int) bool) {
 		for _, s := range all {
-			x := get(s)
-			s.reckon(c.now, x.running, x.waiting)
+			s.reckon(c.now, *get(s))
 		}
 		for a, s := range all {
 			other := false
@@ -219,11 +241,11 @@
 	// The largest of a class beside the others of it, to which a gang yields for as long as
 	// they fit where it does not.
 	for _, cl := range classes {
-		l, x := &cl.large, get(&cl.large)
+		l, unfinished := &cl.large, *get(&cl.large)
 		l.large = true
-		l.reckon(c.now, x.running, x.waiting)
+		l.reckon(c.now, unfinished)
 		rest := served{ended: cl.had.ended - l.ended, at: c.now}
-		rest.reckon(c.now, get(&cl.had).running-x.running, get(&cl.had).waiting-x.waiting)
+		rest.reckon(c.now, get(&cl.had).without(unfinished))
 		l.judge(c.now, rest.asked >= leastAsked && rest.share >= l.share+lead && !young)
 	}
 }
