--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -36,7 +36,7 @@
 	Submit(ctx context.Context, j *wire.Job) (wire.JobStatus, bool, error)
 	Status(ctx context.Context, id string) (wire.JobStatus, error)
 	Cancel(ctx context.Context, id string) (wire.JobStatus, error)
-	Report(ctx context.Context, r *wire.Report) (wire.ReportAnswer, error)
+	Heartbeat(ctx context.Context, r *wire.Heartbeat) (wire.HeartbeatResponse, error)
 	Ready() error // or why no requests can be taken
 }
 
@@ -85,7 +85,7 @@
 }
 
 func body(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err != nil {
 		return nil, wire.ErrMalformed
 	}
@@ -132,21 +132,21 @@
 		defer cancel()
 		answer(w, r, func(id string) (wire.JobStatus, error) { return s.Status(ctx, id) })
 	})
-	mux.HandleFunc("POST "+wire.PathJobs+"/{id}/"+wire.CancelVerb, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("POST "+wire.PathJobs+"/{id}/"+wire.CancelAction, func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), submitLimit)
 		defer cancel()
 		answer(w, r, func(id string) (wire.JobStatus, error) { return s.Cancel(ctx, id) })
 	})
-	mux.HandleFunc("POST "+wire.PathReport, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("POST "+wire.PathHeartbeat, func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), reportLimit)
 		defer cancel()
-		var rep wire.Report
-		b, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
+		var rep wire.Heartbeat
+		b, err := io.ReadAll(io.LimitReader(r.Body, maxReport))
 		if err != nil || wire.Unmarshal(b, &rep) != nil || rep.Host == "" {
 			refuse(w, wire.ErrMalformed)
 			return
 		}
-		a, err := s.Report(ctx, &rep)
+		a, err := s.Heartbeat(ctx, &rep)
 		if err != nil {
 			refuse(w, err)
 			return
@@ -199,20 +199,30 @@
 	reply(w, http.StatusOK, st)
 }
 
+const (
+	maxReport    = 1 << 20  // bytes of a report; the protocol's limit is lower
+	maxHeader    = 16 << 10 // bytes of a request's header
+	otherSockets = 64       // of the socket budget, for the state service, cloud, peers and commands to workers
+	minConns     = 16       // connections of workers and users, whatever the budget is
+)
+
+// MaxConns is how many connections of workers and users may be open within a socket budget.
+func MaxConns(sockets int) int { return max(minConns, sockets-otherSockets) }
+
 // NewServer returns the HTTP server. It keeps open connections below the
 // socket budget by closing those that are idle when the budget runs short.
 func NewServer(h http.Handler, sockets int) *http.Server {
 	var mu sync.Mutex
 	idle := map[net.Conn]time.Time{}
 	open := 0
-	budget := max(16, sockets-64) // the rest is for the state service, cloud, workers and peers
+	budget := MaxConns(sockets)
 	return &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: 5 * time.Second,
 		ReadTimeout:       10 * time.Second,
 		WriteTimeout:      10 * time.Second,
 		IdleTimeout:       60 * time.Second,
-		MaxHeaderBytes:    16 << 10,
+		MaxHeaderBytes:    maxHeader,
 		ConnState: func(c net.Conn, st http.ConnState) {
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/node/warm_test.go
+++ b/internal/controller/follower_test.go
@@ -1,26 +1,25 @@
-package node
+package controller
 
 import (
 	"context"
 	"fmt"
 	"math/rand/v2"
-	"net/http/httptest"
 	"strings"
 	"testing"
 	"time"
 
 	"dalefront/internal/config"
+	"dalefront/internal/emulator"
 	"dalefront/internal/sched"
-	"dalefront/internal/site"
 	"dalefront/internal/standby"
 	"dalefront/wire"
 )
 
 // tended is a node at a played state service, in which it is the leader's writer too.
 type tended struct {
-	*Node
+	*Controller
 	t    testing.TB
-	svc  *site.Services
+	svc  *emulator.Services
 	ctx  context.Context
 	rng  *rand.Rand
 	term uint64
@@ -31,32 +30,26 @@
 func newTended(t testing.TB, seed uint64) *tended {
 	t.Helper()
 	w := &tended{t: t, rng: rand.New(rand.NewPCG(seed, 23))}
-	n := testNode(t, nil)
-	w.svc = site.NewServices(wire.Catalog{})
-	srv := httptest.NewServer(w.svc)
-	t.Cleanup(srv.Close)
+	w.svc = emulator.NewServices(wire.Catalog{})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	f := 1.0
-	o := &n.set.Operator
 	zero, one := 0.0, 1
-	o.EvictAfterS, o.CheckpointMBS, o.Standbys, o.SuspectS, o.TakeoverCopyS = &f, &f, &one, &f, &zero
-	n.set.Endpoints.State = strings.TrimPrefix(srv.URL, "http://")
-	m, err := New(n.set, n.log)
-	if err != nil {
-		t.Fatal(err)
-	}
-	m.catalog = &wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 8, MemoryGB: 64, Zones: []string{"x"}}}}
-	m.beat.Store(m.now())
-	w.Node, w.ctx = m, ctx
+	n := testNode(t, w.svc.ServeHTTP, func(set *config.Settings) {
+		o := &set.Operator
+		o.EvictAfterS, o.CheckpointMBS, o.Standbys, o.SuspectS, o.TakeoverCopyS = &f, &f, &one, &f, &zero
+	})
+	n.catalog = &wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 8, MemoryGB: 64, Zones: []string{"x"}}}}
+	n.lastTurn.Store(n.now())
+	w.Controller, w.ctx = n, ctx
 	w.take()
 	return w
 }
 
 // write stores changes under the present term.
-func (w *tended) write(then ...wire.Change) {
+func (w *tended) write(then ...wire.Mutation) {
 	w.t.Helper()
-	if _, err := w.state.Multi(w.ctx, wire.Txn{If: []wire.Cond{{Key: termKey, Version: w.term}}, Then: then}); err != nil {
+	if _, err := w.store.Txn(w.ctx, wire.Txn{Conditions: []wire.Condition{{Key: termKey, Version: w.term}}, Mutations: then}); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -64,12 +57,12 @@
 // take replaces the term.
 func (w *tended) take() {
 	w.t.Helper()
-	a, err := w.state.Multi(w.ctx, wire.Txn{If: []wire.Cond{{Key: termKey, Version: w.term}}, Then: []wire.Change{{Put: termKey, Value: termRecord{Node: "a", Mark: fmt.Sprint(w.term)}}}})
+	a, err := w.store.Txn(w.ctx, wire.Txn{Conditions: []wire.Condition{{Key: termKey, Version: w.term}}, Mutations: []wire.Mutation{{Put: termKey, Value: termRecord{Node: "a", Mark: fmt.Sprint(w.term)}}}})
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	w.term = a.Revision
-	w.learn("a", w.term)
+	w.observeTerm("a", w.term)
 }
 
 // live lets something happen to jobs, progress, ledger, ends, hires and what was learned.
@@ -83,27 +76,27 @@
 			id := fmt.Sprintf("j-%06d", w.seq)
 			w.jobs = append(w.jobs, id)
 			j := wire.Job{ID: id, Class: "c", Team: "a", Shape: []string{wire.Array, wire.Gang}[r.IntN(2)], Priority: wire.Normal, Tasks: 1 + r.IntN(9), CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 60}
-			w.write(wire.Change{Put: jobKey(id), Value: jobRecord{Job: j, Arrival: w.now()}})
+			w.write(wire.Mutation{Put: jobKey(id), Value: jobRecord{Job: j, Arrival: w.now()}})
 		case k < 6:
-			e := sched.Entry{Hosts: []sched.EntryHost{{Host: fmt.Sprintf("n-%02d", r.IntN(9)), Type: "s", Zone: "x", Session: 1}},
-				Runs: []sched.Run{{Job: pick(), Attempt: uint64(w.seq), Tasks: []int32{int32(r.IntN(9))}}}}
-			w.write(wire.Change{Put: ledgerPrefix + fmt.Sprintf("%016x.%08x", w.term, w.seq), Value: e})
+			e := sched.LedgerEntry{Hosts: []sched.LedgerHost{{Host: fmt.Sprintf("n-%02d", r.IntN(9)), Type: "s", Zone: "x", Incarnation: 1}},
+				Runs: []sched.LedgerRun{{Job: pick(), Attempt: uint64(w.seq), Tasks: []int32{int32(r.IntN(9))}}}}
+			w.write(wire.Mutation{Put: ledgerPrefix + fmt.Sprintf("%016x.%08x", w.term, w.seq), Value: e})
 		case k < 7:
-			w.write(wire.Change{Put: chunkKey(pick(), 0), Value: "AQAAAAAAAAA="})
+			w.write(wire.Mutation{Put: chunkKey(pick(), 0), Value: "AQAAAAAAAAA="})
 		case k < 8:
 			id := pick()
-			_, _ = w.state.Multi(w.ctx, wire.Txn{If: []wire.Cond{{Key: endKey(id)}}, Then: []wire.Change{{Put: endKey(id), Value: endRecord{Status: wire.JobDone, At: w.now(), Done: 1}}}})
+			_, _ = w.store.Txn(w.ctx, wire.Txn{Conditions: []wire.Condition{{Key: endKey(id)}}, Mutations: []wire.Mutation{{Put: endKey(id), Value: endRecord{Status: wire.JobDone, At: w.now(), Done: 1}}}})
 		case k < 9:
-			if es, _, _ := w.state.List(w.ctx, ledgerPrefix); len(es) > 0 {
-				w.write(wire.Change{Delete: es[r.IntN(len(es))].Key})
+			if es, _, _ := w.store.List(w.ctx, ledgerPrefix); len(es) > 0 {
+				w.write(wire.Mutation{Delete: es[r.IntN(len(es))].Key})
 			}
 		default:
-			w.write(wire.Change{Put: learnedKey, Value: sched.Learned{At: w.now(), Write: 0.1 + r.Float64()}}, wire.Change{Put: hirePrefix + fmt.Sprint(w.seq), Value: "x"})
+			w.write(wire.Mutation{Put: learnedKey, Value: sched.Statistics{At: w.now(), Write: 0.1 + r.Float64()}}, wire.Mutation{Put: hirePrefix + fmt.Sprint(w.seq), Value: "x"})
 		}
 		if r.IntN(12) == 0 { // a job that is over and gone
 			id := pick()
-			if _, over, _ := w.state.Get(w.ctx, endKey(id)); over {
-				w.write(wire.Change{Delete: jobKey(id)})
+			if _, over, _ := w.store.Get(w.ctx, endKey(id)); over {
+				w.write(wire.Mutation{Delete: jobKey(id)})
 			}
 		}
 	}
@@ -111,23 +104,23 @@
 
 // reignNow is a term of this node that has not loaded anything yet.
 func (w *tended) leadsNow() *leadership {
-	return &leadership{n: w.Node, token: w.term, ctx: w.ctx, cancel: func() {}, lease: &lease{}, chunks: map[string]int{}}
+	return &leadership{controller: w.Controller, token: w.term, ctx: w.ctx, cancel: func() {}, lease: &lease{}, chunkCounts: map[string]int{}}
 }
 
 // followed reads the state as a standby does, and lets things happen while it follows.
 func (w *tended) followed(rounds int) *standby.Copy {
 	w.t.Helper()
-	c, err := w.warm.read(w.ctx, paced{w.state, 0})
+	c, err := w.follower.read(w.ctx, paced{w.store, 0})
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.warm.copy = c
+	w.follower.copy = c
 	for range rounds {
 		w.live(w.rng.IntN(6))
-		ev, err := w.state.Changes(w.ctx, "", c.Revision(), 0)
-		w.warm.took(c, ev, err)
+		ev, err := w.store.Changes(w.ctx, "", c.Revision(), 0)
+		w.follower.applyEvents(c, ev, err)
 		if w.rng.IntN(4) == 0 {
-			w.warm.audit(w.ctx, c)
+			w.follower.audit(w.ctx, c)
 		}
 		if c.Doubt() != "" {
 			w.t.Fatal("a good copy is doubted: ", c.Doubt())
@@ -152,7 +145,7 @@
 			t.Fatal(err)
 		}
 		warm := w.leadsNow()
-		copied, why := w.warm.takeOver(w.ctx, w.term, warm.lease)
+		copied, why := w.follower.takeOver(w.ctx, w.term, warm.lease)
 		if copied == nil {
 			t.Fatalf("seed %d: %s", seed, why)
 		}
@@ -168,8 +161,8 @@
 			}
 		}
 		loads += len(a)
-		if fmt.Sprint(cold.tidy) != fmt.Sprint(warm.tidy) || fmt.Sprint(cold.chunks) != fmt.Sprint(warm.chunks) {
-			t.Fatalf("seed %d: to be tidied up: %v and %v", seed, cold.tidy, warm.tidy)
+		if fmt.Sprint(cold.staleKeys) != fmt.Sprint(warm.staleKeys) || fmt.Sprint(cold.chunkCounts) != fmt.Sprint(warm.chunkCounts) {
+			t.Fatalf("seed %d: to be tidied up: %v and %v", seed, cold.staleKeys, warm.staleKeys)
 		}
 	}
 	if loads < 300 {
@@ -189,13 +182,13 @@
 		{"entry lost", func(w *tended, c *standby.Copy, _ *lease) {
 			c.Keep = func(k string) bool { return !strings.HasPrefix(k, ledgerPrefix) && !strings.HasPrefix(k, jobPrefix) }
 			w.live(20) // what is created now is missed
-			ev, err := w.state.Changes(w.ctx, "", c.Revision(), 0)
-			w.warm.took(c, ev, err)
+			ev, err := w.store.Changes(w.ctx, "", c.Revision(), 0)
+			w.follower.applyEvents(c, ev, err)
 			c.Keep = func(string) bool { return true }
 		}},
-		{"hold lost", func(_ *tended, _ *standby.Copy, h *lease) { h.dead.Store(true) }},
-		{"standstill", func(w *tended, _ *standby.Copy, _ *lease) { w.beat.Store(w.now() - 3*standstill) }},
-		{"higher token", func(w *tended, _ *standby.Copy, _ *lease) { w.learn("b", w.term+1000) }},
+		{"hold lost", func(_ *tended, _ *standby.Copy, h *lease) { h.expired.Store(true) }},
+		{"standstill", func(w *tended, _ *standby.Copy, _ *lease) { w.lastTurn.Store(w.now() - 3*stallThreshold) }},
+		{"higher token", func(w *tended, _ *standby.Copy, _ *lease) { w.observeTerm("b", w.term+1000) }},
 		{"no store", func(w *tended, _ *standby.Copy, _ *lease) { w.svc.SetDown(true) }},
 		{"compacted", func(w *tended, c *standby.Copy, _ *lease) { c.Lost("compacted") }},
 	} {
@@ -204,11 +197,11 @@
 		copied := w.followed(5)
 		h := &lease{}
 		w.take()
-		w.beat.Store(w.now())
+		w.lastTurn.Store(w.now())
 		if c.do != nil {
 			c.do(w, copied, h)
 		}
-		s, why := w.warm.takeOver(w.ctx, w.term, h)
+		s, why := w.follower.takeOver(w.ctx, w.term, h)
 		if (s != nil) != (c.do == nil) {
 			t.Errorf("%s: a copy is used %v: %s", c.name, s != nil, why)
 		}
@@ -219,19 +212,19 @@
 func BenchmarkWarmTakeover(b *testing.B) {
 	for _, jobs := range []int{300, 3000, 10_000} {
 		w := newTended(b, 1)
-		w.set.Deployment.State.RPS = 1e6
+		w.settings.Deployment.State.RPS = 1e6
 		for i := range jobs {
 			id := fmt.Sprintf("j-%06d", i)
 			j := wire.Job{ID: id, Class: "c", Team: "a", Shape: wire.Array, Priority: wire.Normal, Tasks: 20, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 60}
-			e := sched.Entry{Hosts: []sched.EntryHost{{Host: fmt.Sprintf("n-%06d", i), Type: "s", Zone: "x", Session: 1}}, Runs: []sched.Run{{Job: id, Attempt: 1, Tasks: []int32{1, 2, 3, 4}}}}
-			w.write(wire.Change{Put: jobKey(id), Value: jobRecord{Job: j, Arrival: w.now()}}, wire.Change{Put: ledgerPrefix + id, Value: e})
+			e := sched.LedgerEntry{Hosts: []sched.LedgerHost{{Host: fmt.Sprintf("n-%06d", i), Type: "s", Zone: "x", Incarnation: 1}}, Runs: []sched.LedgerRun{{Job: id, Attempt: 1, Tasks: []int32{1, 2, 3, 4}}}}
+			w.write(wire.Mutation{Put: jobKey(id), Value: jobRecord{Job: j, Arrival: w.now()}}, wire.Mutation{Put: ledgerPrefix + id, Value: e})
 		}
 		run := func(name string, load func(r *leadership) *stored) {
 			b.Run(fmt.Sprint(name, "/", jobs), func(b *testing.B) {
 				var took, most config.Micros
 				n := 0
 				for b.Loop() {
-					w.beat.Store(w.now())
+					w.lastTurn.Store(w.now())
 					w.take()
 					r := w.leadsNow()
 					began := time.Now()
@@ -255,8 +248,8 @@
 		})
 		copied := w.followed(0)
 		run("warm", func(r *leadership) *stored {
-			w.warm.copy = copied
-			s, why := w.warm.takeOver(w.ctx, r.token, r.lease)
+			w.follower.copy = copied
+			s, why := w.follower.takeOver(w.ctx, r.token, r.lease)
 			if s == nil {
 				b.Fatal(why)
 			}
--- a/internal/node/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -11,10 +11,11 @@
 	"sync/atomic"
 	"testing"
 
+	"dalefront/internal/config"
+	"dalefront/internal/emulator"
+	"dalefront/internal/kvstore"
 	"dalefront/internal/sched"
-	"dalefront/internal/site"
 	"dalefront/internal/snapshot"
-	"dalefront/internal/state"
 	"dalefront/wire"
 )
 
@@ -23,25 +24,24 @@
 func TestCopyIsTheSame(t *testing.T) {
 	for seed := range uint64(20) {
 		rnd := rand.New(rand.NewPCG(seed, 16))
-		svc := site.NewServices(wire.Catalog{})
+		svc := emulator.NewServices(wire.Catalog{})
 		srv := httptest.NewServer(svc)
-		n := testNode(t, svc.ServeHTTP)
-		*n.set.Operator.TakeoverCopyS = 60
-		client := state.New(strings.TrimPrefix(srv.URL, "http://"), 1e6, 1e6, 1)
+		n := testNode(t, svc.ServeHTTP, func(set *config.Settings) { *set.Operator.TakeoverCopyS = 60 })
+		client := kvstore.New(strings.TrimPrefix(srv.URL, "http://"), 1e6, 1e6, 1)
 		write := func(k int) {
 			var txn wire.Txn
 			for range k {
 				key := fmt.Sprintf("%s%d", []string{jobPrefix, donePrefix, ledgerPrefix, hirePrefix, schedulePrefix, endPrefix, "x/"}[rnd.IntN(7)], rnd.IntN(20))
 				if rnd.IntN(3) == 0 {
-					txn.Then = append(txn.Then, wire.Change{Delete: key})
+					txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: key})
 				} else {
-					txn.Then = append(txn.Then, wire.Change{Put: key, Value: rnd.IntN(100)})
+					txn.Mutations = append(txn.Mutations, wire.Mutation{Put: key, Value: rnd.IntN(100)})
 				}
 				if rnd.IntN(5) == 0 {
-					txn.Then = append(txn.Then, wire.Change{Put: learnedKey, Value: rnd.IntN(100)})
+					txn.Mutations = append(txn.Mutations, wire.Mutation{Put: learnedKey, Value: rnd.IntN(100)})
 				}
 			}
-			if _, err := client.Multi(context.Background(), txn); err != nil {
+			if _, err := client.Txn(context.Background(), txn); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -50,13 +50,13 @@
 		}
 		svc.Set(termKey, termRecord{Node: "a", Mark: "a.1"})
 		e, _ := svc.Entry(termKey)
-		r := &leadership{n: n, token: e.Version, ctx: context.Background()}
+		r := &leadership{controller: n, token: e.Version, ctx: context.Background()}
 		if r.loadCopy() != nil {
 			t.Fatal("there is no copy yet")
 		}
 		snap, err := snapshot.Take(r.ctx, client, copyPrefixes, nothing, n.now)
 		if err == nil {
-			err = snap.Store(r.ctx, client, snapshot.StoreOptions{Term: r.termCond(), Ops: 4, Value: 200})
+			err = snap.Store(r.ctx, client, snapshot.StoreOptions{Term: r.termCondition(), Ops: 4, Value: 200})
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -96,32 +96,33 @@
 }
 
 func takeover(b *testing.B, live, over int, copies bool) {
-	svc := site.NewServices(wire.Catalog{})
+	svc := emulator.NewServices(wire.Catalog{})
 	var requests, bytes atomic.Int64
 	n := testNode(b, func(w http.ResponseWriter, r *http.Request) {
 		requests.Add(1)
 		svc.ServeHTTP(counted{w, &bytes}, r)
+	}, func(set *config.Settings) {
+		set.Deployment.State.TxnOps = 12
+		if copies {
+			*set.Operator.TakeoverCopyS = 60
+		}
 	})
-	n.set.Deployment.State.TxnOps = 12
-	if copies {
-		*n.set.Operator.TakeoverCopyS = 60
-	}
 	for i := range live {
 		j := sceneJob(sceneID(i))
 		j.Class, j.Image, j.Tasks = "some-class", "some-image", 4
 		svc.Set(jobKey(j.ID), jobRecord{Job: *j, Arrival: int64(i)})
-		svc.Set(fmt.Sprintf("%s%d.%d", ledgerPrefix, 7, i), sched.Entry{})
+		svc.Set(fmt.Sprintf("%s%d.%d", ledgerPrefix, 7, i), sched.LedgerEntry{})
 	}
 	for i := range over {
 		svc.Set(endKey(fmt.Sprintf("j-9%06d", i)), sceneEnd(i))
 	}
 	svc.Set(termKey, termRecord{Node: "a", Mark: "a.1"})
 	e, _ := svc.Entry(termKey)
-	r := &leadership{n: n, token: e.Version, ctx: state.Urgent(context.Background()), chunks: map[string]int{}}
+	r := &leadership{controller: n, token: e.Version, ctx: kvstore.Urgent(context.Background()), chunkCounts: map[string]int{}}
 	if copies {
-		snap, err := snapshot.Take(r.ctx, n.state, copyPrefixes, nothing, n.now)
+		snap, err := snapshot.Take(r.ctx, n.store, copyPrefixes, nothing, n.now)
 		if err == nil {
-			err = snap.Store(r.ctx, n.state, snapshot.StoreOptions{Term: r.termCond(), Ops: 4, Value: 16 << 10})
+			err = snap.Store(r.ctx, n.store, snapshot.StoreOptions{Term: r.termCondition(), Ops: 4, Value: 16 << 10})
 		}
 		if err != nil {
 			b.Fatal(err)
--- a/internal/load/live.go
+++ b/internal/experiment/live.go
@@ -1,4 +1,4 @@
-package load
+package experiment
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"dalefront/internal/config"
-	"dalefront/internal/site"
+	"dalefront/internal/emulator"
 	"dalefront/wire"
 )
 
@@ -36,7 +36,9 @@
 	giveUp     = time.Minute     // after which users submit no more
 	answerTime = 5 * time.Second // and for which they wait for an answer
 	pollers    = 16
-	mostOpen   = 2000 // submissions on their way: more than that stand for an outage
+	idleConns  = 256      // connections to the balancer that are kept unused
+	maxAnswer  = 16 << 20 // bytes of an answer, of which the sites' metrics are the longest
+	mostOpen   = 2000     // submissions on their way: more than that stand for an outage
 )
 
 // live is an experiment at a site that runs.
@@ -45,7 +47,7 @@
 	server  string
 	client  *http.Client
 	begun   time.Time
-	before  site.Summarized
+	before  emulator.Summarized
 	res     *Result
 	latency *hdrhistogram.Histogram // of submissions, in microseconds
 
@@ -60,7 +62,7 @@
 // other run gives. It ends when all jobs have, after the time to drain, or with the
 // context.
 func (e *Experiment) Live(ctx context.Context, server string, done func(finished, all int)) (*Report, error) {
-	l := &live{e: e, server: server, client: &http.Client{Timeout: answerTime, Transport: &http.Transport{MaxIdleConnsPerHost: 256}},
+	l := &live{e: e, server: server, client: &http.Client{Timeout: answerTime, Transport: &http.Transport{MaxIdleConnsPerHost: idleConns}},
 		latency: hdrhistogram.New(1, 100_000_000, 3), open: map[string]*arrival{}, started: map[string]bool{},
 		res: &Result{Variant: "live", Seed: e.Seed, Classes: map[string]*ClassResult{}, Submit: &Submissions{}}}
 	defer l.client.CloseIdleConnections()
@@ -116,7 +118,7 @@
 }
 
 // stops counts the tasks that were stopped, for whatever reason.
-func stops(s site.Summary) int { return s.Stopped + s.Saved }
+func stops(s emulator.Summary) int { return s.Stopped + s.Saved }
 
 // report sums up.
 func (l *live) report(all int) (*Report, error) {
@@ -226,7 +228,7 @@
 			}
 			for range f.Count {
 				q := url.Values{"kind": {f.Kind}, "name": {f.Name}, "for": {fmt.Sprint(max(f.ForS, 0.001))}}
-				_, _, _ = l.ask(ctx, http.MethodPost, site.PathFault+"?"+q.Encode(), nil, nil) // nothing runs: nothing to break
+				_, _, _ = l.ask(ctx, http.MethodPost, emulator.PathFault+"?"+q.Encode(), nil, nil) // nothing runs: nothing to break
 			}
 		})
 	}
@@ -250,8 +252,8 @@
 	}
 }
 
-func (l *live) summary(ctx context.Context) (s site.Summarized, err error) {
-	code, _, err := l.ask(ctx, http.MethodGet, site.PathSummary, nil, &s)
+func (l *live) summary(ctx context.Context) (s emulator.Summarized, err error) {
+	code, _, err := l.ask(ctx, http.MethodGet, emulator.PathSummary, nil, &s)
 	if err == nil && code != http.StatusOK {
 		err = errors.New(http.StatusText(code))
 	}
@@ -269,7 +271,7 @@
 		return 0, time.Second, err
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, 16<<20))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	if err == nil && out != nil && resp.StatusCode/100 == 2 {
 		err = wire.Unmarshal(b, out)
 	}
--- a/internal/state/state.go
+++ b/internal/kvstore/client.go
@@ -1,5 +1,6 @@
-// Package state is the typed client of the state service.
-package state
+// Package kvstore is the typed client of the consensus-backed key-value store that the
+// operators call the state service.
+package kvstore
 
 import (
 	"context"
@@ -10,7 +11,7 @@
 	"sync"
 	"time"
 
-	"dalefront/internal/httpc"
+	"dalefront/internal/httpclient"
 	"dalefront/wire"
 )
 
@@ -29,8 +30,8 @@
 
 // Client is safe for use by several goroutines.
 type Client struct {
-	calls   *httpc.Client
-	watches *httpc.Client
+	calls   *httpclient.Client
+	watches *httpclient.Client
 	reads   *pace // all requests
 	writes  *pace // changes
 
@@ -43,8 +44,8 @@
 // so many nodes have in common.
 func New(addr string, rps, writeRPS float64, nodes int) *Client {
 	return &Client{
-		calls:   httpc.New("http://"+addr, 12, 0),
-		watches: httpc.New("http://"+addr, 4, 0),
+		calls:   httpclient.New("http://"+addr, maxCalls, 0),
+		watches: httpclient.New("http://"+addr, maxWatches, 0),
 		reads:   newPace(rps, nodes, int(rps/4)),
 		writes:  newPace(writeRPS, nodes, int(writeRPS*0.8)),
 	}
@@ -59,7 +60,7 @@
 }
 
 func (c *Client) note(err error) error {
-	code := httpc.Code(err)
+	code := httpclient.Code(err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -80,7 +81,13 @@
 	return err
 }
 
-const callLimit = 1500 * time.Millisecond
+const (
+	callLimit  = 1500 * time.Millisecond
+	maxCalls   = 12   // connections for requests
+	maxWatches = 4    // connections for watches
+	listPage   = 1000 // keys that a page of a list asks for, the protocol's limit
+	maxTries   = 5    // of a request that the service has no time for
+)
 
 // Urgent marks the requests of a context as urgent: they don't wait for this
 // node's share of the limit. What keeps a term or decides for the whole cluster
@@ -103,9 +110,9 @@
 			return fmt.Errorf("%w: %v", ErrRefused, e)
 		}
 		err := c.calls.Call(ctx, limit, method, path, in, out)
-		crowded := httpc.Code(err) == http.StatusTooManyRequests
+		crowded := httpclient.Code(err) == http.StatusTooManyRequests
 		p.heard(crowded, time.Now())
-		if !crowded || i == 4 {
+		if !crowded || i == maxTries-1 {
 			return c.note(err)
 		}
 		select {
@@ -117,10 +124,10 @@
 }
 
 // Get reads a key.
-func (c *Client) Get(ctx context.Context, key string) (wire.Entry, bool, error) {
-	var e wire.Entry
+func (c *Client) Get(ctx context.Context, key string) (wire.KeyValue, bool, error) {
+	var e wire.KeyValue
 	err := c.call(ctx, http.MethodGet, "/kv/"+key, nil, &e)
-	if httpc.Code(err) == http.StatusNotFound {
+	if httpclient.Code(err) == http.StatusNotFound {
 		return e, false, nil
 	}
 	return e, err == nil, err
@@ -128,12 +135,12 @@
 
 // List reads all keys with a prefix. The revision is that of the first page, so
 // a watch from there misses nothing.
-func (c *Client) List(ctx context.Context, prefix string) ([]wire.Entry, uint64, error) {
-	var all []wire.Entry
+func (c *Client) List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error) {
+	var all []wire.KeyValue
 	var first uint64
 	from := ""
 	for {
-		page, err := c.Page(ctx, prefix, from, 1000)
+		page, err := c.Page(ctx, prefix, from, listPage)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -149,31 +156,31 @@
 }
 
 // Page reads up to most keys with a prefix, of at most 1000, after the one given.
-func (c *Client) Page(ctx context.Context, prefix, after string, most int) (wire.Entries, error) {
+func (c *Client) Page(ctx context.Context, prefix, after string, most int) (wire.KeyValuePage, error) {
 	q := url.Values{"Starts": {prefix}, "Page": {fmt.Sprint(most)}}
 	if after != "" {
 		q.Set("From", after)
 	}
-	var page wire.Entries
+	var page wire.KeyValuePage
 	err := c.call(ctx, http.MethodGet, "/kv?"+q.Encode(), nil, &page)
 	return page, err
 }
 
-// Multi runs a transaction. On ErrConflict the answer names the failed keys.
-func (c *Client) Multi(ctx context.Context, txn wire.Txn) (wire.TxnAnswer, error) {
-	var a wire.TxnAnswer
-	if txn.If == nil {
-		txn.If = []wire.Cond{}
+// Txn runs a transaction. On ErrConflict the answer names the failed keys.
+func (c *Client) Txn(ctx context.Context, txn wire.Txn) (wire.TxnResponse, error) {
+	var a wire.TxnResponse
+	if txn.Conditions == nil {
+		txn.Conditions = []wire.Condition{}
 	}
 	p := c.reads
-	if n := len(txn.Then); n > 0 {
+	if n := len(txn.Mutations); n > 0 {
 		p = c.writes
 		if err := p.wait(ctx, n, false); err != nil {
 			return a, fmt.Errorf("%w: %v", ErrRefused, err)
 		}
 	}
 	err := c.try(ctx, callLimit, p, http.MethodPost, "/multi", txn, &a)
-	var se *httpc.StatusError
+	var se *httpclient.StatusError
 	if errors.As(err, &se) {
 		switch {
 		case se.Code == http.StatusConflict:
@@ -195,7 +202,7 @@
 // RenewLease renews a lease. It is urgent: it never queues behind other requests.
 func (c *Client) RenewLease(ctx context.Context, id uint64) error {
 	err := c.try(Urgent(ctx), time.Second, c.reads, http.MethodPost, fmt.Sprintf("/holds/%d/touch", id), struct{}{}, nil)
-	if httpc.Code(err) == http.StatusNotFound {
+	if httpclient.Code(err) == http.StatusNotFound {
 		return ErrNoLease
 	}
 	return err
@@ -216,7 +223,7 @@
 	q := url.Values{"Starts": {prefix}, "From": {fmt.Sprint(from)}, "HoldMs": {fmt.Sprint(hold.Milliseconds())}}
 	var ev wire.Events
 	err := c.watches.Call(ctx, hold+3*time.Second, http.MethodGet, "/changes?"+q.Encode(), nil, &ev)
-	if httpc.Code(err) == http.StatusGone {
+	if httpclient.Code(err) == http.StatusGone {
 		return ev, ErrCompacted
 	}
 	if err != nil {
