--- a/internal/sched/fairness.go
+++ b/internal/sched/fairness.go
@@ -58,14 +58,41 @@
 	}
 }
 
+// unfinishedJobs counts the unfinished jobs of a class or a team that run or have waited for a
+// while. It adds up whole numbers: these are the same whatever the order of the jobs, while sums
+// of fractions are rounded differently in each order.
+type unfinishedJobs struct {
+	jobs    int
+	waiting int64 // how much of these jobs waits, in parts of a job
+}
+
+// partsPerJob is into how many parts a job is divided to count how much of it waits.
+const partsPerJob = 1_000_000_000
+
+// waitingParts is how much of the job waits, in parts of a job.
+func (j *job) waitingParts() int64 {
+	return int64(j.pendingCount()) * partsPerJob / int64(j.spec.Tasks)
+}
+
+// add counts one more job, of which so many parts wait.
+func (u *unfinishedJobs) add(waiting int64) {
+	u.jobs++
+	u.waiting += waiting
+}
+
+// without returns the count less that of some of the same jobs.
+func (u unfinishedJobs) without(some unfinishedJobs) unfinishedJobs {
+	return unfinishedJobs{u.jobs - some.jobs, u.waiting - some.waiting}
+}
+
 // update brings the share up to date: of the jobs that ended lately, run, or have waited
 // for a while, those that do not wait.
-func (s *serviceShare) update(now Micros, running, waiting float64) {
+func (s *serviceShare) update(now Micros, unfinished unfinishedJobs) {
 	s.decay(now)
-	s.demand = s.decayedDone + running + waiting
+	s.demand = s.decayedDone + float64(unfinished.jobs)
 	s.share = 1
 	if s.demand > 0 {
-		s.share = 1 - waiting/s.demand
+		s.share = 1 - float64(unfinished.waiting)/partsPerJob/s.demand
 	}
 }
 
@@ -168,11 +195,10 @@
 		return
 	}
 	c.fairnessUpdatedAt = c.now
-	type count struct{ running, waiting float64 }
-	of := map[*serviceShare]*count{}
-	get := func(s *serviceShare) *count {
+	of := map[*serviceShare]*unfinishedJobs{}
+	get := func(s *serviceShare) *unfinishedJobs {
 		if of[s] == nil {
-			of[s] = &count{}
+			of[s] = &unfinishedJobs{}
 		}
 		return of[s]
 	}
@@ -180,22 +206,18 @@
 		if j.finalStatus != "" {
 			continue
 		}
-		waits := 0.0 // part of it
+		waiting := int64(0)
 		if c.now-j.arrival > waitingGrace && !j.isSuspect() {
-			waits = float64(j.pendingCount()) / float64(j.spec.Tasks)
+			waiting = j.waitingParts()
 		}
-		if j.firstStartedAt > 0 || waits > 0 || j.completing {
-			j.eachService(func(s *serviceShare) {
-				get(s).waiting += waits
-				get(s).running += 1 - waits
-			})
+		if j.firstStartedAt > 0 || waiting > 0 || j.completing {
+			j.eachService(func(s *serviceShare) { get(s).add(waiting) })
 		}
 	}
 	young := c.now-c.termStart < 3*c.lease
 	group := func(all []*serviceShare, rival func(a, b int) bool) {
 		for _, s := range all {
-			x := get(s)
-			s.update(c.now, x.running, x.waiting)
+			s.update(c.now, *get(s))
 		}
 		for a, s := range all {
 			other := false
@@ -219,11 +241,11 @@
 	// The largest of a class beside the others of it, to which a gang yields for as long as
 	// they fit where it does not.
 	for _, cl := range classes {
-		l, x := &cl.largeJobService, get(&cl.largeJobService)
+		l, unfinished := &cl.largeJobService, *get(&cl.largeJobService)
 		l.ofLargeJobs = true
-		l.update(c.now, x.running, x.waiting)
+		l.update(c.now, unfinished)
 		rest := serviceShare{decayedDone: cl.service.decayedDone - l.decayedDone, decayedAt: c.now}
-		rest.update(c.now, get(&cl.service).running-x.running, get(&cl.service).waiting-x.waiting)
+		rest.update(c.now, get(&cl.service).without(unfinished))
 		l.updateUnderserved(c.now, rest.demand >= minDemandJobs && rest.share >= l.share+rivalLead && !young)
 	}
 }
