--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -267,12 +267,12 @@
 
 // detectStall notices a standstill: it runs before anything else that a turn does, since
 // to this node everything timed looks overdue and all workers look silent.
-func (n *Controller) detectStall() {
-	now := n.now()
-	gap := now - n.lastTurn.Load()
-	n.lastTurn.Store(now)
-	if gap >= stallThreshold && n.leadership != nil {
-		n.leadership.suspend(gap)
+func (c *Controller) detectStall() {
+	now := c.now()
+	gap := now - c.lastTurn.Load()
+	c.lastTurn.Store(now)
+	if gap >= stallThreshold && c.leadership != nil {
+		c.leadership.suspend(gap)
 	}
 }
 
@@ -296,10 +296,10 @@
 // it waits for room.
 func (c *Controller) postToOwner(f func()) { c.ownerQueue <- f }
 
-func (n *Controller) termView() (leader string, token, leading uint64) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.leader, n.token, n.leadingToken
+func (c *Controller) termView() (leader string, token, leading uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.leader, c.token, c.leadingToken
 }
 
 // observeTerm takes what somebody says about the term. A higher token always wins:
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -400,66 +400,66 @@
 func senders(sockets int) int { return min(max(minSenders, sockets/socketsPerSender), maxSenders) }
 
 // tick does what time brings: progress, tidying, the fleet. Owner goroutine.
-func (r *leadership) tick() {
-	n := r.controller
-	now := n.now()
-	if r.stalledFor > 0 {
+func (l *leadership) tick() {
+	c := l.controller
+	now := c.now()
+	if l.stalledFor > 0 {
 		return
 	}
-	r.schedule()
-	reachable := n.store.Reachable(3 * time.Second)
-	if !r.busyProgress && reachable {
-		if cs := r.core.ProgressToStore(min(n.settings.Deployment.State.TxnOps, max(1, int(n.settings.Deployment.State.WriteRPS/progressPart)))); len(cs) > 0 {
-			r.busyProgress = true
-			go r.storeProgress(cs, r.progressTxn(cs))
+	l.schedule()
+	reachable := c.store.Reachable(3 * time.Second)
+	if !l.busyProgress && reachable {
+		if cs := l.core.ProgressToStore(min(c.settings.Deployment.State.TxnOps, max(1, int(c.settings.Deployment.State.WriteRPS/progressPart)))); len(cs) > 0 {
+			l.busyProgress = true
+			go l.storeProgress(cs, l.progressTxn(cs))
 		}
 	}
-	if !r.busyStaleKeys && reachable && len(r.staleKeys) > 0 {
-		k := min(len(r.staleKeys), n.settings.Deployment.State.TxnOps, max(1, int(n.settings.Deployment.State.WriteRPS/tidyPart)))
-		keys := r.staleKeys[:k:k]
-		r.staleKeys = r.staleKeys[k:]
-		r.busyStaleKeys = true
-		go r.deleteKeys(keys)
+	if !l.busyStaleKeys && reachable && len(l.staleKeys) > 0 {
+		k := min(len(l.staleKeys), c.settings.Deployment.State.TxnOps, max(1, int(c.settings.Deployment.State.WriteRPS/tidyPart)))
+		keys := l.staleKeys[:k:k]
+		l.staleKeys = l.staleKeys[k:]
+		l.busyStaleKeys = true
+		go l.deleteKeys(keys)
 	}
 	if reachable {
-		r.submitRecurring()
+		l.submitRecurring()
 	}
-	if !r.busyStatistics && reachable && now-r.lastStatistics >= learnEvery {
-		r.busyStatistics, r.lastStatistics = true, now
-		go r.storeStatistics(r.core.Statistics(now))
+	if !l.busyStatistics && reachable && now-l.lastStatistics >= learnEvery {
+		l.busyStatistics, l.lastStatistics = true, now
+		go l.storeStatistics(l.core.Statistics(now))
 	}
-	blind := r.core.Blind(now)
+	blind := l.core.Blind(now)
 	// Without the state service nobody could take the term, and this node's word
 	// still renews leases.
-	if blind && len(n.peers) > 0 && reachable {
-		n.log.Info("most workers are silent: giving the term up", "token", r.token)
-		n.mu.Lock()
-		n.resignedToken = r.token
-		n.mu.Unlock()
-		r.stepDown()
+	if blind && len(c.peers) > 0 && reachable {
+		c.log.Info("most workers are silent: giving the term up", "token", l.token)
+		c.mu.Lock()
+		c.resignedToken = l.token
+		c.mu.Unlock()
+		l.stepDown()
 		return
 	}
-	if !r.busyCloud && now-r.lastCloud >= 1_000_000 {
-		r.lastCloud = now
-		r.publishStandbys()
-		r.scaleFleet(blind)
-		r.publishGauges()
-	}
-	if now-r.lastLog > 10_000_000 {
-		r.lastLog = now
-		jobs, tasks := r.core.Waiting()
-		n.log.Info("leader", "waiting_jobs", jobs, "waiting_tasks", tasks, "stats", fmt.Sprintf("%+v", r.core.Stats))
-		n.log.Info("work", n.loopStats.take()...)
-		classes, types := r.core.Usages()
+	if !l.busyCloud && now-l.lastCloud >= 1_000_000 {
+		l.lastCloud = now
+		l.publishStandbys()
+		l.scaleFleet(blind)
+		l.publishGauges()
+	}
+	if now-l.lastLog > 10_000_000 {
+		l.lastLog = now
+		jobs, tasks := l.core.Waiting()
+		c.log.Info("leader", "waiting_jobs", jobs, "waiting_tasks", tasks, "stats", fmt.Sprintf("%+v", l.core.Stats))
+		c.log.Info("work", c.loopStats.take()...)
+		classes, types := l.core.Usages()
 		for _, u := range classes {
-			n.log.Info("class", "name", u.Name, "tasks", u.Tasks)
+			c.log.Info("class", "name", u.Name, "tasks", u.Tasks)
 		}
 		for _, u := range types {
-			n.log.Info("machines", "type", u.Name, "up", u.Up, "idle", u.Idle, "kept", u.Reserved, "tasks", u.Tasks, "free_cpus", int(u.Free))
+			c.log.Info("machines", "type", u.Name, "up", u.Up, "idle", u.Idle, "kept", u.Reserved, "tasks", u.Tasks, "free_cpus", int(u.Free))
 		}
-		r.logServiceShares()
-		for _, w := range r.core.WaitingJobs(3) {
-			n.log.Info("waits", "job", w.Job, "class", w.Class, "team", w.Team, "tasks", w.Tasks, "age_us", w.Age, "why", w.Reason, "room", w.Room, "held", w.Reserved)
+		l.logServiceShares()
+		for _, w := range l.core.WaitingJobs(3) {
+			c.log.Info("waits", "job", w.Job, "class", w.Class, "team", w.Team, "tasks", w.Tasks, "age_us", w.Age, "why", w.Reason, "room", w.Room, "held", w.Reserved)
 		}
 	}
 }
--- a/internal/controller/recurring.go
+++ b/internal/controller/recurring.go
@@ -19,9 +19,9 @@
 func scheduleKey(name string) string { return schedulePrefix + name }
 
 // loadSchedules makes the engine of a term from the calendar and what is stored.
-func (r *leadership) loadSchedules(entries []wire.KeyValue) error {
-	n := r.controller
-	if n.calendar == nil {
+func (l *leadership) loadSchedules(entries []wire.KeyValue) error {
+	c := l.controller
+	if c.calendar == nil {
 		return nil
 	}
 	states, versions := map[string]recurring.State{}, map[string]uint64{}
@@ -33,9 +33,9 @@
 		}
 		states[name], versions[name] = st, e.Version
 	}
-	r.recurring = recurring.New(n.calendar, states, versions)
-	known, gone := r.recurring.Len()
-	n.log.Info("schedules", "known", known, "removed", gone)
+	l.recurring = recurring.New(c.calendar, states, versions)
+	known, gone := l.recurring.Len()
+	c.log.Info("schedules", "known", known, "removed", gone)
 	return nil
 }
 
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -65,15 +65,15 @@
 
 // storeSnapshots stores what a takeover needs in the state service from time to time, so that
 // the next leader reads few long values instead of many short ones.
-func (r *leadership) storeSnapshots(ctx context.Context) {
-	n := r.controller
-	every := seconds(*n.settings.Operator.TakeoverCopyS)
+func (l *leadership) storeSnapshots(ctx context.Context) {
+	c := l.controller
+	every := seconds(*c.settings.Operator.TakeoverCopyS)
 	if every <= 0 {
 		return
 	}
-	d := &n.settings.Deployment.State
-	store := paced{n.store, seconds(10 / d.RPS)}
-	o := snapshot.StoreOptions{Term: r.termCondition(), Ops: min(d.TxnOps, 4), Value: int(d.ValueKB * 1024),
+	d := &c.settings.Deployment.State
+	store := paced{c.store, seconds(10 / d.RPS)}
+	o := snapshot.StoreOptions{Term: l.termCondition(), Ops: min(d.TxnOps, 4), Value: int(d.ValueKB * 1024),
 		Pace: func(ctx context.Context, changes int) bool { // a twentieth of what the service takes
 			select {
 			case <-ctx.Done():
@@ -84,22 +84,22 @@
 		}}
 	for {
 		select {
-		case <-r.ctx.Done():
+		case <-l.ctx.Done():
 			return
 		case <-time.After(every):
 		}
-		if !n.store.Reachable(3*time.Second) || !n.ranRecently() {
+		if !c.store.Reachable(3*time.Second) || !c.ranRecently() {
 			continue
 		}
-		snap, err := snapshot.Take(ctx, store, copyPrefixes, nothing, n.now)
+		snap, err := snapshot.Take(ctx, store, copyPrefixes, nothing, c.now)
 		if err == nil {
 			err = snap.Store(ctx, store, o)
 		}
 		if err != nil {
-			n.log.Info("no copy for a takeover was stored", "err", err)
+			c.log.Info("no copy for a takeover was stored", "err", err)
 			continue
 		}
-		n.log.Info("copy for a takeover", "content", snap.String())
+		c.log.Info("copy for a takeover", "content", snap.String())
 	}
 }
 
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -63,19 +63,19 @@
 func endAs(st wire.JobStatus) endRecord { return endRecord{Status: st.Status, Done: st.Done} }
 
 // rememberFinal keeps a final answer that any user may be given without asking anybody.
-func (n *Controller) rememberFinal(st wire.JobStatus) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if _, ok := n.finalStatuses[st.ID]; ok {
+func (c *Controller) rememberFinal(st wire.JobStatus) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if _, ok := c.finalStatuses[st.ID]; ok {
 		return
 	}
-	if len(n.finalOrder) >= maxRemember {
-		delete(n.finalStatuses, n.finalOrder[0])
-		n.finalOrder = n.finalOrder[1:]
+	if len(c.finalOrder) >= maxRemember {
+		delete(c.finalStatuses, c.finalOrder[0])
+		c.finalOrder = c.finalOrder[1:]
 	}
-	n.finalStatuses[st.ID] = st
-	n.finalOrder = append(n.finalOrder, st.ID)
-	delete(n.knownJobs, st.ID)
+	c.finalStatuses[st.ID] = st
+	c.finalOrder = append(c.finalOrder, st.ID)
+	delete(c.knownJobs, st.ID)
 }
 
 func (c *Controller) rememberedFinal(id string) (wire.JobStatus, bool) {
--- a/internal/controller/workercontacts.go
+++ b/internal/controller/workercontacts.go
@@ -57,11 +57,11 @@
 func sendOnRate(heard int) int { return max(minSendOn, heard/workersPerSendOn) }
 
 // workerContacts says which workers reported to this node, and how long ago.
-func (n *Controller) workerContacts() []peer.Contact {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	out := make([]peer.Contact, 0, len(n.workerSeenAt))
-	for h, at := range n.workerSeenAt {
+func (c *Controller) workerContacts() []peer.Contact {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	out := make([]peer.Contact, 0, len(c.workerSeenAt))
+	for h, at := range c.workerSeenAt {
 		if ago := time.Since(at); ago <= workerContactTTL {
 			out = append(out, peer.Contact{Host: h, AgeMicros: ago.Microseconds()})
 		}
