--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -60,16 +60,13 @@
 
 	lastTurn atomic.Int64 // when the owner goroutine last came by
 
+	term termTracker
+
 	draining atomic.Bool
 	drained  chan struct{} // closed when this node is to end
 
 	mu              sync.Mutex
-	leader          string // who holds the term, as far as known
-	token           uint64 // highest token known
 	gauges          gauges
-	renewalToken    uint64 // the token under which a leader let this node renew leases
-	resignedToken   uint64 // the last term that this node gave up by itself
-	leadingToken    uint64 // this node's token while it acts, otherwise 0
 	catalog         *wire.Catalog
 	finalStatuses   map[string]wire.JobStatus
 	finalOrder      []string
@@ -82,7 +79,6 @@
 	peerProcesses   map[string]*peerProcess // of the peers' processes
 	standbyView     standby.View            // who stands by
 	peerUnfitAt     map[string]time.Time    // when a peer said that it could not follow
-	leaderProcess   leaderProcess           // which process said hello as leader
 	peerAnswers     int                     // hellos that were answered
 	ownRestarts     int                     // how often this node was started anew lately, as a peer said
 	ownRestartsAt   time.Time               // when
@@ -139,6 +135,7 @@
 		redirectLimiter: rate.NewLimiter(minSendOn, sendOnBurst*minSendOn), drained: make(chan struct{}),
 		processID: newProcessID(), peerProcesses: map[string]*peerProcess{}, peerUnfitAt: map[string]time.Time{},
 	}
+	n.term.self = set.Label
 	n.archive = archive.NewReader(n.store)
 	n.follower = newFollower(n)
 	n.config = newConfiguration(n)
@@ -296,35 +293,18 @@
 // it waits for room.
 func (c *Controller) postToOwner(f func()) { c.ownerQueue <- f }
 
-func (c *Controller) termView() (leader string, token, leading uint64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.leader, c.token, c.leadingToken
-}
-
 // observeTerm takes what somebody says about the term. A higher token always wins:
 // if this node acted under a lower one, it steps down.
 func (c *Controller) observeTerm(leader string, token uint64) {
-	c.mu.Lock()
-	higher := token > c.token
-	if higher {
-		c.token, c.leader = token, leader
-	} else if token == c.token && leader != "" {
-		c.leader = leader
-	}
-	deposed := c.leadingToken != 0 && token > c.leadingToken
-	if deposed {
-		c.leadingToken = 0
-	}
-	c.mu.Unlock()
-	if deposed {
-		c.log.Info("step down", "for", leader, "token", token)
-		c.postToOwner(func() {
-			if c.leadership != nil && c.leadership.token < token {
-				c.leadership.stepDown()
-			}
-		})
+	if !c.term.observe(leader, token) {
+		return
 	}
+	c.log.Info("step down", "for", leader, "token", token)
+	c.postToOwner(func() {
+		if c.leadership != nil && c.leadership.token < token {
+			c.leadership.stepDown()
+		}
+	})
 }
 
 // refreshCatalog reads the machine types from the cloud, and prices again from
@@ -335,7 +315,7 @@
 		cat, err := c.cloud.Catalog(ctx)
 		if err == nil && len(cat.Types) > 0 {
 			c.setCatalog(cat)
-			if _, _, leading := c.termView(); leading != 0 {
+			if leading := c.term.view().leading; leading != 0 {
 				_, _ = c.store.Txn(ctx, wire.Txn{
 					Conditions: []wire.Condition{{Key: termKey, Version: leading}},
 					Mutations:  []wire.Mutation{{Put: catalogKey, Value: cat}},
@@ -398,7 +378,7 @@
 // localCounts reads jobs' display counts from the core, if this node has it.
 func (c *Controller) localCounts(ctx context.Context, ids []string) (sts []wire.JobStatus) {
 	var out []wire.JobStatus
-	if _, _, leading := c.termView(); leading == 0 {
+	if !c.term.view().isLeading() {
 		return nil
 	}
 	if c.runOnOwner(ctx, func() {
@@ -421,11 +401,11 @@
 // higher token. While the state service is out of reach it goes on renewing
 // leases, since it starts nothing without it.
 func (c *Controller) handleHeartbeat(ctx context.Context, r *wire.Heartbeat) (a wire.HeartbeatResponse, ok bool) {
-	_, token, leading := c.termView()
-	if r.FencingToken > token {
+	term := c.term.view()
+	if r.FencingToken > term.token {
 		c.observeTerm("", r.FencingToken)
 	}
-	if leading == 0 || r.FencingToken > leading {
+	if !term.isLeading() || r.FencingToken > term.leading {
 		return a, false
 	}
 	var fresh chan []wire.Command
@@ -463,8 +443,7 @@
 		case <-ctx.Done():
 		}
 	}
-	_, _, leading = c.termView()
-	return a, leading == a.FencingToken && c.ranRecently()
+	return a, c.term.view().leading == a.FencingToken && c.ranRecently()
 }
 
 // maxWaiters is how many reports may wait for launches at a time: each holds a socket
@@ -489,11 +468,11 @@
 	if a, ok := c.handleHeartbeat(ctx, r); ok {
 		return a, nil
 	}
-	leader, token, leading := c.termView()
-	if leading != 0 || leader == "" || leader == c.settings.Label || r.FencingToken > token {
+	term := c.term.view()
+	if term.isLeading() || term.leader == "" || term.leader == c.settings.Label || r.FencingToken > term.token {
 		return wire.HeartbeatResponse{}, api.ErrNotNow
 	}
-	p := c.peers[leader]
+	p := c.peers[term.leader]
 	if p == nil {
 		return wire.HeartbeatResponse{}, api.ErrNotNow
 	}
@@ -502,7 +481,7 @@
 		if token, ok := c.mayRenewLease(r); ok {
 			return wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}, nil
 		}
-		if to := c.redirectTarget(leader); to != "" {
+		if to := c.redirectTarget(term.leader); to != "" {
 			return wire.HeartbeatResponse{}, api.Elsewhere{Node: to}
 		}
 		return wire.HeartbeatResponse{}, api.ErrNotNow
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -138,7 +138,7 @@
 		c.lead(ctx, token, h)
 		h.expired.Store(true) // a term's lease is not used again
 		_ = c.store.EndLease(ctx, h.id)
-		if c.hasResigned(token) {
+		if c.term.hasResigned(token) {
 			sleepContext(ctx, 15*time.Second)
 		}
 	}
--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -118,8 +118,7 @@
 	store := paced{n.store, seconds(standbys / (0.1 * n.settings.Deployment.State.RPS))}
 	audit := time.Now()
 	for ctx.Err() == nil {
-		_, _, leading := n.termView()
-		if n.standbyRank() < 0 || leading != 0 || *n.settings.Operator.Standbys == 0 {
+		if n.standbyRank() < 0 || n.term.view().isLeading() || *n.settings.Operator.Standbys == 0 {
 			w.mu.Lock()
 			w.copy = nil
 			w.mu.Unlock()
@@ -290,7 +289,7 @@
 	sample := c.Sample([]string{jobPrefix, ledgerPrefix}, rand.New(rand.NewPCG(rand.Uint64(), token)))
 	w.mu.Unlock()
 	compared := w.compare(ctx, c, sample)
-	_, highest, _ := n.termView()
+	highest := n.term.view().token
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f := standby.Facts{Token: token, Highest: highest, Revision: c.Revision(), Doubt: c.Doubt(), Compared: compared, Keys: sample.Keys,
@@ -338,7 +337,7 @@
 
 // acceptStandbyView takes a view that a hello brought. The lock is held.
 func (c *Controller) acceptStandbyView(h *peer.Heartbeat) {
-	if h.StandbyView != nil && c.leadingToken == 0 && len(h.StandbyView.Standbys) <= len(c.settings.Members)+1 && h.StandbyView.Newer(&c.standbyView) {
+	if h.StandbyView != nil && !c.term.view().isLeading() && len(h.StandbyView.Standbys) <= len(c.settings.Members)+1 && h.StandbyView.Newer(&c.standbyView) {
 		c.standbyView = *h.StandbyView
 	}
 }
@@ -371,9 +370,10 @@
 	was := ""
 	connected := false
 	for ; ctx.Err() == nil; time.Sleep(look) {
-		leader, token, leading := n.termView()
+		term := n.term.view()
+		leader, token := term.leader, term.token
 		p := n.peers[leader]
-		if leading != 0 || p == nil || n.standbyRank() < 0 {
+		if term.isLeading() || p == nil || n.standbyRank() < 0 {
 			was, connected = "", false
 			continue
 		}
@@ -383,8 +383,8 @@
 			born = s.id
 		}
 		heard := time.Since(n.peerSeenAt[leader])
-		acts := n.leaderProcess
 		n.mu.Unlock()
+		acts := n.term.leaderProcess()
 		w.mu.Lock()
 		if acts.token == token && acts.process != 0 && born == acts.process && heard < time.Second {
 			w.suspicion.Leader(token, born)
@@ -426,7 +426,7 @@
 		return false
 	}
 	for began := time.Now(); time.Since(began) < limit && ctx.Err() == nil; time.Sleep(30 * time.Millisecond) {
-		if _, now, _ := n.termView(); now != token || !n.ranRecently() {
+		if n.term.view().token != token || !n.ranRecently() {
 			return false
 		}
 		p.ResetBackoff()
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -66,13 +66,6 @@
 	cloudQueue = 64
 )
 
-// hasResigned says whether this node gave up the term of a token by itself.
-func (c *Controller) hasResigned(token uint64) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.resignedToken == token
-}
-
 // lead loads the stored state and acts as leader until the term is lost.
 func (c *Controller) lead(ctx context.Context, token uint64, h *lease) {
 	ctx, cancel := context.WithCancel(ctx)
@@ -86,7 +79,7 @@
 		if h.expired.Load() || ctx.Err() != nil {
 			return
 		}
-		if _, top, _ := c.termView(); top > token {
+		if c.term.view().token > token {
 			return
 		}
 		err := r.load()
@@ -98,13 +91,7 @@
 	}
 	installed := make(chan bool, 1)
 	c.postToOwner(func() {
-		c.mu.Lock()
-		ok := c.token == token
-		if ok {
-			c.leadingToken = token
-			c.leader = c.settings.Label
-		}
-		c.mu.Unlock()
+		ok := c.term.startLeading(token)
 		if ok {
 			c.leadership = r
 			c.config.configureCore() // it may have changed while the state was loaded
@@ -152,11 +139,7 @@
 	c := l.controller
 	before := l.stalledFor
 	l.stalledFor += gap
-	c.mu.Lock()
-	if c.leadingToken == l.token {
-		c.leadingToken = 0
-	}
-	c.mu.Unlock()
+	c.term.stopLeading(l.token)
 	c.log.Info("stood still", "for_us", gap, "token", l.token)
 	if before == 0 {
 		go l.confirmTerm()
@@ -189,11 +172,7 @@
 	if c.leadership != l {
 		return
 	}
-	c.mu.Lock()
-	if c.token == l.token {
-		c.leadingToken = l.token
-	}
-	c.mu.Unlock()
+	c.term.startLeading(l.token)
 	l.core.ResumeAfterStall(l.stalledFor, c.now())
 	l.stalledFor = 0
 	c.passPending = true
@@ -221,10 +200,8 @@
 	if c.leadership == l {
 		c.leadership = nil
 	}
+	c.term.stopLeading(l.token)
 	c.mu.Lock()
-	if c.leadingToken == l.token {
-		c.leadingToken = 0
-	}
 	c.gauges = gauges{}
 	c.mu.Unlock()
 	l.cancel()
@@ -433,9 +410,7 @@
 	// still renews leases.
 	if blind && len(c.peers) > 0 && reachable {
 		c.log.Info("most workers are silent: giving the term up", "token", l.token)
-		c.mu.Lock()
-		c.resignedToken = l.token
-		c.mu.Unlock()
+		c.term.resign(l.token)
 		l.stepDown()
 		return
 	}
--- a/internal/controller/lookup.go
+++ b/internal/controller/lookup.go
@@ -167,8 +167,8 @@
 		return nil
 	}
 	sts := c.localCounts(ctx, ids)
-	leader, _, leading := c.termView()
-	if p := c.peers[leader]; p != nil && leading == 0 {
+	term := c.term.view()
+	if p := c.peers[term.leader]; p != nil && !term.isLeading() {
 		if a, err := p.Counts(ctx, ids); err == nil {
 			sts = a.Jobs
 		}
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -97,8 +97,7 @@
 	}
 	reg.MustRegister(shares{c})
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "leader", Help: "1 while this node acts as leader."}, func() float64 {
-		_, _, leading := c.termView()
-		return one(leading != 0)
+		return one(c.term.view().isLeading())
 	}))
 	return promhttp.HandlerFor(reg, promhttp.HandlerOpts{})
 }
--- a/internal/controller/peerheartbeat.go
+++ b/internal/controller/peerheartbeat.go
@@ -18,7 +18,9 @@
 			c.mu.Unlock()
 			c.handlePeerHeartbeat(label, a)
 			c.recordOwnRestarts(a.RecentRestarts)
-			c.acceptRenewalToken(a)
+			// At second hand: a controller that was started within an outage has the permission
+			// from those that live on.
+			c.term.allowRenewal(a.RenewalToken)
 		}
 		select {
 		case <-ctx.Done():
@@ -28,9 +30,6 @@
 	}
 }
 
-// leaderProcess is the process that said hello as leader, and under which token.
-type leaderProcess struct{ token, process uint64 }
-
 // handlePeerHeartbeat takes a hello of a peer, or the answer to one, and is how often that peer was
 // started anew lately.
 func (c *Controller) handlePeerHeartbeat(label string, h *peer.Heartbeat) int {
@@ -46,26 +45,18 @@
 		return
 	}
 	c.observeTerm(h.Leader, h.Token)
+	if h.From == h.Leader {
+		c.term.allowRenewal(h.Token)
+	}
+	if h.Leading && h.From == h.Leader {
+		c.term.recordLeaderProcess(termProcess{h.Token, h.ProcessID})
+	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.acceptStandbyView(h)
 	if h.CannotFollow && c.peers[h.From] != nil {
 		c.peerUnfitAt[h.From] = time.Now()
 	}
-	if h.From == h.Leader {
-		c.renewalToken = max(c.renewalToken, h.Token)
-	}
-	if h.Leading && h.From == h.Leader && h.Token >= c.leaderProcess.token {
-		c.leaderProcess = leaderProcess{h.Token, h.ProcessID}
-	}
-}
-
-// acceptRenewalToken takes a grant at second hand: a node that was started within an outage has it
-// from those that live on.
-func (c *Controller) acceptRenewalToken(h *peer.Heartbeat) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.renewalToken = max(c.renewalToken, h.RenewalToken)
 }
 
 // mayRenewLease says whether this node may renew the worker's lease by itself: under the
@@ -77,14 +68,12 @@
 	if c.store.Reachable(3 * time.Second) {
 		return 0, false // then another leader can be found
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.renewalToken, c.renewalToken > 0 && c.renewalToken == c.token && r.FencingToken <= c.renewalToken
+	return c.term.mayRenew(r.FencingToken)
 }
 
 func (c *Controller) newHeartbeat() *peer.Heartbeat {
-	leader, token, leading := c.termView()
-	h := &peer.Heartbeat{From: c.settings.Label, Leader: leader, Token: token, ProcessID: c.processID, Leading: leading != 0 && leading == token}
+	term := c.term.view()
+	h := &peer.Heartbeat{From: c.settings.Label, Leader: term.leader, Token: term.token, ProcessID: c.processID, Leading: term.isLeading() && term.leading == term.token}
 	h.CannotFollow = c.follower.unfit()
 	h.SupportsConfig, h.Generation = true, c.config.current().number
 	c.mu.Lock()
@@ -93,7 +82,7 @@
 		v := c.standbyView
 		h.StandbyView = &v
 	}
-	h.RenewalToken = c.renewalToken
+	h.RenewalToken = c.term.renewalToken()
 	return h
 }
 
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -59,9 +59,7 @@
 		return false
 	}
 	c.log.Info("hands the term over", "token", r.token)
-	c.mu.Lock()
-	c.resignedToken = r.token
-	c.mu.Unlock()
+	c.term.resign(r.token)
 	r.stepDown()
 	return true
 }
--- a/internal/controller/stall_test.go
+++ b/internal/controller/stall_test.go
@@ -30,7 +30,9 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		r := &leadership{controller: n, token: 5, ctx: ctx, cancel: cancel, core: sched.New(n.settings, 5, n.now(), wire.Catalog{}, func(string, ...any) {})}
-		n.leadership, n.leadingToken, n.token = r, 5, 5
+		n.leadership = r
+		n.term.observe("", 5)
+		n.term.startLeading(5)
 		n.lastTurn.Store(n.now() - 25*stallThreshold)
 		if n.ranRecently() || r.holdsTerm() {
 			t.Errorf("%s: what woke before the owner goroutine may act", c.name)
@@ -44,7 +46,7 @@
 			t.Errorf("%s: scheduled before the term was read", c.name)
 		}
 		(<-n.ownerQueue)() // what reading the term leads to
-		if _, _, leading := n.termView(); (leading == 5) != c.acts || (n.leadership == r) != c.acts {
+		if leading := n.term.view().leading; (leading == 5) != c.acts || (n.leadership == r) != c.acts {
 			t.Errorf("%s: acts under %d", c.name, leading)
 		}
 	}
