--- a/internal/node/metrics.go
+++ b/internal/controller/metrics.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"net/http"
@@ -8,7 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"dalefront/internal/domain"
+	"dalefront/internal/failuredomain"
 	"dalefront/internal/sched"
 )
 
@@ -19,18 +19,18 @@
 	machines, up int
 	silent       map[string]int // machines, by what the detector says of them
 	zonesCut     int
-	served       []sched.Served // of classes and teams
+	served       []sched.ServiceShare // of classes and teams
 }
 
 // metrics serves the counters. Those of the core are zero on nodes that are not
 // the leader.
-func (n *Node) metrics() http.Handler {
+func (c *Controller) metrics() http.Handler {
 	reg := prometheus.NewRegistry()
 	add := func(name, help string, read func(*gauges) int) {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: name, Help: help}, func() float64 {
-			n.mu.Lock()
-			defer n.mu.Unlock()
-			return float64(read(&n.shown))
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			return float64(read(&c.gauges))
 		}))
 	}
 	add("waiting_jobs", "Jobs with tasks that wait for room.", func(s *gauges) int { return s.jobs })
@@ -38,26 +38,26 @@
 	add("machines", "Machines known to the leader.", func(s *gauges) int { return s.machines })
 	add("machines_up", "Machines whose workers have confirmed this term.", func(s *gauges) int { return s.up })
 	add("launches", "Launches stored in this term.", func(s *gauges) int { return s.stats.Launches })
-	add("evictions", "Tasks told to make way in this term.", func(s *gauges) int { return s.stats.Evictions })
+	add("evictions", "Tasks told to make way in this term.", func(s *gauges) int { return s.stats.Preemptions })
 	add("checkpoints", "Evictions that saved in this term.", func(s *gauges) int { return s.stats.Checkpoints })
-	add("leases_lost", "Workers whose lease ran out in this term.", func(s *gauges) int { return s.stats.LeasesLost })
+	add("leases_lost", "Workers whose lease ran out in this term.", func(s *gauges) int { return s.stats.LeasesExpired })
 	add("task_errors", "Tasks that failed in this term.", func(s *gauges) int { return s.stats.Errors })
-	add("machines_hired", "Machines rented in this term.", func(s *gauges) int { return s.stats.Hired })
-	add("machines_returned", "Machines returned in this term.", func(s *gauges) int { return s.stats.Returned })
+	add("machines_hired", "Machines rented in this term.", func(s *gauges) int { return s.stats.ScaledOut })
+	add("machines_returned", "Machines returned in this term.", func(s *gauges) int { return s.stats.ScaledIn })
 	add("zones_cut", "Zones that are found to be cut off.", func(s *gauges) int { return s.zonesCut })
-	for v := domain.Unclear; v <= domain.Blind; v++ {
+	for v := failuredomain.Unclear; v <= failuredomain.Blind; v++ {
 		name := v.String()
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "machines_silent",
 			Help: "Silent machines, by what has most likely become of them.", ConstLabels: prometheus.Labels{"verdict": name}}, func() float64 {
-			n.mu.Lock()
-			defer n.mu.Unlock()
-			return float64(n.shown.silent[name])
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			return float64(c.gauges.silent[name])
 		}))
 	}
 	for i, name := range []string{"archived_jobs", "archive_leaves", "archive_manifests"} {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: name,
 			Help: "Size of the archive of final answers, as this node knows it."}, func() float64 {
-			jobs, leaves, manifests := n.archive.Size()
+			jobs, leaves, manifests := c.archive.Size()
 			return float64([]int{jobs, leaves, manifests}[i])
 		}))
 	}
@@ -70,34 +70,34 @@
 		"standby_lag_us": {"Microseconds since what this node follows was known to be the newest.", func(_, _ int, us int64) float64 { return float64(us) }},
 	} {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: name, Help: x.help}, func() float64 {
-			keys, bytes, us, _ := n.warm.lag()
+			keys, bytes, us, _ := c.follower.lag()
 			return x.read(keys, bytes, us)
 		}))
 	}
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "standby", Help: "1 while this node stands by warm with a copy that is good."}, func() float64 {
-		return one(n.warm.ready())
+		return one(c.follower.ready())
 	}))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "wrong_suspicions", Help: "Leaders whose term this node replaced though their process had not ended."}, func() float64 {
-		n.warm.mu.Lock()
-		defer n.warm.mu.Unlock()
-		return float64(n.warm.suspicion.WrongOnes())
+		c.follower.mu.Lock()
+		defer c.follower.mu.Unlock()
+		return float64(c.follower.suspicion.WrongOnes())
 	}))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "cancellations_waiting",
-		Help: "Users that wait here until the tasks of a job that they cancelled are gone."}, func() float64 { return float64(len(n.cancels)) }))
+		Help: "Users that wait here until the tasks of a job that they cancelled are gone."}, func() float64 { return float64(len(c.cancelSlots)) }))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "goroutines", Help: "Goroutines of this process."},
 		func() float64 { return float64(runtime.NumGoroutine()) }))
 	for name, x := range map[string]struct {
 		help string
 		read func() float64
 	}{
-		"config_generation":      {"Generation of the configuration that this node decides by.", func() float64 { return float64(n.config.current().number) }},
-		"config_refused_batches": {"Batches of launches that were decided anew since the configuration had changed.", func() float64 { return float64(n.config.refused.Load()) }},
+		"config_generation":      {"Generation of the configuration that this node decides by.", func() float64 { return float64(c.config.current().number) }},
+		"config_refused_batches": {"Batches of launches that were decided anew since the configuration had changed.", func() float64 { return float64(c.config.refused.Load()) }},
 	} {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: name, Help: x.help}, x.read))
 	}
-	reg.MustRegister(shares{n})
+	reg.MustRegister(shares{c})
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "leader", Help: "1 while this node acts as leader."}, func() float64 {
-		_, _, leading := n.view()
+		_, _, leading := c.termView()
 		return one(leading != 0)
 	}))
 	return promhttp.HandlerFor(reg, promhttp.HandlerOpts{})
@@ -111,17 +111,17 @@
 	return 0
 }
 
-// show updates the gauges. Owner goroutine.
-func (r *leadership) show() {
+// publishGauges updates the gauges. Owner goroutine.
+func (l *leadership) publishGauges() {
 	var s gauges
-	s.stats = r.core.Stats
-	s.jobs, s.tasks = r.core.Waiting()
-	s.machines, s.up = r.core.Fleet()
-	s.silent, s.zonesCut = r.core.Silent()
-	s.served = r.core.Served(mostServed)
-	r.n.mu.Lock()
-	r.n.shown = s
-	r.n.mu.Unlock()
+	s.stats = l.core.Stats
+	s.jobs, s.tasks = l.core.Waiting()
+	s.machines, s.up = l.core.FleetSize()
+	s.silent, s.zonesCut = l.core.SilentMachines()
+	s.served = l.core.ServiceShares(mostServed)
+	l.controller.mu.Lock()
+	l.controller.gauges = s
+	l.controller.mu.Unlock()
 }
 
 // mostServed bounds the classes that are shown, since users choose their names. Teams are those
@@ -129,7 +129,7 @@
 const mostServed = 50
 
 // shares shows how much of what each class and team asked for is served.
-type shares struct{ n *Node }
+type shares struct{ n *Controller }
 
 var (
 	jobsDesc   = prometheus.NewDesc("dalefront_jobs", "Jobs of a class or team in this term, by what became of them.", []string{"of", "name", "what"}, nil)
@@ -147,7 +147,7 @@
 // Collect implements prometheus.Collector.
 func (s shares) Collect(out chan<- prometheus.Metric) {
 	s.n.mu.Lock()
-	all := s.n.shown.served
+	all := s.n.gauges.served
 	s.n.mu.Unlock()
 	show := func(d *prometheus.Desc, v float64, labels ...string) {
 		if m, err := prometheus.NewConstMetric(d, prometheus.GaugeValue, v, labels...); err == nil {
@@ -159,32 +159,32 @@
 		for _, v := range []struct {
 			what string
 			n    int
-		}{{"submitted", x.Submitted}, {"begun", x.Begun}, {"done", x.Done}, {"late", x.Late}, {"cancelled", x.Cancelled}, {"waiting", x.Waiting}} {
+		}{{"submitted", x.Submitted}, {"begun", x.Started}, {"done", x.Done}, {"late", x.Late}, {"cancelled", x.Cancelled}, {"waiting", x.Waiting}} {
 			show(jobsDesc, float64(v.n), of, name, v.what)
 		}
 		show(shareDesc, x.Share, of, name)
 		behind := 0.0
-		if x.Behind {
+		if x.Underserved {
 			behind = 1
 		}
 		show(behindDesc, behind, of, name)
 	}
 }
 
-func kindOf(s *sched.Served) string {
+func kindOf(s *sched.ServiceShare) string {
 	if s.Team {
 		return "team"
 	}
 	return "class"
 }
 
-// tellServed logs what each class and team has had, and warns of those that are behind.
-func (r *leadership) tellServed() {
-	for _, s := range r.core.Served(mostServed) {
-		r.n.log.Info("served", "of", kindOf(&s), "name", s.Name, "submitted", s.Submitted, "begun", s.Begun, "done", s.Done, "late", s.Late,
+// logServiceShares logs what each class and team has had, and warns of those that are behind.
+func (l *leadership) logServiceShares() {
+	for _, s := range l.core.ServiceShares(mostServed) {
+		l.controller.log.Info("served", "of", kindOf(&s), "name", s.Name, "submitted", s.Submitted, "begun", s.Started, "done", s.Done, "late", s.Late,
 			"cancelled", s.Cancelled, "waiting", s.Waiting, "share", s.Share)
-		if s.Behind {
-			r.n.log.Warn(kindOf(&s)+" starves", "name", s.Name, "share", s.Share, "for_us", s.For, "why", s.Why)
+		if s.Underserved {
+			l.controller.log.Warn(kindOf(&s)+" starves", "name", s.Name, "share", s.Share, "for_us", s.UnderservedFor, "why", s.WaitReason)
 		}
 	}
 }
