--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -12,8 +12,6 @@
 	"sync/atomic"
 	"time"
 
-	"golang.org/x/time/rate"
-
 	"dalefront/internal/api"
 	"dalefront/internal/archive"
 	"dalefront/internal/calendar"
@@ -22,7 +20,6 @@
 	"dalefront/internal/kvstore"
 	"dalefront/internal/peer"
 	"dalefront/internal/snapshot"
-	"dalefront/internal/standby"
 	"dalefront/internal/workerclient"
 	"dalefront/wire"
 )
@@ -60,28 +57,20 @@
 
 	lastTurn atomic.Int64 // when the owner goroutine last came by
 
-	term termTracker
+	term           termTracker
+	peerTable      *peerTable
+	workerContacts *workerContacts
+	catalog        machineCatalog
+	gauges         atomic.Pointer[gauges] // of the core, nil on controllers that don't lead
 
 	draining atomic.Bool
 	drained  chan struct{} // closed when this node is to end
 
-	mu              sync.Mutex
-	gauges          gauges
-	catalog         *wire.Catalog
-	finalStatuses   map[string]wire.JobStatus
-	finalOrder      []string
-	knownJobs       map[string]struct{}     // jobs known to be accepted
-	peerSeenAt      map[string]time.Time    // when a peer last answered
-	workerSeenAt    map[string]time.Time    // when a worker last reported to this node
-	redirectLimiter *rate.Limiter           // workers that are sent on to another node
-	sendOnAt        time.Time               // when its rate was last set
-	processID       uint64                  // names this process
-	peerProcesses   map[string]*peerProcess // of the peers' processes
-	standbyView     standby.View            // who stands by
-	peerUnfitAt     map[string]time.Time    // when a peer said that it could not follow
-	peerAnswers     int                     // hellos that were answered
-	ownRestarts     int                     // how often this node was started anew lately, as a peer said
-	ownRestartsAt   time.Time               // when
+	mu            sync.Mutex
+	finalStatuses map[string]wire.JobStatus
+	finalOrder    []string
+	knownJobs     map[string]struct{} // jobs known to be accepted
+	processID     uint64              // names this process
 }
 
 const (
@@ -131,9 +120,9 @@
 		submitSlots: make(chan struct{}, max(minSubmits, int(2*d.State.WriteRPS))),
 		cancelSlots: make(chan struct{}, max(minCancels, d.Resources.Sockets/4)),
 		lookupQueue: make(chan lookup, maxLookups), archiveSlots: make(chan struct{}, maxLookBacks),
-		finalStatuses: map[string]wire.JobStatus{}, knownJobs: map[string]struct{}{}, peerSeenAt: map[string]time.Time{}, workerSeenAt: map[string]time.Time{},
-		redirectLimiter: rate.NewLimiter(minSendOn, sendOnBurst*minSendOn), drained: make(chan struct{}),
-		processID: newProcessID(), peerProcesses: map[string]*peerProcess{}, peerUnfitAt: map[string]time.Time{},
+		finalStatuses: map[string]wire.JobStatus{}, knownJobs: map[string]struct{}{},
+		drained: make(chan struct{}), processID: newProcessID(), peerTable: newPeerTable(set.Label),
+		workerContacts: newWorkerContacts(time.Duration(config.Micro(d.Workers.LeaseS)) * time.Microsecond),
 	}
 	n.term.self = set.Label
 	n.archive = archive.NewReader(n.store)
@@ -307,60 +296,6 @@
 	})
 }
 
-// refreshCatalog reads the machine types from the cloud, and prices again from
-// time to time. A node that starts while the cloud is in trouble uses the copy
-// that a leader stored: it must be able to take jobs all the same.
-func (c *Controller) refreshCatalog(ctx context.Context) {
-	for wait := 300 * time.Millisecond; ; {
-		cat, err := c.cloud.Catalog(ctx)
-		if err == nil && len(cat.Types) > 0 {
-			c.setCatalog(cat)
-			if leading := c.term.view().leading; leading != 0 {
-				_, _ = c.store.Txn(ctx, wire.Txn{
-					Conditions: []wire.Condition{{Key: termKey, Version: leading}},
-					Mutations:  []wire.Mutation{{Put: catalogKey, Value: cat}},
-				})
-				wait = 120 * time.Second
-			} else {
-				wait = 60 * time.Second
-			}
-		} else {
-			wait = min(2*wait, 3*time.Second)
-			if _, known := c.machineTypes(); !known {
-				e, found, serr := c.store.Get(ctx, catalogKey)
-				if serr == nil && found && wire.Unmarshal(e.Value, &cat) == nil && len(cat.Types) > 0 {
-					c.setCatalog(cat)
-				}
-			}
-		}
-		select {
-		case <-ctx.Done():
-			return
-		case <-time.After(wait):
-		}
-	}
-}
-
-func (c *Controller) setCatalog(cat wire.Catalog) {
-	c.mu.Lock()
-	c.catalog = &cat
-	c.mu.Unlock()
-	c.postToOwner(func() {
-		if c.leadership != nil {
-			c.leadership.core.SetCatalog(cat)
-		}
-	})
-}
-
-func (c *Controller) machineTypes() (wire.Catalog, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.catalog == nil {
-		return wire.Catalog{}, false
-	}
-	return *c.catalog, true
-}
-
 // PeerRelay implements peer.Server.
 func (c *Controller) PeerRelay(ctx context.Context, r *peer.RelayRequest) (*peer.RelayResponse, error) {
 	a, ok := c.handleHeartbeat(ctx, &r.Report)
@@ -464,7 +399,7 @@
 // Heartbeat implements api.Service: the leader answers itself, other nodes relay
 // to it, so that no worker has to find it.
 func (c *Controller) Heartbeat(ctx context.Context, r *wire.Heartbeat) (wire.HeartbeatResponse, error) {
-	c.recordWorkerContact(r.Host)
+	c.workerContacts.record(r.Host)
 	if a, ok := c.handleHeartbeat(ctx, r); ok {
 		return a, nil
 	}
@@ -498,27 +433,10 @@
 // are sent on, since they come back at once while nobody can act: a part of those that
 // report to this node, or a few at a small site.
 func (c *Controller) redirectTarget(but string) string {
-	if !c.redirectLimiter.Allow() {
+	if !c.workerContacts.mayRedirect() {
 		return ""
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	first, next := "", ""
-	for label, at := range c.peerSeenAt {
-		if label == but || time.Since(at) > 2500*time.Millisecond {
-			continue
-		}
-		if first == "" || label < first {
-			first = label
-		}
-		if label > c.settings.Label && (next == "" || label < next) {
-			next = label
-		}
-	}
-	if next == "" {
-		next = first // in a ring, so that those who are sent on meet all
-	}
-	return next
+	return c.peerTable.nextAlive(but, time.Now())
 }
 
 // Ready implements api.Service: requests can be taken while the state service is in
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -102,7 +102,7 @@
 				_, err := c.store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{{Key: termKey, Version: left}}, Mutations: []wire.Mutation{{Delete: termKey}}})
 				c.log.Info("gives up a term that an ended process has left", "token", left, "err", err)
 			}
-			sleepContext(ctx, c.yieldDuration())
+			sleepContext(ctx, c.peerTable.yieldDuration())
 			if _, found, err := c.store.Get(ctx, termKey); err != nil || found {
 				continue
 			}
--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -103,13 +103,6 @@
 	return nil, nil
 }
 
-// standbyRank is this node's place among those that stand by, -1 if it is none.
-func (c *Controller) standbyRank() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.standbyView.Rank(c.settings.Label)
-}
-
 // follow keeps a copy of the stored state while this node stands by.
 func (w *follower) follow(ctx context.Context) {
 	n := w.n
@@ -118,7 +111,7 @@
 	store := paced{n.store, seconds(standbys / (0.1 * n.settings.Deployment.State.RPS))}
 	audit := time.Now()
 	for ctx.Err() == nil {
-		if n.standbyRank() < 0 || n.term.view().isLeading() || *n.settings.Operator.Standbys == 0 {
+		if n.peerTable.standbyRank() < 0 || n.term.view().isLeading() || *n.settings.Operator.Standbys == 0 {
 			w.mu.Lock()
 			w.copy = nil
 			w.mu.Unlock()
@@ -304,59 +297,24 @@
 // publishStandbys chooses who stands by, once a second. Owner goroutine.
 func (l *leadership) publishStandbys() {
 	c := l.controller
-	count := *c.settings.Operator.Standbys
-	now := c.now()
-	members := make([]standby.Member, 0, len(c.settings.Members))
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	clock := time.Now()
-	ago := func(at time.Time) standby.Micros {
-		if at.IsZero() {
-			return 0
-		}
-		return max(1, now-time.Since(at).Microseconds())
-	}
-	for _, m := range c.settings.Members {
-		x := standby.Member{Label: m.Label, Zone: m.Zone, Heard: ago(c.peerSeenAt[m.Label]), Unfit: ago(c.peerUnfitAt[m.Label])}
-		if s := c.peerProcesses[m.Label]; s != nil {
-			x.Ends = s.recentRestarts(clock)
-		}
-		members = append(members, x)
-	}
-	old := c.standbyView
-	if old.Token != l.token {
-		old = standby.View{Token: l.token, Number: old.Number, Standbys: old.Standbys}
-	}
-	how := standby.Choosing{Zone: c.settings.Zone, Count: count, Silent: 5_000_000, Rest: 30_000_000}
-	next, changed := how.Choose(old, members, now)
-	c.standbyView = next
+	choosing := standby.Choosing{Zone: c.settings.Zone, Count: *c.settings.Operator.Standbys, Silent: 5_000_000, Rest: 30_000_000}
+	next, changed := c.peerTable.chooseStandbys(&choosing, l.token, c.settings.Members, c.now())
 	if changed {
 		c.log.Info("who stands by", "standbys", fmt.Sprint(next.Standbys), "number", next.Number)
 	}
 }
 
-// acceptStandbyView takes a view that a hello brought. The lock is held.
+// acceptStandbyView takes a view that a peer's heartbeat brought.
 func (c *Controller) acceptStandbyView(h *peer.Heartbeat) {
-	if h.StandbyView != nil && !c.term.view().isLeading() && len(h.StandbyView.Standbys) <= len(c.settings.Members)+1 && h.StandbyView.Newer(&c.standbyView) {
-		c.standbyView = *h.StandbyView
+	if h.StandbyView != nil && !c.term.view().isLeading() && len(h.StandbyView.Standbys) <= len(c.settings.Members)+1 {
+		c.peerTable.acceptStandbyView(h.StandbyView)
 	}
 }
 
 // candidateDelay is how long this node lets those go first that stand by warm, or before it.
 func (c *Controller) candidateDelay() time.Duration {
 	const each = 60 * time.Millisecond
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	before := 0
-	for _, label := range c.standbyView.Standbys {
-		if label == c.settings.Label {
-			break
-		}
-		if time.Since(c.peerSeenAt[label]) < 2*time.Second {
-			before++
-		}
-	}
-	return time.Duration(before) * each
+	return time.Duration(c.peerTable.aliveBefore(time.Now())) * each
 }
 
 // watchLeader notices the end of the leader's process, while this node stands by, and
@@ -373,17 +331,12 @@
 		term := n.term.view()
 		leader, token := term.leader, term.token
 		p := n.peers[leader]
-		if term.isLeading() || p == nil || n.standbyRank() < 0 {
+		if term.isLeading() || p == nil || n.peerTable.standbyRank() < 0 {
 			was, connected = "", false
 			continue
 		}
-		n.mu.Lock()
-		born := uint64(0)
-		if s := n.peerProcesses[leader]; s != nil {
-			born = s.id
-		}
-		heard := time.Since(n.peerSeenAt[leader])
-		n.mu.Unlock()
+		born := n.peerTable.process(leader)
+		heard := time.Since(n.peerTable.lastSeen(leader))
 		acts := n.term.leaderProcess()
 		w.mu.Lock()
 		if acts.token == token && acts.process != 0 && born == acts.process && heard < time.Second {
--- a/internal/controller/follower_test.go
+++ b/internal/controller/follower_test.go
@@ -39,7 +39,7 @@
 		o := &set.Operator
 		o.EvictAfterS, o.CheckpointMBS, o.Standbys, o.SuspectS, o.TakeoverCopyS = &f, &f, &one, &f, &zero
 	})
-	n.catalog = &wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 8, MemoryGB: 64, Zones: []string{"x"}}}}
+	n.catalog.set(wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 8, MemoryGB: 64, Zones: []string{"x"}}}})
 	n.lastTurn.Store(n.now())
 	w.Controller, w.ctx = n, ctx
 	w.take()
--- a/internal/controller/instability_test.go
+++ b/internal/controller/instability_test.go
@@ -118,9 +118,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.peers["b"], n.peerSeenAt["b"] = p, time.Now()
-		n.recordOwnRestarts(c.ends)
-		n.catalog = &wire.Catalog{}
+		n.peers["b"] = p
+		n.peerTable.recordSeen("b", time.Now())
+		n.peerTable.recordOwnRestarts(c.ends, time.Now())
+		n.catalog.set(wire.Catalog{})
 		ctx, cancel := context.WithCancel(context.Background())
 		go n.runOwner(ctx)
 		go n.electionLoop(ctx)
@@ -169,24 +170,24 @@
 	if got := n.recordPeerProcess("b", 199, now.Add(restartWindow)); got > maxCountedRestarts {
 		t.Errorf("%d ends are kept", got)
 	}
-	if n.recordPeerProcess("nobody", 3, now) != 0 || len(n.peerProcesses) != 1 {
+	if n.recordPeerProcess("nobody", 3, now) != 0 || len(n.peerTable.states) != 1 {
 		t.Error("a node that is no member is counted")
 	}
 
 	ctx := context.Background()
-	n.recordOwnRestarts(maxCountedRestarts)
+	n.peerTable.recordOwnRestarts(maxCountedRestarts, time.Now())
 	if n.yieldsElection(ctx) {
 		t.Error("it lets others go first though none is there")
 	}
-	n.peerSeenAt["b"] = time.Now()
+	n.peerTable.recordSeen("b", time.Now())
 	if n.yieldsElection(ctx) {
 		t.Error("it lets one go first that ends as often")
 	}
-	n.peerProcesses["b"] = &peerProcess{id: 1}
-	if !n.yieldsElection(ctx) || n.yieldDuration() > 2*time.Second {
-		t.Errorf("it does not let others go first, or for %v", n.yieldDuration())
+	n.peerTable.states["b"].restarts = nil
+	if !n.yieldsElection(ctx) || n.peerTable.yieldDuration() > 2*time.Second {
+		t.Errorf("it does not let others go first, or for %v", n.peerTable.yieldDuration())
 	}
-	n.ownRestartsAt = time.Now().Add(-2 * restartWindow)
+	n.peerTable.ownRestartsAt = time.Now().Add(-2 * restartWindow)
 	if n.yieldsElection(ctx) {
 		t.Error("what was counted is never forgotten")
 	}
--- a/internal/controller/largesite_test.go
+++ b/internal/controller/largesite_test.go
@@ -12,6 +12,7 @@
 
 	"dalefront/internal/api"
 	"dalefront/internal/cloud"
+	"dalefront/internal/config"
 	"dalefront/internal/sched"
 	"dalefront/wire"
 )
@@ -21,27 +22,26 @@
 func TestSendOnFollowsWorkers(t *testing.T) {
 	for _, test := range []struct{ workers, atOnce int }{{0, 80}, {350, 80}, {480, 80}, {1_333, 222}, {2_667, 444}} {
 		t.Run(fmt.Sprint(test.workers), func(t *testing.T) {
-			n := testNode(t, func(http.ResponseWriter, *http.Request) {})
-			n.settings.Label = "c"
-			n.peerSeenAt = map[string]time.Time{"a": time.Now()}
+			n := testNode(t, func(http.ResponseWriter, *http.Request) {}, func(set *config.Settings) { set.Label = "c" })
+			n.peerTable.recordSeen("a", time.Now())
 			old := time.Now().Add(-time.Minute) // gone: they don't count
 			for i := range 10_000 {
-				n.workerSeenAt[fmt.Sprintf("old-%d", i)] = old
+				n.workerContacts.seenAt[fmt.Sprintf("old-%d", i)] = old
 			}
 			for i := range test.workers {
-				n.workerSeenAt[fmt.Sprintf("n-%d", i)] = time.Now()
+				n.workerContacts.seenAt[fmt.Sprintf("n-%d", i)] = time.Now()
 			}
-			n.recordWorkerContact("n-0")
+			n.workerContacts.record("n-0")
 			// The limiter has room for a whole burst once that time has gone by.
 			at := time.Now().Add(sendOnBurst * time.Second)
 			sent := 0
-			for n.redirectLimiter.AllowN(at, 1) {
+			for n.workerContacts.limiter.AllowN(at, 1) {
 				sent++
 			}
 			if sent != test.atOnce {
 				t.Errorf("%d workers are sent on at once, want %d", sent, test.atOnce)
 			}
-			if !n.redirectLimiter.AllowN(at.Add(time.Second), test.atOnce/sendOnBurst) || n.redirectLimiter.AllowN(at.Add(time.Second), 1) {
+			if !n.workerContacts.limiter.AllowN(at.Add(time.Second), test.atOnce/sendOnBurst) || n.workerContacts.limiter.AllowN(at.Add(time.Second), 1) {
 				t.Errorf("a second later it is not %d", test.atOnce/sendOnBurst)
 			}
 		})
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -201,9 +201,7 @@
 		c.leadership = nil
 	}
 	c.term.stopLeading(l.token)
-	c.mu.Lock()
-	c.gauges = gauges{}
-	c.mu.Unlock()
+	c.gauges.Store(nil)
 	l.cancel()
 }
 
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -12,7 +12,7 @@
 	"dalefront/internal/sched"
 )
 
-// gauges is what the owner shows of the core; it sits behind the short lock.
+// gauges is what the owner goroutine shows of the core. It is replaced and never changed.
 type gauges struct {
 	stats        sched.Stats
 	jobs, tasks  int // that wait
@@ -28,9 +28,7 @@
 	reg := prometheus.NewRegistry()
 	add := func(name, help string, read func(*gauges) int) {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: name, Help: help}, func() float64 {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			return float64(read(&c.gauges))
+			return float64(read(c.currentGauges()))
 		}))
 	}
 	add("waiting_jobs", "Jobs with tasks that wait for room.", func(s *gauges) int { return s.jobs })
@@ -49,9 +47,7 @@
 		name := v.String()
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "machines_silent",
 			Help: "Silent machines, by what has most likely become of them.", ConstLabels: prometheus.Labels{"verdict": name}}, func() float64 {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			return float64(c.gauges.silent[name])
+			return float64(c.currentGauges().silent[name])
 		}))
 	}
 	for i, name := range []string{"archived_jobs", "archive_leaves", "archive_manifests"} {
@@ -110,6 +106,14 @@
 	return 0
 }
 
+// currentGauges is what the owner goroutine showed last; all is zero on controllers that don't lead.
+func (c *Controller) currentGauges() *gauges {
+	if current := c.gauges.Load(); current != nil {
+		return current
+	}
+	return &gauges{}
+}
+
 // publishGauges updates the gauges. Owner goroutine.
 func (l *leadership) publishGauges() {
 	var s gauges
@@ -118,9 +122,7 @@
 	s.machines, s.up = l.core.FleetSize()
 	s.silent, s.zonesCut = l.core.SilentMachines()
 	s.served = l.core.ServiceShares(mostServed)
-	l.controller.mu.Lock()
-	l.controller.gauges = s
-	l.controller.mu.Unlock()
+	l.controller.gauges.Store(&s)
 }
 
 // mostServed bounds the classes that are shown, since users choose their names. Teams are those
@@ -145,9 +147,7 @@
 
 // Collect implements prometheus.Collector.
 func (s shares) Collect(out chan<- prometheus.Metric) {
-	s.n.mu.Lock()
-	all := s.n.gauges.served
-	s.n.mu.Unlock()
+	all := s.n.currentGauges().served
 	show := func(d *prometheus.Desc, v float64, labels ...string) {
 		if m, err := prometheus.NewConstMetric(d, prometheus.GaugeValue, v, labels...); err == nil {
 			out <- m
--- a/internal/controller/peerheartbeat.go
+++ b/internal/controller/peerheartbeat.go
@@ -13,11 +13,9 @@
 	for {
 		a, err := p.Heartbeat(ctx, c.newHeartbeat())
 		if err == nil {
-			c.mu.Lock()
-			c.peerSeenAt[label] = time.Now()
-			c.mu.Unlock()
+			c.peerTable.recordSeen(label, time.Now())
 			c.handlePeerHeartbeat(label, a)
-			c.recordOwnRestarts(a.RecentRestarts)
+			c.peerTable.recordOwnRestarts(a.RecentRestarts, time.Now())
 			// At second hand: a controller that was started within an outage has the permission
 			// from those that live on.
 			c.term.allowRenewal(a.RenewalToken)
@@ -51,11 +49,9 @@
 	if h.Leading && h.From == h.Leader {
 		c.term.recordLeaderProcess(termProcess{h.Token, h.ProcessID})
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
 	c.acceptStandbyView(h)
 	if h.CannotFollow && c.peers[h.From] != nil {
-		c.peerUnfitAt[h.From] = time.Now()
+		c.peerTable.recordUnfit(h.From, time.Now())
 	}
 }
 
@@ -76,11 +72,8 @@
 	h := &peer.Heartbeat{From: c.settings.Label, Leader: term.leader, Token: term.token, ProcessID: c.processID, Leading: term.isLeading() && term.leading == term.token}
 	h.CannotFollow = c.follower.unfit()
 	h.SupportsConfig, h.Generation = true, c.config.current().number
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.standbyView.Token > 0 {
-		v := c.standbyView
-		h.StandbyView = &v
+	if view := c.peerTable.standbyView(); view.Token > 0 {
+		h.StandbyView = &view
 	}
 	h.RenewalToken = c.term.renewalToken()
 	return h
@@ -95,7 +88,7 @@
 		a.Probe, a.Reached = h.Probe, c.reachesProcess(ctx, h.Probe, h.ProbeProcessID)
 	}
 	if h.WantContacts {
-		a.Contacts = c.workerContacts()
+		a.Contacts = c.workerContacts.recent()
 	}
 	return a, nil
 }
--- a/internal/controller/stall_test.go
+++ b/internal/controller/stall_test.go
@@ -80,7 +80,10 @@
 func TestSentPastSilentNodes(t *testing.T) {
 	n := testNode(t, func(http.ResponseWriter, *http.Request) {}, func(set *config.Settings) { set.Label = "c" })
 	now := time.Now()
-	n.peerSeenAt = map[string]time.Time{"a": now, "b": now, "d": now.Add(-time.Minute), "e": now}
+	for _, label := range []string{"a", "b", "e"} {
+		n.peerTable.recordSeen(label, now)
+	}
+	n.peerTable.recordSeen("d", now.Add(-time.Minute))
 	if to := n.redirectTarget("e"); to != "a" {
 		t.Errorf("sent to %q past the silent d and the leader e", to)
 	}
--- a/internal/controller/workercontacts.go
+++ b/internal/controller/workercontacts.go
@@ -12,103 +12,135 @@
 	"dalefront/internal/peer"
 )
 
-// workerContactTTL is how long it is remembered that a worker was heard.
+// workerContactTTL is how long it is remembered that a worker reported.
 const workerContactTTL = 10 * time.Minute
 
-// recordWorkerContact notes that a worker has reported to this node. What each node has heard is
-// all that is left of it when a leader ends.
-func (c *Controller) recordWorkerContact(host string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if _, known := c.workerSeenAt[host]; !known && len(c.workerSeenAt) >= peer.MostHeard {
-		for h, at := range c.workerSeenAt {
-			if time.Since(at) > workerContactTTL {
-				delete(c.workerSeenAt, h)
-			}
-		}
-		if len(c.workerSeenAt) >= peer.MostHeard {
+// contactsTimeout is how long a takeover waits for what its peers know of workers.
+const contactsTimeout = 400 * time.Millisecond
+
+// redirectPace is how often the rate of redirections is set anew.
+const redirectPace = time.Second
+
+// workerContacts keeps when a worker last reported to this controller, and how many workers may be
+// sent on to another one: a share of those that report here. What each controller has heard is all
+// that is left of it when a leader ends. All methods may be called concurrently.
+type workerContacts struct {
+	lease time.Duration // of workers
+
+	mu      sync.Mutex
+	seenAt  map[string]time.Time // by host
+	limiter *rate.Limiter        // of redirections
+	pacedAt time.Time            // when its rate was last set
+}
+
+func newWorkerContacts(lease time.Duration) *workerContacts {
+	return &workerContacts{
+		lease:   lease,
+		seenAt:  map[string]time.Time{},
+		limiter: rate.NewLimiter(minSendOn, sendOnBurst*minSendOn),
+	}
+}
+
+// record notes that a worker has reported. Beyond peer.MostHeard workers new ones are not noted.
+func (w *workerContacts) record(host string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	now := time.Now()
+	if _, known := w.seenAt[host]; !known && len(w.seenAt) >= peer.MostHeard {
+		w.expire(now)
+		if len(w.seenAt) >= peer.MostHeard {
 			return
 		}
 	}
-	c.workerSeenAt[host] = time.Now()
-	c.paceSendOn()
+	w.seenAt[host] = now
+	w.setRedirectRate(now)
+}
+
+// expire forgets workers that reported too long ago. The lock is held.
+func (w *workerContacts) expire(now time.Time) {
+	for host, at := range w.seenAt {
+		if now.Sub(at) > workerContactTTL {
+			delete(w.seenAt, host)
+		}
+	}
 }
 
-// paceSendOn sets, once a second, how many workers may be sent on by how many reported to this
-// node within a lease. n.mu is held.
-func (c *Controller) paceSendOn() {
-	if time.Since(c.sendOnAt) < time.Second {
+// setRedirectRate sets, once a second, how many workers may be sent on by how many reported within
+// a lease. The lock is held.
+func (w *workerContacts) setRedirectRate(now time.Time) {
+	if now.Sub(w.pacedAt) < redirectPace {
 		return
 	}
-	c.sendOnAt = time.Now()
-	lease := time.Duration(config.Micro(c.settings.Deployment.Workers.LeaseS)) * time.Microsecond
-	heard := 0
-	for _, at := range c.workerSeenAt {
-		if time.Since(at) <= lease {
-			heard++
+	w.pacedAt = now
+	reporting := 0
+	for _, at := range w.seenAt {
+		if now.Sub(at) <= w.lease {
+			reporting++
 		}
 	}
-	most := sendOnRate(heard)
-	c.redirectLimiter.SetLimit(rate.Limit(most))
-	c.redirectLimiter.SetBurst(sendOnBurst * most)
+	limit := sendOnRate(reporting)
+	w.limiter.SetLimit(rate.Limit(limit))
+	w.limiter.SetBurst(sendOnBurst * limit)
 }
 
-// sendOnRate is how many workers a second may be sent on if so many report to this node.
-func sendOnRate(heard int) int { return max(minSendOn, heard/workersPerSendOn) }
+// mayRedirect says whether one more worker may be sent on to another controller now.
+func (w *workerContacts) mayRedirect() bool { return w.limiter.Allow() }
 
-// workerContacts says which workers reported to this node, and how long ago.
-func (c *Controller) workerContacts() []peer.Contact {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	out := make([]peer.Contact, 0, len(c.workerSeenAt))
-	for h, at := range c.workerSeenAt {
-		if ago := time.Since(at); ago <= workerContactTTL {
-			out = append(out, peer.Contact{Host: h, AgeMicros: ago.Microseconds()})
+// recent lists the workers that reported, and how long ago.
+func (w *workerContacts) recent() []peer.Contact {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	now := time.Now()
+	contacts := make([]peer.Contact, 0, len(w.seenAt))
+	for host, at := range w.seenAt {
+		if age := now.Sub(at); age <= workerContactTTL {
+			contacts = append(contacts, peer.Contact{Host: host, AgeMicros: age.Microseconds()})
 		}
 	}
-	return out
+	return contacts
 }
 
-// gatherWorkerContacts is when this node and its peers last heard which worker. Peers that don't
-// answer at once are left out: it is evidence, and proves nothing.
+// sendOnRate is how many workers a second may be sent on if so many report to this controller.
+func sendOnRate(heard int) int { return max(minSendOn, heard/workersPerSendOn) }
+
+// gatherWorkerContacts is when this controller and its peers last heard of each worker. Peers that
+// don't answer at once are left out: it is evidence, and proves nothing.
 func (c *Controller) gatherWorkerContacts(ctx context.Context) map[string]config.Micros {
-	at := map[string]config.Micros{}
+	lastHeard := map[string]config.Micros{}
 	var mu sync.Mutex
-	take := func(hs []peer.Contact) {
+	merge := func(contacts []peer.Contact) {
 		mu.Lock()
 		defer mu.Unlock()
-		for _, h := range hs {
-			at[h.Host] = max(at[h.Host], c.now()-max(0, h.AgeMicros))
+		for _, contact := range contacts {
+			lastHeard[contact.Host] = max(lastHeard[contact.Host], c.now()-max(0, contact.AgeMicros))
 		}
 	}
-	take(c.workerContacts())
-	ctx, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
+	merge(c.workerContacts.recent())
+	ctx, cancel := context.WithTimeout(ctx, contactsTimeout)
 	defer cancel()
-	var all sync.WaitGroup
-	for _, p := range c.peers {
-		all.Go(func() {
-			h := c.newHeartbeat()
-			h.WantContacts = true
-			if a, err := p.Heartbeat(ctx, h); err == nil {
-				take(a.Contacts)
+	var requests sync.WaitGroup
+	for _, client := range c.peers {
+		requests.Go(func() {
+			hello := c.newHeartbeat()
+			hello.WantContacts = true
+			if answer, err := client.Heartbeat(ctx, hello); err == nil {
+				merge(answer.Contacts)
 			}
 		})
 	}
-	all.Wait()
-	return at
+	requests.Wait()
+	return lastHeard
 }
 
-// peersForDetector is what this node knows of the others, for the detector.
+// peersForDetector is what this controller knows of the others, for the failure detector.
 func (c *Controller) peersForDetector() []failuredomain.Controller {
-	out := make([]failuredomain.Controller, 0, len(c.settings.Members))
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, m := range c.settings.Members {
-		peerView := failuredomain.Controller{Zone: m.Zone}
-		if at, ok := c.peerSeenAt[m.Label]; ok {
-			peerView.Heard = max(1, c.now()-config.Micros(time.Since(at)/time.Microsecond))
+	peers := make([]failuredomain.Controller, 0, len(c.settings.Members))
+	for _, member := range c.settings.Members {
+		view := failuredomain.Controller{Zone: member.Zone}
+		if at := c.peerTable.lastSeen(member.Label); !at.IsZero() {
+			view.Heard = max(1, c.now()-config.Micros(time.Since(at)/time.Microsecond))
 		}
-		out = append(out, peerView)
+		peers = append(peers, view)
 	}
-	return out
+	return peers
 }
