--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -209,7 +209,7 @@
 }
 
 // bounding are calls whose numbers bound something.
-var bounding = regexp.MustCompile(`^(make|rate\.NewLimiter|io\.LimitReader|http\.MaxBytesReader|httpc(lient)?\.New|grpc\.(Max|Read|Write|Initial).*)$`)
+var bounding = regexp.MustCompile(`^(make|rate\.NewLimiter|io\.LimitReader|http\.MaxBytesReader|httpclient\.New|grpc\.(Max|Read|Write|Initial).*)$`)
 
 // Buffers, rates and sizes are given by names, not by numbers. Room for one or two, such as a
 // result that nobody may wait for, is none.
--- a/internal/peer/limits_test.go
+++ b/internal/peer/limits_test.go
@@ -24,7 +24,7 @@
 	return a.read, nil
 }
 
-func (a *answering) PeerHello(context.Context, *Heartbeat) (*Heartbeat, error) { return a.hello, nil }
+func (a *answering) PeerHeartbeat(context.Context, *Heartbeat) (*Heartbeat, error) { return a.hello, nil }
 
 func (a *answering) PeerConfigApply(_ context.Context, q *ConfigApplyRequest) (*ConfigApplyResponse, error) {
 	a.got = q
