--- /dev/null
+++ b/internal/controller/controller.go
@@ -0,0 +1,557 @@
+// Package controller wires the scheduler's core to the outside. One goroutine owns
+// the core and all decisions; what handlers read sits behind a short lock.
+package controller
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/time/rate"
+
+	"dalefront/internal/api"
+	"dalefront/internal/archive"
+	"dalefront/internal/calendar"
+	"dalefront/internal/cloud"
+	"dalefront/internal/config"
+	"dalefront/internal/kvstore"
+	"dalefront/internal/peer"
+	"dalefront/internal/snapshot"
+	"dalefront/internal/standby"
+	"dalefront/internal/workerclient"
+	"dalefront/wire"
+)
+
+// Controller is one controller.
+type Controller struct {
+	settings *config.Settings
+	log      *slog.Logger
+	store    *kvstore.Client
+	cloud    *cloud.Client
+	worker   *workerclient.Client
+	peers    map[string]*peer.Client
+	calendar *calendar.Calendar // recurring jobs, nil if none are configured
+	// Final answers of old jobs. It is asked whether or not this node's settings
+	// have ends archived: another leader may have done so.
+	archive         *archive.Reader
+	snapshotKey     []byte // of the snapshots written to disk, nil for none
+	startedAt       time.Time
+	startWallMicros int64
+
+	ownerQueue  chan func()   // run by the owner
+	submitSlots chan struct{} // bounds the submissions that are being stored
+	cancelSlots chan struct{} // bounds the users that wait for their jobs' tasks to be gone
+	lookupQueue chan lookup   // questions of users that wait for the next read
+
+	archiveSlots chan struct{} // bounds the questions to the archive
+
+	// Owned by the owner goroutine.
+	leadership  *leadership
+	passPending bool
+	loopStats   loopStats
+
+	follower *follower
+	config   *configuration
+
+	lastTurn atomic.Int64 // when the owner goroutine last came by
+
+	draining atomic.Bool
+	drained  chan struct{} // closed when this node is to end
+
+	mu              sync.Mutex
+	leader          string // who holds the term, as far as known
+	token           uint64 // highest token known
+	gauges          gauges
+	renewalToken    uint64 // the token under which a leader let this node renew leases
+	resignedToken   uint64 // the last term that this node gave up by itself
+	leadingToken    uint64 // this node's token while it acts, otherwise 0
+	catalog         *wire.Catalog
+	finalStatuses   map[string]wire.JobStatus
+	finalOrder      []string
+	knownJobs       map[string]struct{}     // jobs known to be accepted
+	peerSeenAt      map[string]time.Time    // when a peer last answered
+	workerSeenAt    map[string]time.Time    // when a worker last reported to this node
+	redirectLimiter *rate.Limiter           // workers that are sent on to another node
+	sendOnAt        time.Time               // when its rate was last set
+	processID       uint64                  // names this process
+	peerProcesses   map[string]*peerProcess // of the peers' processes
+	standbyView     standby.View            // who stands by
+	peerUnfitAt     map[string]time.Time    // when a peer said that it could not follow
+	leaderProcess   leaderProcess           // which process said hello as leader
+	peerAnswers     int                     // hellos that were answered
+	ownRestarts     int                     // how often this node was started anew lately, as a peer said
+	ownRestartsAt   time.Time               // when
+}
+
+const (
+	// minEvents is for how many events the queue of the owner goroutine has room at least. A report
+	// that finds it full is not answered.
+	minEvents = 1024
+	// minSubmits is how many submissions may be stored at a time at least.
+	minSubmits = 8
+	// minCancels is how many users may wait for their jobs' tasks to be gone at least.
+	minCancels = 16
+	// maxLookBacks is how many questions to the archive may be open at a time.
+	maxLookBacks = 8
+	// minWaiters is how many reports may wait for launches at a time at least.
+	minWaiters = 256
+	// cloudShare is the part of the cloud's requests that this node may use.
+	cloudShare = 0.7
+	// socketsPerIdle: one in so many sockets may be kept for an unused connection to a worker.
+	socketsPerIdle = 16
+
+	// minSendOn is how many workers a second are sent on to another node at least. It serves
+	// minSendOn*workersPerSendOn workers.
+	minSendOn = 40
+	// workersPerSendOn: where more workers report to this node, one in so many is sent on in a second.
+	workersPerSendOn = 12
+	// sendOnBurst is for how many seconds workers may be sent on at once.
+	sendOnBurst = 2
+)
+
+// idleWorkers is how many unused connections to workers are kept. Workers and users that connect
+// get the sockets that are left: past the limit this controller could reach nobody.
+func idleWorkers(sockets int) int { return sockets / socketsPerIdle }
+
+// New returns a node; Run starts it.
+func New(set *config.Settings, log *slog.Logger) (*Controller, error) {
+	d := &set.Deployment
+	now := time.Now()
+	n := &Controller{
+		settings: set, log: log,
+		store:     kvstore.New(set.Endpoints.State, d.State.RPS, d.State.WriteRPS, len(set.Members)+1),
+		cloud:     cloud.New(set.Endpoints.Cloud, d.Cloud.RPS, cloudShare),
+		worker:    workerclient.New(idleWorkers(d.Resources.Sockets)),
+		peers:     map[string]*peer.Client{},
+		startedAt: now, startWallMicros: now.UnixMicro(),
+		ownerQueue: make(chan func(), max(minEvents, d.Resources.Sockets)),
+		// What the state service takes in two seconds; more are sent away at
+		// once, since they could not be told in time.
+		submitSlots: make(chan struct{}, max(minSubmits, int(2*d.State.WriteRPS))),
+		cancelSlots: make(chan struct{}, max(minCancels, d.Resources.Sockets/4)),
+		lookupQueue: make(chan lookup, maxLookups), archiveSlots: make(chan struct{}, maxLookBacks),
+		finalStatuses: map[string]wire.JobStatus{}, knownJobs: map[string]struct{}{}, peerSeenAt: map[string]time.Time{}, workerSeenAt: map[string]time.Time{},
+		redirectLimiter: rate.NewLimiter(minSendOn, sendOnBurst*minSendOn), drained: make(chan struct{}),
+		processID: newProcessID(), peerProcesses: map[string]*peerProcess{}, peerUnfitAt: map[string]time.Time{},
+	}
+	n.archive = archive.NewReader(n.store)
+	n.follower = newFollower(n)
+	n.config = newConfiguration(n)
+	if file := set.Operator.Calendar; file != "" {
+		var err error
+		if n.calendar, err = calendar.Load(file); err != nil {
+			return nil, err
+		}
+	}
+	if file := set.Operator.SnapshotKey; file != "" {
+		var err error
+		if n.snapshotKey, err = snapshot.KeyFile(file); err != nil {
+			return nil, err
+		}
+	}
+	for _, m := range set.Members {
+		c, err := peer.Dial(m.Addr)
+		if err != nil {
+			return nil, err
+		}
+		n.peers[m.Label] = c
+	}
+	return n, nil
+}
+
+// now is the time of day at the start plus steady time since: intervals are
+// steady, and arrivals stored by other nodes can be compared within the bound.
+func (c *Controller) now() config.Micros {
+	return c.startWallMicros + time.Since(c.startedAt).Microseconds()
+}
+
+// Run serves until the context ends or a listener fails.
+func (c *Controller) Run(ctx context.Context) error {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	users, err := net.Listen("tcp", c.settings.ServeOn)
+	if err != nil {
+		return err
+	}
+	mesh, err := net.Listen("tcp", c.settings.MeshAddr)
+	if err != nil {
+		return err
+	}
+	sockets := c.settings.Deployment.Resources.Sockets
+	srv := api.NewServer(api.Handler(c, c.metrics()), sockets-idleWorkers(sockets))
+	rpc := peer.NewServer(c, sockets)
+	failed := make(chan error, 2)
+	go func() { failed <- srv.Serve(users) }()
+	go func() { failed <- rpc.Serve(mesh) }()
+	go c.runOwner(ctx)
+	go c.refreshCatalog(ctx)
+	go c.electionLoop(ctx)
+	go c.probeStore(ctx)
+	go c.follower.follow(ctx)
+	go c.config.follow(ctx)
+	go c.follower.watchLeader(ctx)
+	go c.warmArchive(ctx)
+	pace := c.lookupPace()
+	for i := 0; i < lookupers; i++ {
+		go c.lookupLoop(ctx, pace)
+	}
+	for label, p := range c.peers {
+		go c.heartbeatPeer(ctx, label, p)
+	}
+	c.log.Info("serving", "node", c.settings.Label, "users", c.settings.ServeOn, "mesh", c.settings.MeshAddr)
+	select {
+	case <-ctx.Done():
+		_ = srv.Close()
+		rpc.Stop()
+		return nil
+	case <-c.drained:
+		c.shutDown(ctx, srv)
+		rpc.Stop()
+		return nil
+	case err := <-failed:
+		return err
+	}
+}
+
+// runOwner is the goroutine that owns the core. It schedules once events have
+// settled for a moment, so that a burst of reports leads to one pass.
+func (c *Controller) runOwner(ctx context.Context) {
+	tick := time.NewTicker(250 * time.Millisecond)
+	defer tick.Stop()
+	work := &c.loopStats
+	settle := time.NewTimer(time.Hour)
+	defer settle.Stop()
+	armed := false
+	var took time.Duration
+	c.lastTurn.Store(c.now())
+	for {
+		c.lastTurn.Store(c.now())
+		select {
+		case <-ctx.Done():
+			return
+		case f := <-c.ownerQueue:
+			c.detectStall()
+			work.measure(loopEvents, f)
+			if c.passPending && !armed {
+				armed = true
+				settle.Reset(max(20*time.Millisecond, 3*took))
+			}
+		case <-settle.C:
+			c.detectStall()
+			armed = false
+			c.passPending = false
+			if c.leadership != nil {
+				took = min(work.measure(loopPasses, c.leadership.schedule), 100*time.Millisecond) // a small share of the processor
+			}
+		case <-tick.C:
+			c.detectStall()
+			if c.leadership != nil {
+				work.measure(loopTicks, c.leadership.tick)
+			}
+		}
+	}
+}
+
+// stallThreshold is the longest gap between two turns of the owner goroutine that is
+// not taken for a standstill of the whole process.
+const stallThreshold = int64(time.Second / time.Microsecond)
+
+// ranRecently says whether the owner goroutine came by lately. After a standstill
+// whatever wakes first must not act for a term that another node may hold by now.
+func (c *Controller) ranRecently() bool { return c.now()-c.lastTurn.Load() < stallThreshold }
+
+// detectStall notices a standstill: it runs before anything else that a turn does, since
+// to this node everything timed looks overdue and all workers look silent.
+func (n *Controller) detectStall() {
+	now := n.now()
+	gap := now - n.lastTurn.Load()
+	n.lastTurn.Store(now)
+	if gap >= stallThreshold && n.leadership != nil {
+		n.leadership.suspend(gap)
+	}
+}
+
+// runOnOwner runs f on the owner goroutine and waits for it. A full queue is refused.
+func (c *Controller) runOnOwner(ctx context.Context, f func()) bool {
+	done := make(chan struct{})
+	select {
+	case c.ownerQueue <- func() { f(); close(done) }:
+	default:
+		return false
+	}
+	select {
+	case <-done:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// postToOwner runs f on the owner goroutine later; results of I/O must not be lost, so
+// it waits for room.
+func (c *Controller) postToOwner(f func()) { c.ownerQueue <- f }
+
+func (n *Controller) termView() (leader string, token, leading uint64) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.leader, n.token, n.leadingToken
+}
+
+// observeTerm takes what somebody says about the term. A higher token always wins:
+// if this node acted under a lower one, it steps down.
+func (c *Controller) observeTerm(leader string, token uint64) {
+	c.mu.Lock()
+	higher := token > c.token
+	if higher {
+		c.token, c.leader = token, leader
+	} else if token == c.token && leader != "" {
+		c.leader = leader
+	}
+	deposed := c.leadingToken != 0 && token > c.leadingToken
+	if deposed {
+		c.leadingToken = 0
+	}
+	c.mu.Unlock()
+	if deposed {
+		c.log.Info("step down", "for", leader, "token", token)
+		c.postToOwner(func() {
+			if c.leadership != nil && c.leadership.token < token {
+				c.leadership.stepDown()
+			}
+		})
+	}
+}
+
+// refreshCatalog reads the machine types from the cloud, and prices again from
+// time to time. A node that starts while the cloud is in trouble uses the copy
+// that a leader stored: it must be able to take jobs all the same.
+func (c *Controller) refreshCatalog(ctx context.Context) {
+	for wait := 300 * time.Millisecond; ; {
+		cat, err := c.cloud.Catalog(ctx)
+		if err == nil && len(cat.Types) > 0 {
+			c.setCatalog(cat)
+			if _, _, leading := c.termView(); leading != 0 {
+				_, _ = c.store.Txn(ctx, wire.Txn{
+					Conditions: []wire.Condition{{Key: termKey, Version: leading}},
+					Mutations:  []wire.Mutation{{Put: catalogKey, Value: cat}},
+				})
+				wait = 120 * time.Second
+			} else {
+				wait = 60 * time.Second
+			}
+		} else {
+			wait = min(2*wait, 3*time.Second)
+			if _, known := c.machineTypes(); !known {
+				e, found, serr := c.store.Get(ctx, catalogKey)
+				if serr == nil && found && wire.Unmarshal(e.Value, &cat) == nil && len(cat.Types) > 0 {
+					c.setCatalog(cat)
+				}
+			}
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(wait):
+		}
+	}
+}
+
+func (c *Controller) setCatalog(cat wire.Catalog) {
+	c.mu.Lock()
+	c.catalog = &cat
+	c.mu.Unlock()
+	c.postToOwner(func() {
+		if c.leadership != nil {
+			c.leadership.core.SetCatalog(cat)
+		}
+	})
+}
+
+func (c *Controller) machineTypes() (wire.Catalog, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.catalog == nil {
+		return wire.Catalog{}, false
+	}
+	return *c.catalog, true
+}
+
+// PeerRelay implements peer.Server.
+func (c *Controller) PeerRelay(ctx context.Context, r *peer.RelayRequest) (*peer.RelayResponse, error) {
+	a, ok := c.handleHeartbeat(ctx, &r.Report)
+	if !ok {
+		return &peer.RelayResponse{Status: http.StatusMisdirectedRequest}, nil
+	}
+	return &peer.RelayResponse{Status: http.StatusOK, Answer: a}, nil
+}
+
+// PeerCounts implements peer.Server.
+func (c *Controller) PeerCounts(ctx context.Context, request *peer.CountsRequest) (*peer.CountsResponse, error) {
+	return &peer.CountsResponse{Jobs: c.localCounts(ctx, request.JobIDs)}, nil
+}
+
+// localCounts reads jobs' display counts from the core, if this node has it.
+func (c *Controller) localCounts(ctx context.Context, ids []string) (sts []wire.JobStatus) {
+	var out []wire.JobStatus
+	if _, _, leading := c.termView(); leading == 0 {
+		return nil
+	}
+	if c.runOnOwner(ctx, func() {
+		if c.leadership == nil {
+			return
+		}
+		for _, id := range ids {
+			if s, done, running, ok := c.leadership.core.Counts(id); ok {
+				out = append(out, wire.JobStatus{ID: id, Status: s, Done: done, Running: running})
+			}
+		}
+	}) {
+		return out
+	}
+	return nil
+}
+
+// handleHeartbeat hands a report to the core if this node is entitled to act: it holds
+// the term as far as it knows, and neither the worker nor a peer has shown a
+// higher token. While the state service is out of reach it goes on renewing
+// leases, since it starts nothing without it.
+func (c *Controller) handleHeartbeat(ctx context.Context, r *wire.Heartbeat) (a wire.HeartbeatResponse, ok bool) {
+	_, token, leading := c.termView()
+	if r.FencingToken > token {
+		c.observeTerm("", r.FencingToken)
+	}
+	if leading == 0 || r.FencingToken > leading {
+		return a, false
+	}
+	var fresh chan []wire.Command
+	done := c.runOnOwner(ctx, func() {
+		if c.leadership == nil || c.leadership.stalledFor > 0 || ctx.Err() != nil {
+			return
+		}
+		a, ok = c.leadership.core.Heartbeat(r, c.now()), true
+		hungry := c.leadership.core.WantsLaunches(r.Host)
+		c.passPending = c.passPending || hungry || c.leadership.core.TakePassNeeded()
+		if hungry && len(c.leadership.waiters) < c.maxWaiters() {
+			fresh = make(chan []wire.Command, 1)
+			c.leadership.waiters = append(c.leadership.waiters, waiter{r.Host, c.leadership.passes, fresh})
+		}
+	})
+	if !ok || !done {
+		return a, false
+	}
+	if fresh != nil {
+		// The machine has room and something waits: the launches that are being
+		// stored right now go with this answer instead of the next one, a
+		// report interval later.
+		t := time.NewTimer(launchWait)
+		defer t.Stop()
+		select {
+		case launches := <-fresh:
+			kept := a.Commands[:0]
+			for _, o := range a.Commands {
+				if o.Op != wire.Launch {
+					kept = append(kept, o)
+				}
+			}
+			a.Commands = append(kept, launches...)
+		case <-t.C:
+		case <-ctx.Done():
+		}
+	}
+	_, _, leading = c.termView()
+	return a, leading == a.FencingToken && c.ranRecently()
+}
+
+// maxWaiters is how many reports may wait for launches at a time: each holds a socket
+// here or at a peer.
+func (c *Controller) maxWaiters() int {
+	return max(minWaiters, c.settings.Deployment.Resources.Sockets/2)
+}
+
+// waiter is a report whose answer waits a moment for launches.
+type waiter struct {
+	host   string
+	passes int
+	fresh  chan<- []wire.Command
+}
+
+const launchWait = 600 * time.Millisecond
+
+// Heartbeat implements api.Service: the leader answers itself, other nodes relay
+// to it, so that no worker has to find it.
+func (c *Controller) Heartbeat(ctx context.Context, r *wire.Heartbeat) (wire.HeartbeatResponse, error) {
+	c.recordWorkerContact(r.Host)
+	if a, ok := c.handleHeartbeat(ctx, r); ok {
+		return a, nil
+	}
+	leader, token, leading := c.termView()
+	if leading != 0 || leader == "" || leader == c.settings.Label || r.FencingToken > token {
+		return wire.HeartbeatResponse{}, api.ErrNotNow
+	}
+	p := c.peers[leader]
+	if p == nil {
+		return wire.HeartbeatResponse{}, api.ErrNotNow
+	}
+	a, err := p.Relay(ctx, &peer.RelayRequest{Report: *r})
+	if err != nil {
+		if token, ok := c.mayRenewLease(r); ok {
+			return wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}, nil
+		}
+		if to := c.redirectTarget(leader); to != "" {
+			return wire.HeartbeatResponse{}, api.Elsewhere{Node: to}
+		}
+		return wire.HeartbeatResponse{}, api.ErrNotNow
+	}
+	if a.Status != http.StatusOK {
+		return wire.HeartbeatResponse{}, api.ErrElse
+	}
+	return a.Answer, nil
+}
+
+// redirectTarget names a peer that is alive, for a worker whose report the leader did
+// not take. Left to itself the worker tries the nodes in turn and waits 4 s for
+// each that is silent; behind two such nodes its lease runs out. It bounds how many
+// are sent on, since they come back at once while nobody can act: a part of those that
+// report to this node, or a few at a small site.
+func (c *Controller) redirectTarget(but string) string {
+	if !c.redirectLimiter.Allow() {
+		return ""
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	first, next := "", ""
+	for label, at := range c.peerSeenAt {
+		if label == but || time.Since(at) > 2500*time.Millisecond {
+			continue
+		}
+		if first == "" || label < first {
+			first = label
+		}
+		if label > c.settings.Label && (next == "" || label < next) {
+			next = label
+		}
+	}
+	if next == "" {
+		next = first // in a ring, so that those who are sent on meet all
+	}
+	return next
+}
+
+// Ready implements api.Service: requests can be taken while the state service is in
+// reach and the machine types are known, unless the node is about to end.
+func (c *Controller) Ready() error {
+	switch _, ok := c.machineTypes(); {
+	case c.draining.Load():
+		return errors.New("draining: this controller is about to end")
+	case !c.store.Reachable(3 * time.Second):
+		return errors.New("the state service is out of reach")
+	case !ok:
+		return errors.New("the machine types are not known yet: the cloud has not answered")
+	}
+	return nil
+}
--- a/internal/site/fleet.go
+++ b/internal/emulator/fleet.go
@@ -1,7 +1,7 @@
-// Package site plays what a controller needs around it: the state service, the cloud,
+// Package emulator plays what a controller needs around it: the state service, the cloud,
 // the load balancer and the workers, as the protocol describes them, over HTTP on this
 // machine. It also watches whether the rules hold.
-package site
+package emulator
 
 import (
 	"cmp"
@@ -418,7 +418,7 @@
 	case g.started == 0:
 		for _, t := range g.ordered() {
 			if t.state == wire.TaskWaiting && f.now-t.since > wait {
-				t.exit(wire.CauseAlone)
+				t.exit(wire.CauseGangIncomplete)
 				delete(g.members, t)
 			}
 		}
@@ -438,7 +438,7 @@
 		for _, t := range g.ordered() {
 			m := g.members[t]
 			if t.state == wire.TaskRunning && !m.dead && f.now >= m.hung {
-				t.exit(wire.CausePeers)
+				t.exit(wire.CauseGangMemberLost)
 			}
 		}
 	}
@@ -468,7 +468,7 @@
 
 // checkpoint saves the progress that the checkpoints on the way have reached.
 func (f *Fleet) checkpoint(j *job, index int, progress Micros) {
-	if every := config.Micro(j.CheckpointEvery); every > 0 {
+	if every := config.Micro(j.CheckpointIntervalS); every > 0 {
 		f.save(j, index, progress/every*every)
 	}
 }
--- a/internal/scale/spec.go
+++ b/internal/scaletest/spec.go
@@ -1,8 +1,8 @@
-// Package scale runs a whole site at a given size on one machine, in real time: real
+// Package scaletest runs a whole site at a given size on one machine, in real time: real
 // controllers as processes, workers whose messages are real and whose work is not, and an
 // open-loop generator. It measures what each role costs and how long users wait, and fits
 // the cost of one more worker, task, start and so on.
-package scale
+package scaletest
 
 import (
 	"cmp"
@@ -13,26 +13,26 @@
 
 	"github.com/hashicorp/hcl/v2"
 
+	"dalefront/internal/emulator"
 	"dalefront/internal/hclfile"
-	"dalefront/internal/site"
 )
 
 // Spec is a scale run as its file describes it. Durations are seconds.
 type Spec struct {
-	Counts  Counts            `hcl:"counts,block"`
-	RampS   float64           `hcl:"ramp_s,optional"`    // at most, until the resident tasks run; 180
-	SteadyS float64           `hcl:"steady_s,optional"`  // without troubles: what roles cost is measured here; 60
-	Trouble float64           `hcl:"trouble_s,optional"` // in which the events fall; 0
-	SweepS  float64           `hcl:"sweep_s,optional"`   // the steady part of each point of a sweep; 20
-	TaskS   float64           `hcl:"task_s,optional"`    // mean run time of the tasks that come and go; 5
-	Limits  *SpecLimits       `hcl:"limits,block"`
-	Events  []Event           `hcl:"event,block"`
-	Sweeps  []Sweep           `hcl:"sweep,block"` // used with --sweep
-	Workers *site.SpecWorkers `hcl:"workers,block"`
-	State   *site.SpecState   `hcl:"state,block"`
-	Cloud   *site.SpecCloud   `hcl:"cloud,block"`
-	Seed    uint64            `hcl:"seed,optional"`
-	Sockets int               `hcl:"sockets,optional"` // of a controller; 800
+	Counts  Counts                `hcl:"counts,block"`
+	RampS   float64               `hcl:"ramp_s,optional"`    // at most, until the resident tasks run; 180
+	SteadyS float64               `hcl:"steady_s,optional"`  // without troubles: what roles cost is measured here; 60
+	Trouble float64               `hcl:"trouble_s,optional"` // in which the events fall; 0
+	SweepS  float64               `hcl:"sweep_s,optional"`   // the steady part of each point of a sweep; 20
+	TaskS   float64               `hcl:"task_s,optional"`    // mean run time of the tasks that come and go; 5
+	Limits  *SpecLimits           `hcl:"limits,block"`
+	Events  []Event               `hcl:"event,block"`
+	Sweeps  []Sweep               `hcl:"sweep,block"` // used with --sweep
+	Workers *emulator.SpecWorkers `hcl:"workers,block"`
+	State   *emulator.SpecState   `hcl:"state,block"`
+	Cloud   *emulator.SpecCloud   `hcl:"cloud,block"`
+	Seed    uint64                `hcl:"seed,optional"`
+	Sockets int                   `hcl:"sockets,optional"` // of a controller; 800
 }
 
 // Counts is the size of a run. Each can be varied by a sweep.
@@ -119,12 +119,20 @@
 	*l = SpecLimits{cmp.Or(l.MemoryShare, 0.5), cmp.Or(l.Processes, 300), cmp.Or(l.LateMs, 250)}
 }
 
+// What a run may be asked for at most.
+const (
+	maxControllers = 9
+	maxZones       = 26
+	maxWorkers     = 20_000
+	maxTeams       = 1_000
+)
+
 func (s *Spec) check(at hcl.Range) error {
 	c := &s.Counts
 	switch {
-	case c.Controllers < 1 || c.Controllers > 9 || c.Zones < 1 || c.Zones > 26:
+	case c.Controllers < 1 || c.Controllers > maxControllers || c.Zones < 1 || c.Zones > maxZones:
 		return hclfile.At(at, "counts: controllers must be from 1 to 9, zones from 1 to 26")
-	case c.Workers < 1 || c.Workers > 20_000 || c.TasksRunning < 1 || c.Teams < 1 || c.Teams > 1000:
+	case c.Workers < 1 || c.Workers > maxWorkers || c.TasksRunning < 1 || c.Teams < 1 || c.Teams > maxTeams:
 		return hclfile.At(at, "counts: workers must be from 1 to 20000, tasks_running at least 1, teams from 1 to 1000")
 	case !(c.StartsPerS >= 0) || c.StartsPerS*s.TaskS > float64(c.TasksRunning):
 		return hclfile.At(at, "counts: starts_per_s times task_s must not be above tasks_running")
@@ -190,21 +198,21 @@
 
 // site is the site that the run needs: workers just large enough for the running tasks, of
 // one core each, and a little more.
-func (s *Spec) site() site.Spec {
+func (s *Spec) site() emulator.Spec {
 	c := &s.Counts
-	out := site.Spec{Controllers: c.Controllers, Machines: c.Workers, Seed: s.Seed, Sockets: s.Sockets, Workers: s.Workers, State: s.State, Cloud: s.Cloud}
+	out := emulator.Spec{Controllers: c.Controllers, Machines: c.Workers, Seed: s.Seed, Sockets: s.Sockets, Workers: s.Workers, State: s.State, Cloud: s.Cloud}
 	for i := range c.Zones {
 		out.Zones = append(out.Zones, "zone-"+string(rune('a'+i)))
 	}
 	cores := s.coresEach()
 	memory := 2 * cores
-	out.Types = append(out.Types, site.SpecMachine{Name: plainType, CPUs: cores, MemoryGB: memory, Price: 1, BootS: 1})
+	out.Types = append(out.Types, emulator.SpecMachine{Name: plainType, CPUs: cores, MemoryGB: memory, Price: 1, BootS: 1})
 	if c.Accelerators > 0 {
-		out.Types = append(out.Types, site.SpecMachine{Name: accelType, CPUs: cores, GPUs: acceleratorsEach, MemoryGB: memory, Price: 4, BootS: 1})
+		out.Types = append(out.Types, emulator.SpecMachine{Name: accelType, CPUs: cores, GPUs: acceleratorsEach, MemoryGB: memory, Price: 4, BootS: 1})
 	}
 	share := float64(c.TasksRunning) / float64(c.Teams)
 	for i := range c.Teams {
-		out.Teams = append(out.Teams, site.SpecTeam{Name: teamName(i), CPUs: math.Floor(0.8 * share), CPUsMax: math.Ceil(3*share) + 64})
+		out.Teams = append(out.Teams, emulator.SpecTeam{Name: teamName(i), CPUs: math.Floor(0.8 * share), CPUsMax: math.Ceil(3*share) + 64})
 	}
 	return out
 }
