--- a/cmd/dalefront/earlier_test.go
+++ b/cmd/dalefront/earlier_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
+	"dalefront/internal/emulator"
 	"dalefront/internal/golden"
-	"dalefront/internal/site"
 	"dalefront/wire"
 )
 
@@ -81,7 +81,7 @@
 func TestSiteOfTheEarlierVersion(t *testing.T) {
 	t.Parallel()
 	data, operator := unpack(t)
-	s, err := site.Up(site.Options{Dir: t.TempDir(), Data: data, Operator: operator, Spec: site.Spec{Controllers: 2, Machines: 8}})
+	s, err := emulator.Up(emulator.Options{Dir: t.TempDir(), Data: data, Operator: operator, Spec: emulator.Spec{Controllers: 2, Machines: 8}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 	until(t, "the gang runs again", func() bool { return status("j-200").Running == 2 })
 	until(t, "the gang is cancelled", func() bool {
 		var st wire.JobStatus
-		return request(http.MethodPost, jobs+"/j-200/"+wire.CancelVerb, nil, &st) == nil && st.Status == wire.JobCancelled
+		return request(http.MethodPost, jobs+"/j-200/"+wire.CancelAction, nil, &st) == nil && st.Status == wire.JobCancelled
 	})
 
 	for _, x := range []struct {
