--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -14,29 +14,29 @@
 	"dalefront/wire"
 )
 
-// fake answers as told and records what was submitted.
-type fake struct {
-	err   error
-	jobs  []*wire.Job
-	asked error // what a question about a job gets
+// fakeService records what was submitted and answers with the errors that it is given.
+type fakeService struct {
+	err       error
+	statusErr error // of Status, in place of err
+	jobs      []*wire.Job
 }
 
-func (f *fake) Submit(_ context.Context, j *wire.Job) (wire.JobStatus, bool, error) {
+func (f *fakeService) Submit(_ context.Context, j *wire.Job) (wire.JobStatus, bool, error) {
 	f.jobs = append(f.jobs, j)
 	return wire.JobStatus{ID: j.ID, Status: wire.JobQueued}, len(f.jobs) == 1, f.err
 }
-func (f *fake) Status(_ context.Context, id string) (wire.JobStatus, error) {
-	return wire.JobStatus{ID: id, Status: wire.JobRunning}, cmp.Or(f.asked, f.err)
+func (f *fakeService) Status(_ context.Context, id string) (wire.JobStatus, error) {
+	return wire.JobStatus{ID: id, Status: wire.JobRunning}, cmp.Or(f.statusErr, f.err)
 }
-func (f *fake) Cancel(_ context.Context, id string) (wire.JobStatus, error) {
+func (f *fakeService) Cancel(_ context.Context, id string) (wire.JobStatus, error) {
 	return wire.JobStatus{ID: id, Status: wire.JobCancelled}, f.err
 }
-func (f *fake) Heartbeat(context.Context, *wire.Heartbeat) (wire.HeartbeatResponse, error) {
+func (f *fakeService) Heartbeat(context.Context, *wire.Heartbeat) (wire.HeartbeatResponse, error) {
 	return wire.HeartbeatResponse{FencingToken: 7}, f.err
 }
-func (f *fake) Ready() error { return f.err }
+func (f *fakeService) Ready() error { return f.err }
 
-func serve(t *testing.T, f *fake) string {
+func serve(t *testing.T, f *fakeService) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -74,7 +74,7 @@
 
 // Malformed submissions get 400 over a real socket, good ones 201, then 200.
 func TestSubmit(t *testing.T) {
-	f := &fake{asked: ErrUnknown}
+	f := &fakeService{statusErr: ErrNotFound}
 	url := serve(t, f) + wire.PathJobs
 	bad := map[string]func(m map[string]any){
 		"negative":     func(m map[string]any) { m["Cores"] = -1.0 },
@@ -93,12 +93,14 @@
 		"too long":     func(m map[string]any) { m["Extra"] = string(make([]byte, wire.MaxBodyBytes)) },
 	}
 	for name, spoil := range bad {
-		m := job()
-		spoil(m)
-		b, _ := wire.Marshal(m)
-		if resp, _ := send(t, http.MethodPost, url, b); resp.StatusCode != http.StatusBadRequest {
-			t.Errorf("%s: got %d", name, resp.StatusCode)
-		}
+		t.Run(name, func(t *testing.T) {
+			m := job()
+			spoil(m)
+			b, _ := wire.Marshal(m)
+			if resp, _ := send(t, http.MethodPost, url, b); resp.StatusCode != http.StatusBadRequest {
+				t.Errorf("got %d, want %d", resp.StatusCode, http.StatusBadRequest)
+			}
+		})
 	}
 	for _, b := range [][]byte{nil, []byte("hello"), {0x93, 1, 2, 3}, {0xc0}, {0x81, 0x01, 0x01}} {
 		if resp, _ := send(t, http.MethodPost, url, b); resp.StatusCode != http.StatusBadRequest {
@@ -135,7 +137,7 @@
 	}
 	ask := func(m map[string]any) int {
 		b, _ := wire.Marshal(m)
-		resp, _ := send(t, http.MethodPost, serve(t, &fake{asked: ErrUnknown})+wire.PathJobs, b)
+		resp, _ := send(t, http.MethodPost, serve(t, &fakeService{statusErr: ErrNotFound})+wire.PathJobs, b)
 		return resp.StatusCode
 	}
 	for name, x := range fields {
@@ -172,15 +174,18 @@
 // not for good if nobody can tell.
 func TestMalformedRepeat(t *testing.T) {
 	for _, c := range []struct {
-		asked error
-		code  int
-	}{{nil, 200}, {ErrUnknown, 400}, {ErrNotNow, 503}} {
-		m := job()
-		delete(m, "Loaners")
-		b, _ := wire.Marshal(m)
-		if resp, _ := send(t, http.MethodPost, serve(t, &fake{asked: c.asked})+wire.PathJobs, b); resp.StatusCode != c.code {
-			t.Errorf("asked about it: %v; got %d, want %d", c.asked, resp.StatusCode, c.code)
-		}
+		name      string
+		statusErr error
+		code      int
+	}{{"accepted", nil, 200}, {"not accepted", ErrNotFound, 400}, {"not known", ErrUnavailable, 503}} {
+		t.Run(c.name, func(t *testing.T) {
+			m := job()
+			delete(m, "Loaners")
+			b, _ := wire.Marshal(m)
+			if resp, _ := send(t, http.MethodPost, serve(t, &fakeService{statusErr: c.statusErr})+wire.PathJobs, b); resp.StatusCode != c.code {
+				t.Errorf("got %d, want %d", resp.StatusCode, c.code)
+			}
+		})
 	}
 }
 
@@ -190,9 +195,9 @@
 		err  error
 		code int
 	}{
-		{ErrNotNow, 503}, {ErrUnknown, 404}, {fmt.Errorf("%w: x", ErrNever), 422}, {ErrOverload, 429}, {nil, 200},
+		{ErrUnavailable, 503}, {ErrNotFound, 404}, {fmt.Errorf("%w: x", ErrUnsatisfiable), 422}, {ErrOverloaded, 429}, {nil, 200},
 	} {
-		url := serve(t, &fake{err: c.err})
+		url := serve(t, &fakeService{err: c.err})
 		resp, _ := send(t, http.MethodGet, url+wire.PathJobs+"/j-1", nil)
 		if resp.StatusCode != c.code {
 			t.Errorf("%v: got %d", c.err, resp.StatusCode)
@@ -201,7 +206,7 @@
 			t.Errorf("%v: Retry-After is %q", c.err, resp.Header.Get("Retry-After"))
 		}
 	}
-	url := serve(t, &fake{err: ErrElse})
+	url := serve(t, &fakeService{err: ErrNotLeader})
 	rep, _ := wire.Marshal(wire.Heartbeat{Host: "n-1"})
 	for _, c := range []struct {
 		method, path string
@@ -218,10 +223,10 @@
 	}
 }
 
-// A worker that is sent on is told where to.
-func TestElsewhere(t *testing.T) {
+// The answer to a worker that is redirected names the controller to ask.
+func TestRedirect(t *testing.T) {
 	b, _ := wire.Marshal(wire.Heartbeat{Host: "n-1"})
-	resp, err := http.Post(serve(t, &fake{err: Elsewhere{"b"}})+wire.PathHeartbeat, contentType, bytes.NewReader(b))
+	resp, err := http.Post(serve(t, &fakeService{err: RedirectError{Target: "b"}})+wire.PathHeartbeat, contentType, bytes.NewReader(b))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -2,42 +2,99 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
+	"io"
 	"net/http"
+	"strings"
 
 	"dalefront/wire"
 )
 
-// JobLists is what a service offers that can list jobs.
-type JobLists interface {
-	// Jobs lists jobs that are not over, after the one named.
-	Jobs(ctx context.Context, after string, f wire.JobFilter) (wire.JobList, error)
+// JobLister is a Service that can list jobs.
+type JobLister interface {
+	// Jobs lists jobs that are not over, those after the id given.
+	Jobs(ctx context.Context, after string, filter wire.JobFilter) (wire.JobList, error)
 }
 
-// route serves a path with what a function returns.
-func route(mux *http.ServeMux, pattern string, do func(ctx context.Context, r *http.Request) (any, error)) {
-	mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel := context.WithTimeout(r.Context(), submitLimit)
+// routeJobs serves submission, query and cancellation of a job.
+func routeJobs(mux *http.ServeMux, service Service) {
+	mux.HandleFunc("POST "+wire.PathJobs, handleSubmit(service))
+	route(mux, "GET "+wire.PathJobs+"/{id}", queryTimeout, func(ctx context.Context, r *http.Request) (any, error) {
+		id, err := jobID(r)
+		if err != nil {
+			return nil, err
+		}
+		return service.Status(ctx, id)
+	})
+	route(mux, "POST "+wire.PathJobs+"/{id}/"+wire.CancelAction, submitTimeout, func(ctx context.Context, r *http.Request) (any, error) {
+		id, err := jobID(r)
+		if err != nil {
+			return nil, err
+		}
+		return service.Cancel(ctx, id)
+	})
+}
+
+// jobID returns the id in a request's path. No job has an id that isn't valid.
+func jobID(r *http.Request) (string, error) {
+	id := r.PathValue("id")
+	if !wire.ValidID(id) || strings.ContainsRune(id, '/') {
+		return "", ErrNotFound
+	}
+	return id, nil
+}
+
+func handleSubmit(service Service) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		ctx, cancel := context.WithTimeout(r.Context(), submitTimeout)
 		defer cancel()
-		a, err := do(ctx, r)
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 		if err != nil {
-			refuse(w, err)
+			writeError(w, wire.ErrMalformed)
 			return
 		}
-		reply(w, http.StatusOK, a)
-	})
+		status, created, err := submit(ctx, service, body)
+		switch {
+		case err != nil:
+			writeError(w, err)
+		case created:
+			writeResponse(w, http.StatusCreated, status)
+		default:
+			writeResponse(w, http.StatusOK, status)
+		}
+	}
+}
+
+// submit has a job accepted. A malformed submission of a job that was accepted before is answered
+// with its status; while nobody can tell whether it was, it is not refused for good.
+func submit(ctx context.Context, service Service, body []byte) (wire.JobStatus, bool, error) {
+	job, malformed := wire.ParseJob(body)
+	if malformed == nil {
+		return service.Submit(ctx, job)
+	}
+	if job == nil { // not even its id can be read
+		return wire.JobStatus{}, false, malformed
+	}
+	status, err := service.Status(ctx, job.ID)
+	if errors.Is(err, ErrNotFound) {
+		err = malformed
+	}
+	return status, false, err
 }
 
-func jobLists(mux *http.ServeMux, l JobLists) {
-	route(mux, "GET "+wire.PathJobList, func(ctx context.Context, r *http.Request) (any, error) {
-		q := r.URL.Query()
-		f := wire.JobFilter{Class: q.Get("Jobclass"), Team: q.Get("Owner"), Status: q.Get("Status")}
-		if f.Status != "" && f.Status != wire.JobQueued && f.Status != wire.JobRunning {
+// routeJobList serves the list of jobs.
+func routeJobList(mux *http.ServeMux, lister JobLister) {
+	route(mux, "GET "+wire.PathJobList, submitTimeout, func(ctx context.Context, r *http.Request) (any, error) {
+		query := r.URL.Query()
+		filter := wire.JobFilter{Class: query.Get("Jobclass"), Team: query.Get("Owner"), Status: query.Get("Status")}
+		if filter.Status != "" && filter.Status != wire.JobQueued && filter.Status != wire.JobRunning {
 			return nil, fmt.Errorf("%w: Status must be %s or %s", wire.ErrMalformed, wire.JobQueued, wire.JobRunning)
 		}
-		if after := q.Get("After"); after != "" && !wire.ValidID(after) {
+		after := query.Get("After")
+		if after != "" && !wire.ValidID(after) {
 			return nil, fmt.Errorf("%w: After is not a job's id", wire.ErrMalformed)
 		}
-		return l.Jobs(ctx, q.Get("After"), f)
+		return lister.Jobs(ctx, after, filter)
 	})
 }
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -36,7 +36,7 @@
 	for tries := 0; ; tries++ {
 		a, err := n.archive.Look(ctx, id)
 		if err != nil {
-			return wire.JobStatus{}, api.ErrNotNow
+			return wire.JobStatus{}, api.ErrUnavailable
 		}
 		if a.Found {
 			return n.archived(a.Record), nil
@@ -50,7 +50,7 @@
 			return wire.JobStatus{}, err
 		}
 		if _, rerr := n.archive.Refresh(ctx, res.FailedKeys); rerr != nil {
-			return wire.JobStatus{}, api.ErrNotNow
+			return wire.JobStatus{}, api.ErrUnavailable
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	case n.archiveSlots <- struct{}{}:
 		defer func() { <-n.archiveSlots }()
 	case <-ctx.Done():
-		return lookupResult{err: api.ErrNotNow}
+		return lookupResult{err: api.ErrUnavailable}
 	}
 	look := n.archive.Look
 	if moved {
@@ -83,7 +83,7 @@
 	case a.Found:
 		return lookupResult{accepted: true, ended: true, archived: true, st: n.archived(a.Record)}
 	case l.known: // it can't be: an accepted job leaves something
-		return lookupResult{err: api.ErrNotNow}
+		return lookupResult{err: api.ErrUnavailable}
 	}
 	return lookupResult{}
 }
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -104,7 +104,7 @@
 	s.t.Helper()
 	for tries := 0; ; tries++ {
 		st, err := op(s.n, id)
-		if errors.Is(err, api.ErrNotNow) && tries < 3 {
+		if errors.Is(err, api.ErrUnavailable) && tries < 3 {
 			continue
 		}
 		if err != nil || st.Status != want.Status || st.Done != want.Done || st.ID != id {
@@ -210,7 +210,7 @@
 			s.svc.Set(jobKey(sceneID(i)), jobRecord{Job: *sceneJob(sceneID(i))})
 		}
 		s.svc.HoldBack(1)
-		if _, err := sceneOps[name](s.n, sceneID(i)); !errors.Is(err, api.ErrNotNow) {
+		if _, err := sceneOps[name](s.n, sceneID(i)); !errors.Is(err, api.ErrUnavailable) {
 			t.Fatalf("%s without an answer: %v", name, err)
 		}
 		if name == "submit" { // the user tries again elsewhere, and that is taken
@@ -229,8 +229,8 @@
 	s.move(true)
 	for _, id := range []string{sceneID(30), "j-000007000000000000000000007", "j-7"} {
 		for _, name := range []string{"poll", "withdraw"} {
-			if _, err := sceneOps[name](s.n, id); !errors.Is(err, api.ErrUnknown) {
-				t.Fatalf("%s of %s: %v, want %v", name, id, err, api.ErrUnknown)
+			if _, err := sceneOps[name](s.n, id); !errors.Is(err, api.ErrNotFound) {
+				t.Fatalf("%s of %s: %v, want %v", name, id, err, api.ErrNotFound)
 			}
 		}
 		for k := range 2 {
@@ -254,8 +254,8 @@
 	s.svc.SetDown(true)
 	for name, op := range sceneOps {
 		for _, i := range []int{3, 30} {
-			if st, err := op(s.n, sceneID(i)); !errors.Is(err, api.ErrNotNow) {
-				t.Errorf("%s of %s: %+v, %v; want %v", name, sceneID(i), st, err, api.ErrNotNow)
+			if st, err := op(s.n, sceneID(i)); !errors.Is(err, api.ErrUnavailable) {
+				t.Errorf("%s of %s: %+v, %v; want %v", name, sceneID(i), st, err, api.ErrUnavailable)
 			}
 		}
 	}
--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -32,7 +32,7 @@
 	end, err := n.createEnd(ctx, id, wire.JobCancelled, st.Done, nil)
 	switch {
 	case err != nil:
-		return wire.JobStatus{}, api.ErrNotNow
+		return wire.JobStatus{}, api.ErrUnavailable
 	case end.Status == wire.JobDone:
 		return end.answer(id), nil
 	}
@@ -47,13 +47,13 @@
 	case n.cancelSlots <- struct{}{}:
 		defer func() { <-n.cancelSlots }()
 	default:
-		return wire.JobStatus{}, api.ErrOverload
+		return wire.JobStatus{}, api.ErrOverloaded
 	}
 	for pause := goneEvery; ; pause = min(2*pause, goneAtMost) {
 		v := n.lookUpJob(ctx, id, true)
 		switch {
 		case v.err != nil:
-			return wire.JobStatus{}, api.ErrNotNow
+			return wire.JobStatus{}, api.ErrUnavailable
 		case v.archived:
 			return v.st, nil
 		case v.ended && !v.accepted:
@@ -63,7 +63,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return wire.JobStatus{}, api.ErrNotNow
+			return wire.JobStatus{}, api.ErrUnavailable
 		case <-time.After(pause):
 		}
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -491,11 +491,11 @@
 	}
 	leader, token, leading := n.termView()
 	if leading != 0 || leader == "" || leader == n.settings.Label || r.FencingToken > token {
-		return wire.HeartbeatResponse{}, api.ErrNotNow
+		return wire.HeartbeatResponse{}, api.ErrUnavailable
 	}
 	p := n.peers[leader]
 	if p == nil {
-		return wire.HeartbeatResponse{}, api.ErrNotNow
+		return wire.HeartbeatResponse{}, api.ErrUnavailable
 	}
 	a, err := p.Relay(ctx, &peer.RelayRequest{Report: *r})
 	if err != nil {
@@ -503,12 +503,12 @@
 			return wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}, nil
 		}
 		if to := n.redirectTarget(leader); to != "" {
-			return wire.HeartbeatResponse{}, api.Elsewhere{Node: to}
+			return wire.HeartbeatResponse{}, api.RedirectError{Target: to}
 		}
-		return wire.HeartbeatResponse{}, api.ErrNotNow
+		return wire.HeartbeatResponse{}, api.ErrUnavailable
 	}
 	if a.Status != http.StatusOK {
-		return wire.HeartbeatResponse{}, api.ErrElse
+		return wire.HeartbeatResponse{}, api.ErrNotLeader
 	}
 	return a.Answer, nil
 }
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -23,7 +23,7 @@
 	}
 	page, err := n.store.Page(ctx, jobPrefix, after, jobsPage)
 	if err != nil {
-		return out, api.ErrNotNow
+		return out, api.ErrUnavailable
 	}
 	var ids []string
 	for _, e := range page.Items {
@@ -31,7 +31,7 @@
 	}
 	over, err := n.haveEnded(ctx, ids)
 	if err != nil {
-		return out, api.ErrNotNow
+		return out, api.ErrUnavailable
 	}
 	counts := n.countsOf(ctx, ids)
 	for i, e := range page.Items {
--- a/internal/controller/lookup.go
+++ b/internal/controller/lookup.go
@@ -52,13 +52,13 @@
 	select {
 	case n.lookupQueue <- lookup{id, known, done}:
 	default:
-		return lookupResult{err: api.ErrNotNow}
+		return lookupResult{err: api.ErrUnavailable}
 	}
 	select {
 	case v := <-done:
 		return v
 	case <-ctx.Done():
-		return lookupResult{err: api.ErrNotNow}
+		return lookupResult{err: api.ErrUnavailable}
 	}
 }
 
--- a/internal/controller/schedules.go
+++ b/internal/controller/schedules.go
@@ -49,14 +49,14 @@
 func (n *Controller) Schedules(ctx context.Context, after string) (wire.Schedules, error) {
 	out := wire.Schedules{Schedules: []wire.Schedule{}}
 	if n.calendar == nil {
-		return out, api.ErrUnknown
+		return out, api.ErrNotFound
 	}
 	if after != "" {
 		after = scheduleKey(after)
 	}
 	page, err := n.store.Page(ctx, schedulePrefix, after, schedulesPage)
 	if err != nil {
-		return out, api.ErrNotNow
+		return out, api.ErrUnavailable
 	}
 	for _, e := range page.Items {
 		var st recurring.State
@@ -71,18 +71,18 @@
 // schedule reads the state of one.
 func (n *Controller) schedule(ctx context.Context, name string) (st recurring.State, version uint64, err error) {
 	if n.calendar == nil || name == "" || len(name) > 64 || strings.ContainsAny(name, "/ ") {
-		return st, 0, api.ErrUnknown
+		return st, 0, api.ErrNotFound
 	}
 	e, found, err := n.store.Get(ctx, scheduleKey(name))
 	switch {
 	case err != nil:
-		return st, 0, api.ErrNotNow
+		return st, 0, api.ErrUnavailable
 	case found:
 		return st, e.Version, wire.Unmarshal(e.Value, &st)
 	case n.calendar.Find(name) != nil:
-		return st, 0, api.ErrNotNow // the leader has yet to take it up
+		return st, 0, api.ErrUnavailable // the leader has yet to take it up
 	}
-	return st, 0, api.ErrUnknown
+	return st, 0, api.ErrNotFound
 }
 
 // Schedule implements api.Calendars.
@@ -113,10 +113,10 @@
 				continue // read it back
 			}
 			if err != nil {
-				return wire.Schedule{}, api.ErrNotNow
+				return wire.Schedule{}, api.ErrUnavailable
 			}
 		}
 		return n.showSchedule(name, &st, true), nil
 	}
-	return wire.Schedule{}, api.ErrNotNow
+	return wire.Schedule{}, api.ErrUnavailable
 }
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -124,7 +124,7 @@
 	}
 	switch {
 	case v.err != nil:
-		return wire.JobStatus{}, api.ErrNotNow
+		return wire.JobStatus{}, api.ErrUnavailable
 	case v.ended:
 		if wire.Final(v.st.Status) {
 			return v.st, nil
@@ -132,16 +132,16 @@
 		end, err := n.endOf(ctx, id)
 		switch {
 		case err != nil:
-			return wire.JobStatus{}, api.ErrNotNow
+			return wire.JobStatus{}, api.ErrUnavailable
 		case end.Status == wire.JobDone || !v.accepted:
 			n.rememberFinal(end.answer(id))
 			return end.answer(id), nil
 		case !end.Untold:
-			return wire.JobStatus{}, api.ErrNotNow
+			return wire.JobStatus{}, api.ErrUnavailable
 		}
 		return v.st, nil // cancelled, and nobody has been told
 	case !v.accepted:
-		return wire.JobStatus{}, api.ErrUnknown
+		return wire.JobStatus{}, api.ErrNotFound
 	}
 	return v.st, nil
 }
@@ -157,14 +157,14 @@
 	}
 	cat, ok := n.machineTypes()
 	if !ok {
-		return wire.JobStatus{}, false, api.ErrNotNow
+		return wire.JobStatus{}, false, api.ErrUnavailable
 	}
 	never := sched.Admit(n.config.current().settings, cat, j)
 	if never != nil {
 		// A known job stays known, whatever the settings say by now.
 		st, err := n.Status(ctx, j.ID)
-		if errors.Is(err, api.ErrUnknown) {
-			return st, false, fmt.Errorf("%w: %v", api.ErrNever, never)
+		if errors.Is(err, api.ErrNotFound) {
+			return st, false, fmt.Errorf("%w: %v", api.ErrUnsatisfiable, never)
 		}
 		return st, false, err
 	}
@@ -172,7 +172,7 @@
 	case n.submitSlots <- struct{}{}:
 		defer func() { <-n.submitSlots }()
 	default:
-		return wire.JobStatus{}, false, api.ErrOverload
+		return wire.JobStatus{}, false, api.ErrOverloaded
 	}
 	rec := jobRecord{Job: *j, Arrival: n.now()}
 	if b, err := wire.Marshal(rec); err != nil || float64(len(b)) > 0.9*1024*n.settings.Deployment.State.ValueKB {
@@ -192,12 +192,12 @@
 	case errors.Is(err, kvstore.ErrConflict), errors.Is(err, kvstore.ErrUnknown):
 		// Accepted before, or perhaps just now: read it back.
 		st, err := n.Status(ctx, j.ID)
-		if errors.Is(err, api.ErrUnknown) {
-			err = api.ErrNotNow // it may still be applied
+		if errors.Is(err, api.ErrNotFound) {
+			err = api.ErrUnavailable // it may still be applied
 		}
 		return st, false, err
 	}
-	return wire.JobStatus{}, false, api.ErrNotNow
+	return wire.JobStatus{}, false, api.ErrUnavailable
 }
 
 // createEnd creates a job's end or returns the one that exists. An error means
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -189,11 +189,11 @@
 	for len(n.submitSlots) == 0 {
 		runtime.Gosched()
 	}
-	if err := submit("j-2"); !errors.Is(err, api.ErrOverload) {
-		t.Errorf("got %v, want %v", err, api.ErrOverload)
+	if err := submit("j-2"); !errors.Is(err, api.ErrOverloaded) {
+		t.Errorf("got %v, want %v", err, api.ErrOverloaded)
 	}
 	close(release)
-	if err := <-first; !errors.Is(err, api.ErrNotNow) {
-		t.Errorf("got %v, want %v", err, api.ErrNotNow)
+	if err := <-first; !errors.Is(err, api.ErrUnavailable) {
+		t.Errorf("got %v, want %v", err, api.ErrUnavailable)
 	}
 }
