--- a/internal/controller/schedules.go
+++ b/internal/controller/schedules.go
@@ -45,18 +45,18 @@
 	return out
 }
 
-// Schedules implements api.Calendars: the stored ones, by name, after the one given.
+// Schedules implements api.ScheduleService: the stored ones, by name, after the one given.
 func (c *Controller) Schedules(ctx context.Context, after string) (wire.Schedules, error) {
 	out := wire.Schedules{Schedules: []wire.Schedule{}}
 	if c.calendar == nil {
-		return out, api.ErrUnknown
+		return out, api.ErrNotFound
 	}
 	if after != "" {
 		after = scheduleKey(after)
 	}
 	page, err := c.store.Page(ctx, schedulePrefix, after, schedulesPage)
 	if err != nil {
-		return out, api.ErrNotNow
+		return out, api.ErrUnavailable
 	}
 	for _, e := range page.Items {
 		var st recurring.State
@@ -71,21 +71,21 @@
 // schedule reads the state of one.
 func (c *Controller) schedule(ctx context.Context, name string) (st recurring.State, version uint64, err error) {
 	if c.calendar == nil || name == "" || len(name) > 64 || strings.ContainsAny(name, "/ ") {
-		return st, 0, api.ErrUnknown
+		return st, 0, api.ErrNotFound
 	}
 	e, found, err := c.store.Get(ctx, scheduleKey(name))
 	switch {
 	case err != nil:
-		return st, 0, api.ErrNotNow
+		return st, 0, api.ErrUnavailable
 	case found:
 		return st, e.Version, wire.Unmarshal(e.Value, &st)
 	case c.calendar.Find(name) != nil:
-		return st, 0, api.ErrNotNow // the leader has yet to take it up
+		return st, 0, api.ErrUnavailable // the leader has yet to take it up
 	}
-	return st, 0, api.ErrUnknown
+	return st, 0, api.ErrNotFound
 }
 
-// Schedule implements api.Calendars.
+// Schedule implements api.ScheduleService.
 func (c *Controller) Schedule(ctx context.Context, name string) (wire.Schedule, error) {
 	st, _, err := c.schedule(ctx, name)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return c.showSchedule(name, &st, true), nil
 }
 
-// PauseSchedule implements api.Calendars. Any node may: the change is conditional on
+// PauseSchedule implements api.ScheduleService. Any node may: the change is conditional on
 // what was read, and the leader's next decision, conditional on what it knows, is
 // refused and made anew.
 func (c *Controller) PauseSchedule(ctx context.Context, name string, paused bool) (wire.Schedule, error) {
@@ -113,10 +113,10 @@
 				continue // read it back
 			}
 			if err != nil {
-				return wire.Schedule{}, api.ErrNotNow
+				return wire.Schedule{}, api.ErrUnavailable
 			}
 		}
 		return c.showSchedule(name, &st, true), nil
 	}
-	return wire.Schedule{}, api.ErrNotNow
+	return wire.Schedule{}, api.ErrUnavailable
 }
