--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -470,11 +470,11 @@
 	}
 	term := c.term.view()
 	if term.isLeading() || term.leader == "" || term.leader == c.settings.Label || r.FencingToken > term.token {
-		return wire.HeartbeatResponse{}, api.ErrNotNow
+		return wire.HeartbeatResponse{}, api.ErrUnavailable
 	}
 	p := c.peers[term.leader]
 	if p == nil {
-		return wire.HeartbeatResponse{}, api.ErrNotNow
+		return wire.HeartbeatResponse{}, api.ErrUnavailable
 	}
 	a, err := p.Relay(ctx, &peer.RelayRequest{Report: *r})
 	if err != nil {
@@ -482,12 +482,12 @@
 			return wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}, nil
 		}
 		if to := c.redirectTarget(term.leader); to != "" {
-			return wire.HeartbeatResponse{}, api.Elsewhere{Node: to}
+			return wire.HeartbeatResponse{}, api.RedirectError{Target: to}
 		}
-		return wire.HeartbeatResponse{}, api.ErrNotNow
+		return wire.HeartbeatResponse{}, api.ErrUnavailable
 	}
 	if a.Status != http.StatusOK {
-		return wire.HeartbeatResponse{}, api.ErrElse
+		return wire.HeartbeatResponse{}, api.ErrNotLeader
 	}
 	return a.Answer, nil
 }
