--- a/internal/peer/limits_test.go
+++ b/internal/peer/limits_test.go
@@ -24,7 +24,9 @@
 	return a.read, nil
 }
 
-func (a *answering) PeerHeartbeat(context.Context, *Heartbeat) (*Heartbeat, error) { return a.hello, nil }
+func (a *answering) PeerHeartbeat(context.Context, *Heartbeat) (*Heartbeat, error) {
+	return a.hello, nil
+}
 
 func (a *answering) PeerConfigApply(_ context.Context, q *ConfigApplyRequest) (*ConfigApplyResponse, error) {
 	a.got = q
