--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -13,7 +13,7 @@
 // limit of an answer.
 const jobsPage = 150
 
-// Jobs implements api.JobLists, from the stored jobs: any node can, and what it names
+// Jobs implements api.JobLister, from the stored jobs: any node can, and what it names
 // was accepted and had not ended when it was read. Counts are the leader's; without
 // it jobs are shown as queued.
 func (c *Controller) Jobs(ctx context.Context, after string, f wire.JobFilter) (wire.JobList, error) {
@@ -23,7 +23,7 @@
 	}
 	page, err := c.store.Page(ctx, jobPrefix, after, jobsPage)
 	if err != nil {
-		return out, api.ErrNotNow
+		return out, api.ErrUnavailable
 	}
 	var ids []string
 	for _, e := range page.Items {
@@ -31,7 +31,7 @@
 	}
 	over, err := c.haveEnded(ctx, ids)
 	if err != nil {
-		return out, api.ErrNotNow
+		return out, api.ErrUnavailable
 	}
 	counts := c.countsOf(ctx, ids)
 	for i, e := range page.Items {
