--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -78,9 +78,9 @@
 	if err != nil {
 		sleepContext(l.ctx, goneEvery)
 	}
-	c.postToOwner(func() {
+	c.owner.post(func() {
 		l.busyCancelled = false
-		if c.leadership != l {
+		if c.owner.leadership != l {
 			return
 		}
 		if errors.Is(err, kvstore.ErrConflict) {
@@ -90,7 +90,9 @@
 		if err != nil {
 			l.cancelledRecords = append(l.cancelledRecords, keys...)
 		}
-		c.passPending = c.passPending || len(l.cancelledRecords) > 0
+		if len(l.cancelledRecords) > 0 {
+			c.owner.requestPass()
+		}
 	})
 }
 
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -82,9 +82,9 @@
 // setCatalog takes a catalog and hands it to the core.
 func (c *Controller) setCatalog(catalog wire.Catalog) {
 	c.catalog.set(catalog)
-	c.postToOwner(func() {
-		if c.leadership != nil {
-			c.leadership.core.SetCatalog(catalog)
+	c.owner.post(func() {
+		if c.owner.leadership != nil {
+			c.owner.leadership.core.SetCatalog(catalog)
 		}
 	})
 }
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -66,8 +66,8 @@
 
 func (l *leadership) commitFinished(cm *sched.Commit, ok bool) {
 	c := l.controller
-	c.postToOwner(func() {
-		if c.leadership != l {
+	c.owner.post(func() {
+		if c.owner.leadership != l {
 			return
 		}
 		l.busyCommit = false
@@ -78,7 +78,7 @@
 			l.core.CommitRejected(cm, c.now())
 		}
 		l.serveWaiters()
-		c.passPending = true
+		c.owner.requestPass()
 	})
 }
 
@@ -97,7 +97,7 @@
 			switch {
 			case k == termKey:
 				if !found || e.Version != l.token {
-					c.postToOwner(func() { l.stepDown() })
+					c.owner.post(func() { l.stepDown() })
 					return
 				}
 			case k == dynconfig.GenerationKey:
@@ -107,8 +107,8 @@
 					again = true
 				}
 			case strings.HasPrefix(k, endPrefix) && found:
-				c.postToOwner(func() {
-					if c.leadership == l {
+				c.owner.post(func() {
+					if c.owner.leadership == l {
 						l.jobEnded(strings.TrimPrefix(k, endPrefix), e.Value)
 					}
 				})
@@ -162,9 +162,9 @@
 	if failed {
 		time.Sleep(150 * time.Millisecond)
 	}
-	c.postToOwner(func() {
+	c.owner.post(func() {
 		l.busyEnds = false
-		if c.leadership != l {
+		if c.owner.leadership != l {
 			return
 		}
 		for i, id := range ids {
@@ -175,7 +175,7 @@
 			}
 		}
 		l.dispatchEffects()
-		c.passPending = true
+		c.owner.requestPass()
 	})
 }
 
@@ -209,10 +209,10 @@
 	// change stored before them, and a result that is not stored yet is only
 	// reported once more.
 	time.Sleep(time.Second)
-	c.postToOwner(func() {
+	c.owner.post(func() {
 		l.busyProgress = false
 		maps.Copy(l.chunkVersions, changed)
-		if c.leadership != l || err != nil {
+		if c.owner.leadership != l || err != nil {
 			return
 		}
 		for _, chunk := range cs {
@@ -234,14 +234,14 @@
 func (l *leadership) storeStatistics(statistics sched.Statistics) {
 	c := l.controller
 	_, _ = c.store.Txn(l.ctx, wire.Txn{Conditions: []wire.Condition{l.termCondition()}, Mutations: []wire.Mutation{{Put: learnedKey, Value: statistics}}})
-	c.postToOwner(func() { l.busyStatistics = false })
+	c.owner.post(func() { l.busyStatistics = false })
 }
 
 func (l *leadership) deleteKeys(keys []string) {
 	c := l.controller
 	err := l.deleteNow(keys)
 	time.Sleep(time.Second)
-	c.postToOwner(func() {
+	c.owner.post(func() {
 		l.busyStaleKeys = false
 		if err != nil && !errors.Is(err, kvstore.ErrConflict) {
 			l.staleKeys = append(l.staleKeys, keys...)
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -217,18 +217,18 @@
 		c.n.log.Info("configuration", "generation", next.number, "cordons", len(next.cordons), "not_usable", next.unknown)
 	}
 	c.active.Store(next)
-	go c.n.postToOwner(c.configureCore)
+	go c.n.owner.post(c.configureCore)
 }
 
 // configureCore hands the newest configuration to the core. Owner goroutine.
 func (c *configuration) configureCore() {
-	r := c.n.leadership
+	r := c.n.owner.leadership
 	if r == nil {
 		return
 	}
 	now := c.current()
 	r.core.Configure(now.settings, now.cordons, now.version, c.n.now())
-	c.n.passPending = true
+	c.n.owner.requestPass()
 }
 
 // recordPeerConfig takes what a peer's hello says of the configuration.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -40,23 +40,16 @@
 	startedAt       time.Time
 	startWallMicros int64
 
-	ownerQueue  chan func()   // run by the owner
 	submitSlots chan struct{} // bounds the submissions that are being stored
 	cancelSlots chan struct{} // bounds the users that wait for their jobs' tasks to be gone
 	lookupQueue chan lookup   // questions of users that wait for the next read
 
 	archiveSlots chan struct{} // bounds the questions to the archive
 
-	// Owned by the owner goroutine.
-	leadership  *leadership
-	passPending bool
-	loopStats   loopStats
-
+	owner    *ownerLoop
 	follower *follower
 	config   *configuration
 
-	lastTurn atomic.Int64 // when the owner goroutine last came by
-
 	term           termTracker
 	peerTable      *peerTable
 	workerContacts *workerContacts
@@ -114,7 +107,6 @@
 		worker:    workerclient.New(idleWorkers(d.Resources.Sockets)),
 		peers:     map[string]*peer.Client{},
 		startedAt: now, startWallMicros: now.UnixMicro(),
-		ownerQueue: make(chan func(), max(minEvents, d.Resources.Sockets)),
 		// What the state service takes in two seconds; more are sent away at
 		// once, since they could not be told in time.
 		submitSlots: make(chan struct{}, max(minSubmits, int(2*d.State.WriteRPS))),
@@ -124,6 +116,7 @@
 		drained: make(chan struct{}), processID: newProcessID(), peerTable: newPeerTable(set.Label),
 		workerContacts: newWorkerContacts(time.Duration(config.Micro(d.Workers.LeaseS)) * time.Microsecond),
 	}
+	n.owner = newOwnerLoop(n.now, max(minEvents, d.Resources.Sockets))
 	n.term.self = set.Label
 	n.archive = archive.NewReader(n.store)
 	n.follower = newFollower(n)
@@ -174,7 +167,7 @@
 	failed := make(chan error, 2)
 	go func() { failed <- srv.Serve(users) }()
 	go func() { failed <- rpc.Serve(mesh) }()
-	go c.runOwner(ctx)
+	go c.owner.run(ctx)
 	go c.refreshCatalog(ctx)
 	go c.electionLoop(ctx)
 	go c.probeStore(ctx)
@@ -204,84 +197,6 @@
 	}
 }
 
-// runOwner is the goroutine that owns the core. It schedules once events have
-// settled for a moment, so that a burst of reports leads to one pass.
-func (c *Controller) runOwner(ctx context.Context) {
-	tick := time.NewTicker(250 * time.Millisecond)
-	defer tick.Stop()
-	work := &c.loopStats
-	settle := time.NewTimer(time.Hour)
-	defer settle.Stop()
-	armed := false
-	var took time.Duration
-	c.lastTurn.Store(c.now())
-	for {
-		c.lastTurn.Store(c.now())
-		select {
-		case <-ctx.Done():
-			return
-		case f := <-c.ownerQueue:
-			c.detectStall()
-			work.measure(loopEvents, f)
-			if c.passPending && !armed {
-				armed = true
-				settle.Reset(max(20*time.Millisecond, 3*took))
-			}
-		case <-settle.C:
-			c.detectStall()
-			armed = false
-			c.passPending = false
-			if c.leadership != nil {
-				took = min(work.measure(loopPasses, c.leadership.schedule), 100*time.Millisecond) // a small share of the processor
-			}
-		case <-tick.C:
-			c.detectStall()
-			if c.leadership != nil {
-				work.measure(loopTicks, c.leadership.tick)
-			}
-		}
-	}
-}
-
-// stallThreshold is the longest gap between two turns of the owner goroutine that is
-// not taken for a standstill of the whole process.
-const stallThreshold = int64(time.Second / time.Microsecond)
-
-// ranRecently says whether the owner goroutine came by lately. After a standstill
-// whatever wakes first must not act for a term that another node may hold by now.
-func (c *Controller) ranRecently() bool { return c.now()-c.lastTurn.Load() < stallThreshold }
-
-// detectStall notices a standstill: it runs before anything else that a turn does, since
-// to this node everything timed looks overdue and all workers look silent.
-func (c *Controller) detectStall() {
-	now := c.now()
-	gap := now - c.lastTurn.Load()
-	c.lastTurn.Store(now)
-	if gap >= stallThreshold && c.leadership != nil {
-		c.leadership.suspend(gap)
-	}
-}
-
-// runOnOwner runs f on the owner goroutine and waits for it. A full queue is refused.
-func (c *Controller) runOnOwner(ctx context.Context, f func()) bool {
-	done := make(chan struct{})
-	select {
-	case c.ownerQueue <- func() { f(); close(done) }:
-	default:
-		return false
-	}
-	select {
-	case <-done:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
-
-// postToOwner runs f on the owner goroutine later; results of I/O must not be lost, so
-// it waits for room.
-func (c *Controller) postToOwner(f func()) { c.ownerQueue <- f }
-
 // observeTerm takes what somebody says about the term. A higher token always wins:
 // if this node acted under a lower one, it steps down.
 func (c *Controller) observeTerm(leader string, token uint64) {
@@ -289,9 +204,9 @@
 		return
 	}
 	c.log.Info("step down", "for", leader, "token", token)
-	c.postToOwner(func() {
-		if c.leadership != nil && c.leadership.token < token {
-			c.leadership.stepDown()
+	c.owner.post(func() {
+		if c.owner.leadership != nil && c.owner.leadership.token < token {
+			c.owner.leadership.stepDown()
 		}
 	})
 }
@@ -316,12 +231,12 @@
 	if !c.term.view().isLeading() {
 		return nil
 	}
-	if c.runOnOwner(ctx, func() {
-		if c.leadership == nil {
+	if c.owner.call(ctx, func() {
+		if c.owner.leadership == nil {
 			return
 		}
 		for _, id := range ids {
-			if s, done, running, ok := c.leadership.core.Counts(id); ok {
+			if s, done, running, ok := c.owner.leadership.core.Counts(id); ok {
 				out = append(out, wire.JobStatus{ID: id, Status: s, Done: done, Running: running})
 			}
 		}
@@ -344,16 +259,19 @@
 		return a, false
 	}
 	var fresh chan []wire.Command
-	done := c.runOnOwner(ctx, func() {
-		if c.leadership == nil || c.leadership.stalledFor > 0 || ctx.Err() != nil {
+	done := c.owner.call(ctx, func() {
+		if c.owner.leadership == nil || c.owner.leadership.stalledFor > 0 || ctx.Err() != nil {
 			return
 		}
-		a, ok = c.leadership.core.Heartbeat(r, c.now()), true
-		hungry := c.leadership.core.WantsLaunches(r.Host)
-		c.passPending = c.passPending || hungry || c.leadership.core.TakePassNeeded()
-		if hungry && len(c.leadership.waiters) < c.maxWaiters() {
+		a, ok = c.owner.leadership.core.Heartbeat(r, c.now()), true
+		hungry := c.owner.leadership.core.WantsLaunches(r.Host)
+		if hungry {
+			c.owner.requestPass()
+		}
+		c.owner.requestPassIf(c.owner.leadership.core.TakePassNeeded)
+		if hungry && len(c.owner.leadership.waiters) < c.maxWaiters() {
 			fresh = make(chan []wire.Command, 1)
-			c.leadership.waiters = append(c.leadership.waiters, waiter{r.Host, c.leadership.passes, fresh})
+			c.owner.leadership.waiters = append(c.owner.leadership.waiters, waiter{r.Host, c.owner.leadership.passes, fresh})
 		}
 	})
 	if !ok || !done {
@@ -378,7 +296,7 @@
 		case <-ctx.Done():
 		}
 	}
-	return a, c.term.view().leading == a.FencingToken && c.ranRecently()
+	return a, c.term.view().leading == a.FencingToken && c.owner.ranRecently()
 }
 
 // maxWaiters is how many reports may wait for launches at a time: each holds a socket
--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -286,7 +286,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f := standby.Facts{Token: token, Highest: highest, Revision: c.Revision(), Doubt: c.Doubt(), Compared: compared, Keys: sample.Keys,
-		Awake: n.ranRecently(), Reached: n.store.Reachable(time.Second), Lease: !h.expired.Load()}
+		Awake: n.owner.ranRecently(), Reached: n.store.Reachable(time.Second), Lease: !h.expired.Load()}
 	if ok, why := standby.Passes(&f); !ok {
 		return nil, why
 	}
@@ -379,7 +379,7 @@
 		return false
 	}
 	for began := time.Now(); time.Since(began) < limit && ctx.Err() == nil; time.Sleep(30 * time.Millisecond) {
-		if n.term.view().token != token || !n.ranRecently() {
+		if n.term.view().token != token || !n.owner.ranRecently() {
 			return false
 		}
 		p.ResetBackoff()
--- a/internal/controller/follower_test.go
+++ b/internal/controller/follower_test.go
@@ -40,7 +40,7 @@
 		o.EvictAfterS, o.CheckpointMBS, o.Standbys, o.SuspectS, o.TakeoverCopyS = &f, &f, &one, &f, &zero
 	})
 	n.catalog.set(wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 8, MemoryGB: 64, Zones: []string{"x"}}}})
-	n.lastTurn.Store(n.now())
+	n.owner.lastRun.Store(n.now())
 	w.Controller, w.ctx = n, ctx
 	w.take()
 	return w
@@ -187,7 +187,7 @@
 			c.Keep = func(string) bool { return true }
 		}},
 		{"hold lost", func(_ *tended, _ *standby.Copy, h *lease) { h.expired.Store(true) }},
-		{"standstill", func(w *tended, _ *standby.Copy, _ *lease) { w.lastTurn.Store(w.now() - 3*stallThreshold) }},
+		{"standstill", func(w *tended, _ *standby.Copy, _ *lease) { w.owner.lastRun.Store(w.now() - 3*stallThreshold) }},
 		{"higher token", func(w *tended, _ *standby.Copy, _ *lease) { w.observeTerm("b", w.term+1000) }},
 		{"no store", func(w *tended, _ *standby.Copy, _ *lease) { w.svc.SetDown(true) }},
 		{"compacted", func(w *tended, c *standby.Copy, _ *lease) { c.Lost("compacted") }},
@@ -197,7 +197,7 @@
 		copied := w.followed(5)
 		h := &lease{}
 		w.take()
-		w.lastTurn.Store(w.now())
+		w.owner.lastRun.Store(w.now())
 		if c.do != nil {
 			c.do(w, copied, h)
 		}
@@ -224,7 +224,7 @@
 				var took, most config.Micros
 				n := 0
 				for b.Loop() {
-					w.lastTurn.Store(w.now())
+					w.owner.lastRun.Store(w.now())
 					w.take()
 					r := w.leadsNow()
 					began := time.Now()
--- a/internal/controller/instability_test.go
+++ b/internal/controller/instability_test.go
@@ -123,7 +123,7 @@
 		n.peerTable.recordOwnRestarts(c.ends, time.Now())
 		n.catalog.set(wire.Catalog{})
 		ctx, cancel := context.WithCancel(context.Background())
-		go n.runOwner(ctx)
+		go n.owner.run(ctx)
 		go n.electionLoop(ctx)
 		var got termRecord
 		var version uint64
--- a/internal/controller/largesite_test.go
+++ b/internal/controller/largesite_test.go
@@ -77,8 +77,8 @@
 	r := &leadership{controller: n, token: 5, ctx: ctx, cancel: cancel}
 	cat := wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 4, Zones: []string{"x"}}}}
 	r.core = sched.New(n.settings, 5, n.now(), cat, func(string, ...any) {})
-	n.leadership = r
-	n.lastTurn.Store(n.now())
+	n.owner.leadership = r
+	n.owner.lastRun.Store(n.now())
 	var hosts []string
 	var list []wire.Machine
 	for i := range 3*cloud.MaxReturn + 20 {
@@ -97,8 +97,8 @@
 	if !slices.Equal(slices.Concat(asked...), hosts) {
 		t.Error("not each machine was given back once")
 	}
-	for len(n.ownerQueue) > 0 {
-		(<-n.ownerQueue)()
+	for len(n.owner.queue) > 0 {
+		(<-n.owner.queue)()
 	}
 	if known, _ := r.core.FleetSize(); r.core.Stats.ScaledIn != len(hosts)-cloud.MaxReturn || known != cloud.MaxReturn {
 		t.Errorf("%d machines are gone and %d are left; only those of the request that was refused should be", r.core.Stats.ScaledIn, known)
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -90,16 +90,21 @@
 		time.Sleep(200 * time.Millisecond)
 	}
 	installed := make(chan bool, 1)
-	c.postToOwner(func() {
+	c.owner.post(func() {
 		ok := c.term.startLeading(token)
 		if ok {
-			c.leadership = r
+			c.owner.leadership = r
 			c.config.configureCore() // it may have changed while the state was loaded
-			c.passPending = true
+			c.owner.requestPass()
 		}
 		installed <- ok
 	})
-	if !<-installed {
+	select {
+	case ok := <-installed:
+		if !ok {
+			return
+		}
+	case <-ctx.Done():
 		return
 	}
 	c.log.Info("acting as leader", "token", token)
@@ -126,7 +131,7 @@
 			}
 			c.log.Info("term lost", "token", token)
 		}
-		c.postToOwner(func() { r.stepDown() })
+		c.owner.post(func() { r.stepDown() })
 		<-ctx.Done()
 		return
 	}
@@ -156,10 +161,10 @@
 		switch {
 		case err == nil && (!found || e.Version != l.token):
 			c.log.Info("term lost", "token", l.token)
-			c.postToOwner(func() { l.stepDown() })
+			c.owner.post(func() { l.stepDown() })
 			return
 		case err == nil || tries >= 12:
-			c.postToOwner(l.resume)
+			c.owner.post(l.resume)
 			return
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -169,13 +174,13 @@
 // resume goes on after a standstill. Owner goroutine.
 func (l *leadership) resume() {
 	c := l.controller
-	if c.leadership != l {
+	if c.owner.leadership != l {
 		return
 	}
 	c.term.startLeading(l.token)
 	l.core.ResumeAfterStall(l.stalledFor, c.now())
 	l.stalledFor = 0
-	c.passPending = true
+	c.owner.requestPass()
 }
 
 // holdsTerm says whether the state service has just confirmed that the term is this node's: what
@@ -184,21 +189,21 @@
 // work for the next leader.
 func (l *leadership) holdsTerm() bool {
 	c := l.controller
-	if l.ctx.Err() != nil || !c.ranRecently() {
+	if l.ctx.Err() != nil || !c.owner.ranRecently() {
 		return false
 	}
 	_, err := c.store.Txn(l.ctx, wire.Txn{Conditions: []wire.Condition{l.termCondition()}})
 	if errors.Is(err, kvstore.ErrConflict) {
-		c.postToOwner(func() { l.stepDown() })
+		c.owner.post(func() { l.stepDown() })
 	}
-	return err == nil && c.ranRecently()
+	return err == nil && c.owner.ranRecently()
 }
 
 // stepDown stops acting. It runs on the owner goroutine.
 func (l *leadership) stepDown() {
 	c := l.controller
-	if c.leadership == l {
-		c.leadership = nil
+	if c.owner.leadership == l {
+		c.owner.leadership = nil
 	}
 	c.term.stopLeading(l.token)
 	c.gauges.Store(nil)
@@ -242,14 +247,16 @@
 		if len(ev.Events) > 0 {
 			next = next.Add(every)
 		}
-		c.postToOwner(func() {
-			if c.leadership != l {
+		c.owner.post(func() {
+			if c.owner.leadership != l {
 				return
 			}
 			for _, e := range ev.Events {
 				l.applyChange(e.Put, e.Value)
 			}
-			c.passPending = c.passPending || len(ev.Events) > 0
+			if len(ev.Events) > 0 {
+				c.owner.requestPass()
+			}
 		})
 		time.Sleep(time.Until(next))
 	}
@@ -283,8 +290,8 @@
 	if err != nil {
 		return 0, false
 	}
-	c.postToOwner(func() {
-		if c.leadership == l {
+	c.owner.post(func() {
+		if c.owner.leadership == l {
 			for _, e := range append(jobs, ends...) {
 				l.applyChange(e.Key, e.Value)
 			}
@@ -422,7 +429,7 @@
 		l.lastLog = now
 		jobs, tasks := l.core.Waiting()
 		c.log.Info("leader", "waiting_jobs", jobs, "waiting_tasks", tasks, "stats", fmt.Sprintf("%+v", l.core.Stats))
-		c.log.Info("work", c.loopStats.take()...)
+		c.log.Info("work", c.owner.stats.take()...)
 		classes, types := l.core.Usages()
 		for _, u := range classes {
 			c.log.Info("class", "name", u.Name, "tasks", u.Tasks)
@@ -443,7 +450,7 @@
 		case <-l.ctx.Done():
 			return
 		case d := <-l.directCommands:
-			if !l.controller.ranRecently() {
+			if !l.controller.owner.ranRecently() {
 				continue // as old as the standstill; a report's answer repeats it
 			}
 			l.commandAnswered(l.controller.worker.Orders(l.ctx, d.Addr, d.Batch))
@@ -458,10 +465,10 @@
 		return
 	}
 	c := l.controller
-	c.postToOwner(func() {
-		if c.leadership == l && l.stalledFor == 0 {
+	c.owner.post(func() {
+		if c.owner.leadership == l && l.stalledFor == 0 {
 			l.core.CommandAnswered(&said, c.now())
-			c.passPending = c.passPending || l.core.TakePassNeeded()
+			c.owner.requestPassIf(l.core.TakePassNeeded)
 		}
 	})
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -41,7 +41,7 @@
 	if why == "" {
 		go func() {
 			at := <-heard
-			c.postToOwner(func() {
+			c.owner.post(func() {
 				for host, t := range at {
 					core.PeerContact(host, t)
 				}
--- a/internal/controller/recurring.go
+++ b/internal/controller/recurring.go
@@ -75,7 +75,7 @@
 		changes += 1 + len(d.Jobs)
 	}
 	if _, version, err := l.storeDecisions(ds); err == nil {
-		c.postToOwner(func() { l.runsStored(ds, version) })
+		c.owner.post(func() { l.runsStored(ds, version) })
 	} else {
 		for _, d := range ds {
 			l.storeOne(d)
@@ -85,7 +85,7 @@
 	case <-l.ctx.Done():
 	case <-time.After(time.Duration(float64(changes) * 8 / max(c.settings.Deployment.State.WriteRPS, 1) * float64(time.Second))):
 	}
-	c.postToOwner(func() { l.busyRecur = false })
+	c.owner.post(func() { l.busyRecur = false })
 }
 
 // storeDecisions runs one transaction: each schedule's state is what the decision
@@ -127,7 +127,7 @@
 // runsStored tells the engine and the core. Owner goroutine.
 func (l *leadership) runsStored(ds []recurring.Decision, version uint64) {
 	c := l.controller
-	if c.leadership != l {
+	if c.owner.leadership != l {
 		return
 	}
 	for _, d := range ds {
@@ -136,7 +136,7 @@
 			c.setKnown(j.ID)
 			l.core.AddJob(j, c.now(), c.now())
 			c.log.Info("scheduled run", "schedule", d.Name, "job", j.ID)
-			c.passPending = true
+			c.owner.requestPass()
 		}
 		if d.State != nil && len(d.State.Runs) > 0 {
 			if last := d.State.Runs[len(d.State.Runs)-1]; last.Status != wire.RunSubmitted {
@@ -154,7 +154,7 @@
 	c := l.controller
 	failed, version, err := l.storeDecisions([]recurring.Decision{d})
 	if err == nil {
-		c.postToOwner(func() { l.runsStored([]recurring.Decision{d}, version) })
+		c.owner.post(func() { l.runsStored([]recurring.Decision{d}, version) })
 		return
 	}
 	_, _ = c.archive.Refresh(l.ctx, failed) // if that fails, the next try does
@@ -173,8 +173,8 @@
 			if !found {
 				e.Version = 0
 			}
-			c.postToOwner(func() {
-				if c.leadership == l {
+			c.owner.post(func() {
+				if c.owner.leadership == l {
 					l.recurring.Again(d, st, e.Version, taken, time.Now().UnixMicro()+1_000_000)
 				}
 			})
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -72,7 +72,7 @@
 
 func (l *leadership) cloudRound(returns []string, hires []wire.ScaleOutRequest, list bool) {
 	c := l.controller
-	defer c.postToOwner(func() { l.busyCloud = false; c.passPending = true })
+	defer c.owner.post(func() { l.busyCloud = false; c.owner.requestPass() })
 	for hosts := range slices.Chunk(returns, cloud.MaxReturn) {
 		l.giveBack(hosts)
 	}
@@ -83,8 +83,8 @@
 			c.log.Info("machine list", "err", err)
 			return
 		}
-		c.postToOwner(func() {
-			if c.leadership == l {
+		c.owner.post(func() {
+			if c.owner.leadership == l {
 				l.core.MachinesListed(ms, c.now())
 			}
 		})
@@ -99,8 +99,8 @@
 	if l.holdsTerm() {
 		err = c.cloud.Return(l.ctx, hosts)
 	}
-	c.postToOwner(func() {
-		if c.leadership != l {
+	c.owner.post(func() {
+		if c.owner.leadership != l {
 			return
 		}
 		if err != nil {
@@ -108,7 +108,7 @@
 		} else {
 			l.core.MachinesReturned(hosts, c.now())
 		}
-		c.passPending = true
+		c.owner.requestPass()
 	})
 }
 
@@ -130,8 +130,8 @@
 				hosts, err = l.scaleOut(h)
 			}
 			c.log.Info("hire", "type", h.Type, "zone", h.Zone, "spot", h.Spot, "count", h.Count, "got", len(hosts), "err", err)
-			c.postToOwner(func() {
-				if c.leadership != l {
+			c.owner.post(func() {
+				if c.owner.leadership != l {
 					return
 				}
 				if err != nil {
@@ -143,7 +143,7 @@
 		})
 	}
 	all.Wait()
-	c.postToOwner(func() { l.staleKeys = append(l.staleKeys, key) })
+	c.owner.post(func() { l.staleKeys = append(l.staleKeys, key) })
 }
 
 func (l *leadership) scaleOut(h wire.ScaleOutRequest) ([]string, error) {
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -24,10 +24,10 @@
 // notice: nothing depends on its last words.
 func (c *Controller) shutDown(ctx context.Context, srv *http.Server) {
 	c.log.Info("draining")
-	c.postToOwner(func() {
-		if c.leadership != nil {
-			c.log.Info("term handed over", "token", c.leadership.token)
-			c.leadership.stepDown() // the term's loop ends its lease, and the key goes with it
+	c.owner.post(func() {
+		if c.owner.leadership != nil {
+			c.log.Info("term handed over", "token", c.owner.leadership.token)
+			c.owner.leadership.stepDown() // the term's loop ends its lease, and the key goes with it
 		}
 	})
 	select {
@@ -45,7 +45,7 @@
 // TransferLeadership lets another node become leader, if this one is: it gives its term up and lets
 // the others go first for a while. Nothing that runs is stopped.
 func (c *Controller) TransferLeadership() {
-	c.postToOwner(func() {
+	c.owner.post(func() {
 		if !c.transferLeadership() {
 			c.log.Info("no term to hand over: this node is not the leader")
 		}
@@ -54,7 +54,7 @@
 
 // transferLeadership says whether there was a term to hand over. Owner goroutine.
 func (c *Controller) transferLeadership() bool {
-	r := c.leadership
+	r := c.owner.leadership
 	if r == nil {
 		return false
 	}
@@ -67,6 +67,8 @@
 // PeerTransferLeadership implements peer.Server. A request that comes late is for another term.
 func (c *Controller) PeerTransferLeadership(ctx context.Context, h *peer.TransferRequest) (*peer.TransferResponse, error) {
 	var a peer.TransferResponse
-	c.runOnOwner(ctx, func() { a.Transferred = c.leadership != nil && c.leadership.token == h.Token && c.transferLeadership() })
+	c.owner.call(ctx, func() {
+		a.Transferred = c.owner.leadership != nil && c.owner.leadership.token == h.Token && c.transferLeadership()
+	})
 	return &a, ctx.Err()
 }
--- a/internal/controller/stall_test.go
+++ b/internal/controller/stall_test.go
@@ -30,14 +30,14 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		r := &leadership{controller: n, token: 5, ctx: ctx, cancel: cancel, core: sched.New(n.settings, 5, n.now(), wire.Catalog{}, func(string, ...any) {})}
-		n.leadership = r
+		n.owner.leadership = r
 		n.term.observe("", 5)
 		n.term.startLeading(5)
-		n.lastTurn.Store(n.now() - 25*stallThreshold)
-		if n.ranRecently() || r.holdsTerm() {
+		n.owner.lastRun.Store(n.now() - 25*stallThreshold)
+		if n.owner.ranRecently() || r.holdsTerm() {
 			t.Errorf("%s: what woke before the owner goroutine may act", c.name)
 		}
-		n.detectStall()
+		n.owner.detectStall()
 		rep := wire.Heartbeat{Host: "n-1", Type: "s", Zone: "x", Incarnation: 1, Sequence: 1, FencingToken: 5}
 		if _, ok := n.handleHeartbeat(ctx, &rep); ok {
 			t.Errorf("%s: a report was answered before the term was read", c.name)
@@ -45,8 +45,8 @@
 		if r.schedule(); r.passes > 0 {
 			t.Errorf("%s: scheduled before the term was read", c.name)
 		}
-		(<-n.ownerQueue)() // what reading the term leads to
-		if leading := n.term.view().leading; (leading == 5) != c.acts || (n.leadership == r) != c.acts {
+		(<-n.owner.queue)() // what reading the term leads to
+		if leading := n.term.view().leading; (leading == 5) != c.acts || (n.owner.leadership == r) != c.acts {
 			t.Errorf("%s: acts under %d", c.name, leading)
 		}
 	}
@@ -68,7 +68,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		r := &leadership{controller: n, token: 5, ctx: ctx, cancel: cancel}
-		n.lastTurn.Store(n.now())
+		n.owner.lastRun.Store(n.now())
 		if got := r.holdsTerm(); got != (code == 200) {
 			t.Errorf("the service answers %d: may return machines %v", code, got)
 		}
