--- a/internal/sched/admit.go
+++ b/internal/sched/admit.go
@@ -202,8 +202,7 @@
 		return
 	}
 	if !p.stopping {
-		p.job.team.releasingCPUs += p.job.spec.CPUs
-		p.job.team.releasingGPUs += p.job.spec.GPUs
+		p.job.team.addReleasing(p.job.taskResources())
 	}
 	p.stopping, p.checkpointing = true, checkpoint
 	p.checkpointQueued = checkpoint && !p.job.isGang() && p.machine.hasCheckpointInProgress(p)
@@ -216,7 +215,7 @@
 func (c *Core) sendStop(p *placement) {
 	p.stopSentAt = c.now
 	if p.observed && p.machine.confirmed && p.machine.addr != "" {
-		c.directCommands = append(c.directCommands, DirectCommand{p.machine.addr, wire.CommandBatch{FencingToken: c.token, Incarnation: p.machine.incarnation, Commands: []wire.Command{p.stopCommand()}}})
+		c.directCommands = append(c.directCommands, DirectCommand{p.machine.addr, wire.CommandBatch{FencingToken: c.Token(), Incarnation: p.machine.incarnation, Commands: []wire.Command{p.stopCommand()}}})
 	}
 }
 
--- a/internal/sched/batch.go
+++ b/internal/sched/batch.go
@@ -1,8 +1,8 @@
 package sched
 
 import (
-	"fmt"
-	"sort"
+	"cmp"
+	"slices"
 )
 
 // Sizes count in the longer text form, estimated from above.
@@ -28,7 +28,6 @@
 
 // batch collects the placements of one pass.
 type batch struct {
-	c          *Core
 	machines   map[*machine]bool
 	jobs       map[*job]bool
 	bytes      int // of the entries, before they are cut
@@ -56,7 +55,7 @@
 	st := &c.settings.Deployment.State
 	value := int(st.ValueKB * 1024 * 0.75)
 	entries := max(1, min(st.TxnOps/2, maxTxnBytes/(value+entryBytes)))
-	return &batch{c: c, machines: map[*machine]bool{}, jobs: map[*job]bool{}, limits: batchLimits{
+	return &batch{machines: map[*machine]bool{}, jobs: map[*job]bool{}, limits: batchLimits{
 		value: value, total: entries * value, entries: entries, changes: st.TxnOps,
 		// Two conditions a job: no end of its own, and none in the archive. Those on the
 		// leadership and on the entries' names come on top.
@@ -141,181 +140,91 @@
 	}
 }
 
-// compactLedger lets the batch delete entries that are spent and take over what is
-// left of those that name returned machines: a later leader would otherwise
-// wait for machines that are gone.
-func (c *Core) compactLedger(b *batch) {
-	due := len(b.placements) > 0 || len(c.unrecorded) > 0 || c.now-c.ledgerCompactedAt >= second
-	if !due {
-		return
-	}
-	c.ledgerCompactedAt = c.now
-	left := c.unrecorded[:0]
-	for _, p := range c.unrecorded {
-		switch _, ok := p.job.placements[p]; {
-		case !ok || p.entry != nil:
-		case b.bytes+b.cost(p.machine)+runBytes+taskBytes > b.limits.total:
-			left = append(left, p)
-		default:
-			b.bytes += b.cost(p.machine) + runBytes + taskBytes
-			b.reserveMachine(p.machine)
-			b.moved = append(b.moved, p)
-		}
-	}
-	c.unrecorded = left
-	most := maxDrops
+// dropLimit is how many entries the batch deletes at most.
+func (b *batch) dropLimit() int {
 	if len(b.placements) > 0 {
-		most = maxDropsAlong
-	}
-	for len(c.emptyEntries) > 0 && len(b.drop) < most && b.mayDrop() {
-		e := c.emptyEntries[0]
-		c.emptyEntries = c.emptyEntries[1:]
-		e.leaving = true
-		b.drop = append(b.drop, e.name)
+		return maxDropsAlong
 	}
-	names := make([]string, 0, len(c.entriesOfReturned))
-	for n := range c.entriesOfReturned {
-		names = append(names, n)
-	}
-	if len(names) == 0 && len(c.entries) > c.maxLedger() {
-		for n := range c.entries { // many small ones: a takeover reads them all
-			names = append(names, n)
-		}
-	}
-	sort.Strings(names)
-	for _, n := range names {
-		e := c.entries[n]
-		if e == nil || e.leaving || len(e.live) == 0 {
-			delete(c.entriesOfReturned, n)
-			continue
-		}
-		if len(b.drop) >= most {
-			break
-		}
-		if !b.moves(e) {
-			continue
-		}
-		delete(c.entriesOfReturned, n)
-		e.leaving, e.moving = true, true
-		b.drop = append(b.drop, n)
+	return maxDrops
+}
+
+// recordFound lets the batch record a placement that was found on its machine, and says whether
+// there was room for it.
+func (b *batch) recordFound(p *placement) bool {
+	bytes := b.bytes + b.cost(p.machine) + runBytes + taskBytes
+	if bytes > b.limits.total {
+		return false
 	}
+	b.bytes = bytes
+	b.reserveMachine(p.machine)
+	b.moved = append(b.moved, p)
+	return true
 }
 
-// moves takes over the live launches of an entry that is to be deleted, if there is room
-// for them and for its deletion.
-func (b *batch) moves(e *ledgerEntry) bool {
+// takeOver lets the batch record the live placements of an entry that is to be deleted, if there is
+// room for them and for its deletion.
+func (b *batch) takeOver(entry *ledgerEntry) bool {
 	bytes, widest := b.bytes, b.widest
-	b.bytes += e.size(b)
-	for p := range e.live {
+	b.bytes += b.transferBytes(entry)
+	for p := range entry.live {
 		b.widest = max(b.widest, launchBytes(p.machine))
 	}
 	if b.bytes > b.limits.total || !b.mayDrop() {
 		b.bytes, b.widest = bytes, widest
 		return false
 	}
-	for p := range e.live {
+	for p := range entry.live {
 		b.reserveMachine(p.machine)
 		b.moved = append(b.moved, p)
 	}
 	return true
 }
 
-// size estimates what it takes to move the entry's live launches into the batch.
-func (e *ledgerEntry) size(b *batch) int {
-	type run struct {
-		m       *machine
-		j       *job
+// transferBytes estimates what it takes to record the entry's live placements in the batch.
+func (b *batch) transferBytes(entry *ledgerEntry) int {
+	type runKey struct {
+		machine *machine
+		job     *job
 		attempt uint64
 	}
-	hosts, runs, n := map[*machine]bool{}, map[run]bool{}, 0
-	for p := range e.live {
-		if !hosts[p.machine] {
-			hosts[p.machine] = true
-			n += b.cost(p.machine)
+	bytes := 0
+	machines, runs := map[*machine]bool{}, map[runKey]bool{}
+	for p := range entry.live {
+		if !machines[p.machine] {
+			machines[p.machine] = true
+			bytes += b.cost(p.machine)
 		}
-		if k := (run{p.machine, p.job, p.attempt}); !runs[k] {
-			runs[k] = true
-			n += runBytes
+		if key := (runKey{p.machine, p.job, p.attempt}); !runs[key] {
+			runs[key] = true
+			bytes += runBytes
 		}
-		n += taskBytes
+		bytes += taskBytes
 	}
-	return n
+	return bytes
 }
 
-const (
-	// maxEntries is how many entries the ledger holds before small ones are merged, at a site
-	// of up to maxEntries*machinesPerEntry machines.
-	maxEntries = 400
-	// machinesPerEntry is how many machines there are for each entry at a larger site.
-	machinesPerEntry = 4
-)
-
-// maxLedger is how many entries the ledger holds before small ones are merged.
-func (c *Core) maxLedger() int { return max(maxEntries, len(c.machinesByName)/machinesPerEntry) }
-
-// finishBatch makes the batch a commit, or returns nil if there is nothing to store.
-func (c *Core) finishBatch(b *batch) *Commit {
-	if len(b.placements)+len(b.moved)+len(b.drop) == 0 {
-		return nil
-	}
-	var ids []string
-	for j := range b.jobs {
-		ids = append(ids, j.id)
-	}
-	sort.Strings(ids)
-	sort.Strings(b.drop)
-	first := &Commit{moved: b.moved, Drop: b.drop}
-	parts := split(append(append([]*placement{}, b.placements...), b.moved...), b.limits.value)
-	for cm := first; ; cm = cm.next {
-		cm.placements, cm.Jobs, cm.Generation = b.placements, ids, c.generation
-		cm.parts = parts
-		if b.large {
-			cm.parts = parts[:min(b.limits.entries, len(parts))]
-		}
-		for _, part := range cm.parts {
-			c.seq++
-			cm.Entries = append(cm.Entries, NamedLedgerEntry{fmt.Sprintf("%016x.%08x", c.token, c.seq), newLedgerEntry(part)})
-		}
-		if parts = parts[len(cm.parts):]; len(parts) == 0 {
-			break
-		}
-		cm.next = &Commit{}
-	}
-	if first.next != nil {
-		c.log("launches in several transactions", "job", ids[0], "tasks", len(b.placements), "machines", len(b.machines))
-	}
-	c.inFlight = first
-	return first
-}
-
-// split orders placements by machine and job and cuts them into entries.
-func split(ps []*placement, most int) (parts [][]*placement) {
-	sort.Slice(ps, func(a, b int) bool {
-		x, y := ps[a], ps[b]
-		switch {
-		case x.machine.host != y.machine.host:
-			return x.machine.host < y.machine.host
-		case x.job.id != y.job.id:
-			return x.job.id < y.job.id
-		}
-		return x.taskIndex < y.taskIndex
+// splitIntoEntries orders placements by machine and job and cuts them into entries of at most so
+// many bytes.
+func splitIntoEntries(placements []*placement, maxBytes int) (parts [][]*placement) {
+	slices.SortFunc(placements, func(a, b *placement) int {
+		return cmp.Or(cmp.Compare(a.machine.host, b.machine.host), cmp.Compare(a.job.id, b.job.id), cmp.Compare(a.taskIndex, b.taskIndex))
 	})
 	first, size := 0, 0
-	for i, p := range ps {
-		n := taskBytes
-		if i == first || p.machine != ps[i-1].machine {
-			n += hostBytes(p.machine) + runBytes
-		} else if p.job != ps[i-1].job || p.attempt != ps[i-1].attempt {
-			n += runBytes
+	for i, p := range placements {
+		bytes := taskBytes
+		if i == first || p.machine != placements[i-1].machine {
+			bytes += hostBytes(p.machine) + runBytes
+		} else if p.job != placements[i-1].job || p.attempt != placements[i-1].attempt {
+			bytes += runBytes
 		}
-		if size+n > most && i > first {
-			parts = append(parts, ps[first:i])
-			first, size, n = i, 0, launchBytes(p.machine)
+		if size+bytes > maxBytes && i > first {
+			parts = append(parts, placements[first:i])
+			first, size, bytes = i, 0, launchBytes(p.machine)
 		}
-		size += n
+		size += bytes
 	}
-	if first < len(ps) {
-		parts = append(parts, ps[first:])
+	if first < len(placements) {
+		parts = append(parts, placements[first:])
 	}
 	return parts
 }
--- a/internal/sched/debugdump.go
+++ b/internal/sched/debugdump.go
@@ -12,7 +12,7 @@
 // waits or is idle).
 func (c *Core) Dump() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "token %d, write %g\n", c.token, c.writeGBPerS)
+	fmt.Fprintf(&b, "token %d, write %g\n", c.Token(), c.writeGBPerS)
 	for _, j := range c.jobsByID(func(*job) bool { return true }) {
 		fmt.Fprintf(&b, "job %s %+v arrived %d due %d done %d %v stored %v dirty %v retry %v cursor %d attempt %d started %v broken %v finishing %v ended %q\n",
 			j.id, specText(j), j.arrival, j.dueAt, j.completedCount, j.completed, j.durableCompleted, slices.Sorted(maps.Keys(j.dirtyChunks)), j.retryQueue, j.nextUntried, j.gangAttempt, j.gangStarted, j.gangBroken, j.completing, j.finalStatus)
@@ -29,9 +29,9 @@
 		fmt.Fprintf(&b, "machine %s %s %s %s spot %v session %d seq %d up %v confirmed %v returning %v lost %v failed %v uses %g %g %g %d\n",
 			m.host, m.addr, m.machineType.Name, m.zone, m.spot, m.incarnation, m.sequence, m.registered, m.confirmed, m.scalingIn, m.leaseExpired, m.failed, m.usedCPUs, m.usedGPUs, m.usedMemoryGB, m.placementCount)
 	}
-	for _, n := range slices.Sorted(maps.Keys(c.entries)) {
-		e := c.entries[n]
-		fmt.Fprintf(&b, "entry %s live %d hosts %v listed %v\n", n, len(e.live), slices.Sorted(maps.Keys(e.hosts)), e.listed)
+	for _, n := range slices.Sorted(maps.Keys(c.ledger.entries)) {
+		e := c.ledger.entries[n]
+		fmt.Fprintf(&b, "entry %s live %d hosts %v listed %v\n", n, len(e.live), slices.Sorted(maps.Keys(e.hosts)), e.queued)
 	}
 	for _, t := range c.teamsByName() {
 		fmt.Fprintf(&b, "team %s uses %g %g leaving %g %g\n", t.Name, t.usedCPUs, t.usedGPUs, t.releasingCPUs, t.releasingGPUs)
--- a/internal/sched/failures_test.go
+++ b/internal/sched/failures_test.go
@@ -148,8 +148,8 @@
 			}
 			after.Schedule(after.now)
 			evicted = evicted || after.Stats.Preemptions > 0
-			if after.inFlight != nil {
-				after.CommitStored(after.inFlight, after.now)
+			if after.ledger.inFlight != nil {
+				after.CommitStored(after.ledger.inFlight, after.now)
 			}
 			if k == 2 && evicted != (heard == n) {
 				t.Errorf("with %d of %d machines heard: evicted %v after 1.5 s", heard, n, evicted)
--- a/internal/sched/fleet.go
+++ b/internal/sched/fleet.go
@@ -103,11 +103,7 @@
 		if k := spotKey(m.machineType.Name, m.zone, m.spot); c.outOfCapacity[k] >= now {
 			c.outOfCapacity[k] = now - 1 // there may be room for another one now
 		}
-		for _, e := range c.entries {
-			if _, named := e.hosts[h]; named && len(e.live) > 0 {
-				c.entriesOfReturned[e.name] = struct{}{}
-			}
-		}
+		c.ledger.machineReturned(h)
 		if m.placementCount == 0 {
 			c.dropMachine(m)
 		} else {
--- a/internal/sched/gangplacement.go
+++ b/internal/sched/gangplacement.go
@@ -34,7 +34,7 @@
 func (c *Core) placeGangIn(j *job, zone string, b *batch) bool {
 	before := j.gangAttempt
 	if j.gangAttempt == 0 {
-		j.gangAttempt = c.nextAttempt()
+		j.gangAttempt = c.sequence.nextAttempt()
 	}
 	got := map[*machine][]*placement{}
 	var order []*machine
--- a/internal/sched/heartbeat.go
+++ b/internal/sched/heartbeat.go
@@ -34,100 +34,6 @@
 	}
 }
 
-// addPlacement books a task on a machine.
-func (c *Core) addPlacement(j *job, t int32, m *machine, attempt uint64) *placement {
-	p := &placement{taskKey: taskKey{j, t}, attempt: attempt, machine: m, incarnation: m.incarnation, placedAt: c.now}
-	m.tasks[p.taskKey] = append(m.tasks[p.taskKey], p)
-	m.placements = append(m.placements, p)
-	m.placementCount++
-	m.usedCPUs += j.spec.CPUs
-	m.usedGPUs += j.spec.GPUs
-	m.usedMemoryGB += j.spec.MemoryGB
-	u := &m.usedByRank[j.rank]
-	u.cpus, u.gpus, u.mem = u.cpus+j.spec.CPUs, u.gpus+j.spec.GPUs, u.mem+j.spec.MemoryGB
-	j.team.usedCPUs += j.spec.CPUs
-	j.team.usedGPUs += j.spec.GPUs
-	j.placements[p] = struct{}{}
-	j.placementsByTask[t]++
-	c.placementsByRank[j.rank]++
-	return p
-}
-
-// release removes a placement after proof that the task is not on the machine and
-// can't start there any more.
-func (c *Core) release(p *placement) {
-	j, m := p.job, p.machine
-	if _, ok := j.placements[p]; !ok {
-		return
-	}
-	delete(j.placements, p)
-	c.passNeeded = true
-	c.placementsByRank[j.rank]--
-	c.removeFromEntry(p)
-	if i := slices.Index(m.placements, p); i >= 0 {
-		m.placements = append(m.placements[:i:i], m.placements[i+1:]...) // a new list: see each
-	}
-	ps := m.tasks[p.taskKey]
-	for i := range ps {
-		if ps[i] == p {
-			ps = append(ps[:i:i], ps[i+1:]...)
-			break
-		}
-	}
-	if len(ps) == 0 {
-		delete(m.tasks, p.taskKey)
-	} else {
-		m.tasks[p.taskKey] = ps
-	}
-	m.placementCount--
-	m.usedCPUs -= j.spec.CPUs
-	m.usedGPUs -= j.spec.GPUs
-	m.usedMemoryGB -= j.spec.MemoryGB
-	u := &m.usedByRank[j.rank]
-	u.cpus, u.gpus, u.mem = u.cpus-j.spec.CPUs, u.gpus-j.spec.GPUs, u.mem-j.spec.MemoryGB
-	j.team.usedCPUs -= j.spec.CPUs
-	j.team.usedGPUs -= j.spec.GPUs
-	if p.stopping {
-		j.team.releasingCPUs -= j.spec.CPUs
-		j.team.releasingGPUs -= j.spec.GPUs
-	}
-	if m.placementCount == 0 {
-		m.usedCPUs, m.usedGPUs, m.usedMemoryGB, m.usedByRank = 0, 0, 0, [4]resourceUse{}
-	}
-	// A place that was only tried, or whose launch was refused, leaves a machine as idle as it was:
-	// a gang that can't be complete tries in each pass.
-	if m.placementCount == 0 && p.durable {
-		m.idleSince = c.now
-	}
-	if c.keepsGPUMachine(j) && p.durable {
-		m.gpusIdleSince = c.now
-	}
-	if j.placementsByTask[p.taskIndex]--; j.placementsByTask[p.taskIndex] <= 0 {
-		delete(j.placementsByTask, p.taskIndex)
-		if !j.isOver() && !j.isCompleted(p.taskIndex) {
-			if !j.isGang() {
-				j.retryQueue = append(j.retryQueue, p.taskIndex)
-			}
-			if j.waitingSince == 0 {
-				j.waitingSince = c.now
-			}
-		}
-	}
-	if j.isGang() && p.attempt == j.gangAttempt && !j.isOver() {
-		if j.gangStarted || p.state == wire.TaskExited {
-			j.gangBroken = true // a running gang that lost a task falls back to its checkpoint
-		}
-	}
-	if len(j.placements) == 0 && p.runningSince > 0 {
-		j.lastVacatedAt = c.now
-	}
-	if j.isGang() && len(j.placements) == 0 {
-		j.gangStarted, j.gangBroken = false, false
-		j.gangAttempt = 0
-	}
-	c.forgetIfGone(j)
-}
-
 // ResumeAfterStall says that the controller stood still for so long. Its own absence is not
 // the workers' silence: what was measured against the clock goes on from where it
 // was, and what took the gap to be noticed teaches nothing about run times.
@@ -157,7 +63,7 @@
 // dropped, and the machine holds exactly the tasks listed.
 func (c *Core) Heartbeat(r *wire.Heartbeat, now Micros) wire.HeartbeatResponse {
 	c.now = now
-	a := wire.HeartbeatResponse{FencingToken: c.token, Commands: []wire.Command{}}
+	a := wire.HeartbeatResponse{FencingToken: c.Token(), Commands: []wire.Command{}}
 	if _, gone := c.returnedMachines[r.Host]; gone {
 		return a // sent before the machine was returned
 	}
@@ -172,7 +78,7 @@
 	if !m.registered {
 		c.recordBootOutcome(m, true)
 	}
-	if r.FencingToken != c.token {
+	if r.FencingToken != c.Token() {
 		// The worker has not seen this term's token. Its list may predate a
 		// launch by an older leader, so it proves nothing; but the answer
 		// hands out the token, and the worker reports again at once.
@@ -218,7 +124,7 @@
 // is left. It renews no lease, and the machine is as silent as it was.
 func (c *Core) CommandAnswered(r *wire.Heartbeat, now Micros) {
 	m := c.machines[r.Host]
-	if m == nil || r.FencingToken != c.token || r.Incarnation < m.incarnation || (r.Incarnation == m.incarnation && r.Sequence <= m.sequence) {
+	if m == nil || r.FencingToken != c.Token() || r.Incarnation < m.incarnation || (r.Incarnation == m.incarnation && r.Sequence <= m.sequence) {
 		return
 	}
 	c.now = now
@@ -283,7 +189,7 @@
 			// Not in the books: it occupies its place all the same until it is gone.
 			p = c.addPlacement(j, num, m, t.Attempt)
 			p.durable = true
-			c.unrecorded = append(c.unrecorded, p)
+			c.ledger.addUnrecorded(p)
 			if c.mustRemove(p) {
 				c.stopPlacement(p, false)
 			}
@@ -408,7 +314,7 @@
 	m.eachPlacement(func(p *placement) {
 		if p.durable && !p.observed && !p.stopping && !p.recovered && len(a.Commands) < maxAnswerOrders {
 			p.dispatched = true
-			a.Commands = append(a.Commands, wire.Command{Op: wire.Launch, Task: wire.TaskName(p.job.id, p.taskIndex), Attempt: p.attempt})
+			a.Commands = append(a.Commands, p.launchCommand())
 		}
 	})
 }
@@ -428,20 +334,6 @@
 	return c.HasLaunchInFlight(host)
 }
 
-// HasLaunchInFlight says whether launches for the machine are being stored.
-func (c *Core) HasLaunchInFlight(host string) bool {
-	cm := c.unfinishedCommit()
-	if cm == nil {
-		return false
-	}
-	for _, p := range cm.placements {
-		if p.machine.host == host {
-			return true
-		}
-	}
-	return false
-}
-
 // TakePassNeeded says whether something happened since the last call that a pass may
 // make use of.
 func (c *Core) TakePassNeeded() bool {
--- a/internal/sched/ledger.go
+++ b/internal/sched/ledger.go
@@ -1,10 +1,8 @@
 package sched
 
 import (
-	"sort"
-
-	"dalefront/internal/config"
-	"dalefront/wire"
+	"fmt"
+	"slices"
 )
 
 // LedgerEntry is one stored piece of the ledger: launches that were decided together,
@@ -41,228 +39,255 @@
 	LedgerEntry
 }
 
-// ledgerEntry is what the core keeps of a stored Entry.
+// newLedgerEntry makes an entry of placements that are ordered by machine.
+func newLedgerEntry(placements []*placement) LedgerEntry {
+	type runKey struct {
+		host, job string
+		attempt   uint64
+	}
+	var entry LedgerEntry
+	hostIndex := map[string]int{}
+	runIndex := map[runKey]int{}
+	for _, p := range placements {
+		m := p.machine
+		host, ok := hostIndex[m.host]
+		if !ok {
+			host = len(entry.Hosts)
+			hostIndex[m.host] = host
+			entry.Hosts = append(entry.Hosts, LedgerHost{m.host, m.addr, m.machineType.Name, m.zone, m.spot, p.incarnation})
+		}
+		key := runKey{m.host, p.job.id, p.attempt}
+		run, ok := runIndex[key]
+		if !ok {
+			run = len(entry.Runs)
+			runIndex[key] = run
+			entry.Runs = append(entry.Runs, LedgerRun{Host: host, Job: p.job.id, Attempt: p.attempt})
+		}
+		entry.Runs[run].Tasks = append(entry.Runs[run].Tasks, p.taskIndex)
+	}
+	return entry
+}
+
+// ledgerEntry is what the core keeps of a stored LedgerEntry.
 type ledgerEntry struct {
-	name    string
-	live    map[*placement]struct{}
-	hosts   map[string]struct{}
-	listed  bool // queued for deletion
-	leaving bool // the batch under way deletes it
-	moving  bool // the batch under way takes its launches over
+	name         string
+	live         map[*placement]struct{} // placements that the entry records and that are not proven gone
+	hosts        map[string]struct{}     // every machine that the entry names
+	queued       bool                    // in ledger.empty, to be deleted
+	deleting     bool                    // the commit under way deletes it
+	transferring bool                    // the commit under way records its live placements in a new entry
 }
 
-// Commit is a write-ahead batch: entries to be created on condition that none of
-// the jobs has ended, and entries to be deleted with them. It is stored whole or
-// not at all.
-type Commit struct {
-	Entries []NamedLedgerEntry
-	Jobs    []string
-	Drop    []string
+// record notes that the stored entry covers the placement.
+func (e *ledgerEntry) record(p *placement) {
+	p.entry = e
+	e.live[p] = struct{}{}
+}
 
-	// Generation is the version of the configuration's generation by which the batch was
-	// decided: it must not be stored once another is in force.
-	Generation uint64
+// ledger mirrors the stored entries, and owns the commit that changes them.
+//
+// Invariants:
+//   - Every placement that may be on a machine is in the live set of the entry that
+//     placement.entry names, or in unrecorded, or in the commit under way.
+//   - A placement leaves its entry in removePlacement alone, which only Core.release calls.
+//   - An entry is deleted only once its live set is empty, or in the commit that records what is
+//     left of it elsewhere: at no moment does the stored ledger miss a task that may be running.
+//   - At most one commit is in flight.
+type ledger struct {
+	entries        map[string]*ledgerEntry
+	empty          []*ledgerEntry      // entries without live placements, to be deleted, the oldest first
+	namingReturned map[string]struct{} // names of entries that name returned machines
+	unrecorded     []*placement        // found on machines, not in any entry
+	lastCompaction Micros
+	inFlight       *Commit // being stored
+	staged         *Commit // the next part of a commit of which one part is stored
+}
 
-	placements []*placement   // to be launched once the batch is stored
-	moved      []*placement   // in the ledger already, or found on a machine
-	parts      [][]*placement // by entry
+func newLedger() ledger {
+	return ledger{entries: map[string]*ledgerEntry{}, namingReturned: map[string]struct{}{}}
+}
 
-	// A gang on more machines than one transaction can name takes several, each a
-	// commit; this is the one to be stored after it. Nothing of any is launched before the
-	// last is stored. One that is refused undoes all; what was stored of them until then
-	// are entries without launches. If the leader ends in between, the next one finds
-	// those: they are proven gone by the machines' reports, like any launch that never
-	// arrived, and the gang's missing tasks are placed anew.
-	next *Commit
+// unfinishedCommit is the commit that is being stored, or of which a part still is to be, or nil.
+func (l *ledger) unfinishedCommit() *Commit {
+	if l.inFlight != nil {
+		return l.inFlight
+	}
+	return l.staged
 }
 
-// Launches is how many tasks the batch starts, or with its other parts.
-func (cm *Commit) Launches() int { return len(cm.placements) }
+// isStoring says whether a commit is in flight: no other one may begin.
+func (l *ledger) isStoring() bool { return l.inFlight != nil }
+
+// begin puts a commit in flight.
+func (l *ledger) begin(commit *Commit) { l.inFlight = commit }
+
+// beginStaged puts the next part of a commit in flight and returns it, or nil if there is none.
+// It is called only while nothing is in flight.
+func (l *ledger) beginStaged() *Commit {
+	l.inFlight, l.staged = l.staged, nil
+	return l.inFlight
+}
 
-// unfinishedCommit is the batch that is being stored, or of which a part still is to be, or nil.
-func (c *Core) unfinishedCommit() *Commit {
-	if c.inFlight != nil {
-		return c.inFlight
+// add creates an entry without placements.
+func (l *ledger) add(name string) *ledgerEntry {
+	entry := &ledgerEntry{name: name, live: map[*placement]struct{}{}, hosts: map[string]struct{}{}}
+	l.entries[name] = entry
+	return entry
+}
+
+// retireIfEmpty queues an entry without live placements for deletion.
+func (l *ledger) retireIfEmpty(entry *ledgerEntry) {
+	if len(entry.live) == 0 && !entry.deleting && !entry.queued {
+		entry.queued = true
+		l.empty = append(l.empty, entry)
 	}
-	return c.staged
 }
 
-// newLedgerEntry makes an entry of placements that are ordered by machine.
-func newLedgerEntry(ps []*placement) LedgerEntry {
-	var e LedgerEntry
-	index := map[string]int{}
-	type key struct {
-		host, job string
-		attempt   uint64
+// addUnrecorded takes a placement that was found on a machine and is in no entry. The next
+// compaction records it.
+func (l *ledger) addUnrecorded(p *placement) { l.unrecorded = append(l.unrecorded, p) }
+
+// removePlacement takes a released placement out of its entry.
+func (l *ledger) removePlacement(p *placement) {
+	if entry := p.entry; entry != nil {
+		delete(entry.live, p)
+		p.entry = nil
+		l.retireIfEmpty(entry)
 	}
-	runs := map[key]int{}
-	for _, p := range ps {
-		i, ok := index[p.machine.host]
-		if !ok {
-			i = len(e.Hosts)
-			index[p.machine.host] = i
-			m := p.machine
-			e.Hosts = append(e.Hosts, LedgerHost{m.host, m.addr, m.machineType.Name, m.zone, m.spot, p.incarnation})
-		}
-		k := key{p.machine.host, p.job.id, p.attempt}
-		r, ok := runs[k]
-		if !ok {
-			r = len(e.Runs)
-			runs[k] = r
-			e.Runs = append(e.Runs, LedgerRun{Host: i, Job: p.job.id, Attempt: p.attempt})
+}
+
+// machineReturned notes that a machine is gone: what is left of the entries that name it moves to
+// new ones, as a later leader would otherwise wait for the machine.
+func (l *ledger) machineReturned(host string) {
+	for _, entry := range l.entries {
+		if _, named := entry.hosts[host]; named && len(entry.live) > 0 {
+			l.namingReturned[entry.name] = struct{}{}
 		}
-		e.Runs[r].Tasks = append(e.Runs[r].Tasks, p.taskIndex)
 	}
-	return e
 }
 
-// CommitStored says that the batch is durable: its launches may be sent, unless another
-// part of it is to be stored first, which the next Schedule returns.
-func (c *Core) CommitStored(cm *Commit, now Micros) {
-	c.now = now
-	c.inFlight, c.staged = nil, cm.next
-	c.passNeeded = true
-	for _, n := range cm.Drop {
-		delete(c.entries, n)
-		delete(c.entriesOfReturned, n)
+// commitStored applies a stored commit: its deletions, and its entries with those of their
+// placements that were not released meanwhile. isReturned says whether a machine was returned.
+func (l *ledger) commitStored(commit *Commit, isReturned func(host string) bool) (stored []*ledgerEntry) {
+	l.inFlight, l.staged = nil, commit.next
+	for _, name := range commit.Drop {
+		delete(l.entries, name)
+		delete(l.namingReturned, name)
 	}
-	stored := make([]*ledgerEntry, len(cm.Entries))
-	for i, ne := range cm.Entries {
-		e := c.addEntry(ne.Name)
-		stored[i] = e
-		for _, h := range ne.Hosts {
-			e.hosts[h.Host] = struct{}{}
-			if _, gone := c.returnedMachines[h.Host]; gone {
-				c.entriesOfReturned[ne.Name] = struct{}{}
+	for i, named := range commit.Entries {
+		entry := l.add(named.Name)
+		stored = append(stored, entry)
+		for _, h := range named.Hosts {
+			entry.hosts[h.Host] = struct{}{}
+			if isReturned(h.Host) {
+				l.namingReturned[named.Name] = struct{}{}
 			}
 		}
-		for _, p := range cm.parts[i] {
-			if _, ok := p.job.placements[p]; ok {
-				p.entry = e
-				e.live[p] = struct{}{}
+		for _, p := range commit.parts[i] {
+			if p.isHeld() {
+				entry.record(p)
 			}
 		}
 	}
-	for _, p := range cm.placements {
-		if _, ok := p.job.placements[p]; !ok || cm.next != nil {
-			continue
-		}
-		p.durable = true
-		c.Stats.Launches++
-		// The session changed or the machine left while the entry was being
-		// stored: the launch was never sent and never will be.
-		if p.machine.incarnation != p.incarnation || p.machine.leaseExpired || p.stopping || p.job.isOver() {
-			c.release(p)
-		}
-	}
-	for _, e := range stored {
-		if len(e.live) == 0 {
-			c.retireEntry(e)
-		}
-	}
+	return stored
 }
 
-// CommitRejected says that the batch was not stored and never will be. What was stored of its
-// earlier parts was not launched either.
-func (c *Core) CommitRejected(cm *Commit, now Micros) {
-	c.now = now
-	c.inFlight, c.staged = nil, nil
-	c.passNeeded = true
-	for _, n := range cm.Drop {
-		e := c.entries[n]
-		if e == nil {
+// commitRejected undoes a commit that was not stored: what it would have deleted is queued again,
+// and what it would have recorded is unrecorded still.
+func (l *ledger) commitRejected(commit *Commit) {
+	l.inFlight, l.staged = nil, nil
+	for _, name := range commit.Drop {
+		entry := l.entries[name]
+		if entry == nil {
 			continue
 		}
-		e.leaving, e.listed = false, false
-		if len(e.live) == 0 {
-			c.retireEntry(e)
-		} else if e.moving {
-			c.entriesOfReturned[n] = struct{}{}
+		entry.deleting, entry.queued = false, false
+		l.retireIfEmpty(entry)
+		if len(entry.live) > 0 && entry.transferring {
+			l.namingReturned[name] = struct{}{}
 		}
-		e.moving = false
+		entry.transferring = false
 	}
-	for _, p := range cm.moved {
+	for _, p := range commit.moved {
 		if p.entry == nil {
-			c.unrecorded = append(c.unrecorded, p)
+			l.addUnrecorded(p)
 		}
 	}
-	for _, p := range cm.placements {
-		c.release(p)
+}
+
+// compactionInterval is how often entries are compacted by batches that launch nothing.
+const compactionInterval = second
+
+// compact lets the batch record what is in no entry, delete empty entries, and take over what is
+// left of those that name returned machines. Above maxEntries entries it merges any of them:
+// a takeover reads them all.
+func (l *ledger) compact(b *batch, now Micros, maxEntries int) {
+	if len(b.placements) == 0 && len(l.unrecorded) == 0 && now-l.lastCompaction < compactionInterval {
+		return
 	}
+	l.lastCompaction = now
+	l.recordUnrecorded(b)
+	l.deleteEmpty(b)
+	l.transfer(b, l.transferable(maxEntries))
 }
 
-func (c *Core) addEntry(name string) *ledgerEntry {
-	e := &ledgerEntry{name: name, live: map[*placement]struct{}{}, hosts: map[string]struct{}{}}
-	c.entries[name] = e
-	return e
+// recordUnrecorded lets the batch record as much as it has room for of what is in no entry.
+func (l *ledger) recordUnrecorded(b *batch) {
+	left := l.unrecorded[:0]
+	for _, p := range l.unrecorded {
+		if !p.isHeld() || p.entry != nil {
+			continue
+		}
+		if !b.recordFound(p) {
+			left = append(left, p)
+		}
+	}
+	l.unrecorded = left
 }
 
-// retireEntry queues an entry without live launches for deletion.
-func (c *Core) retireEntry(e *ledgerEntry) {
-	if !e.leaving && !e.listed {
-		e.listed = true
-		c.emptyEntries = append(c.emptyEntries, e)
+// deleteEmpty lets the batch delete empty entries, the oldest first.
+func (l *ledger) deleteEmpty(b *batch) {
+	for len(l.empty) > 0 && len(b.drop) < b.dropLimit() && b.mayDrop() {
+		entry := l.empty[0]
+		l.empty = l.empty[1:]
+		entry.deleting = true
+		b.drop = append(b.drop, entry.name)
 	}
 }
 
-// removeFromEntry takes a freed placement out of its entry.
-func (c *Core) removeFromEntry(p *placement) {
-	if e := p.entry; e != nil {
-		delete(e.live, p)
-		p.entry = nil
-		if len(e.live) == 0 {
-			c.retireEntry(e)
+// transferable lists the names of entries whose live placements should move to a new entry.
+func (l *ledger) transferable(maxEntries int) []string {
+	names := make([]string, 0, len(l.namingReturned))
+	for name := range l.namingReturned {
+		names = append(names, name)
+	}
+	if len(names) == 0 && len(l.entries) > maxEntries {
+		for name := range l.entries {
+			names = append(names, name)
 		}
 	}
+	slices.Sort(names)
+	return names
 }
 
-// RecoverLedger takes the stored ledger at the start of a term, after the jobs. All its
-// launches count as on their machines until proof of the contrary.
-func (c *Core) RecoverLedger(ledger map[string]LedgerEntry) {
-	names := make([]string, 0, len(ledger))
-	latest := map[string]uint64{}
-	for n, e := range ledger {
-		names = append(names, n)
-		for _, h := range e.Hosts {
-			latest[h.Host] = max(latest[h.Host], h.Incarnation)
+// transfer lets the batch delete entries and record their live placements in its own, as far as it
+// has room.
+func (l *ledger) transfer(b *batch, names []string) {
+	for _, name := range names {
+		entry := l.entries[name]
+		if entry == nil || entry.deleting || len(entry.live) == 0 {
+			delete(l.namingReturned, name)
+			continue
 		}
-	}
-	sort.Strings(names)
-	for _, n := range names {
-		e := c.addEntry(n)
-		for _, r := range ledger[n].Runs {
-			if r.Host < 0 || r.Host >= len(ledger[n].Hosts) {
-				continue
-			}
-			h := ledger[n].Hosts[r.Host]
-			m := c.machines[h.Host]
-			if m == nil {
-				m = c.newMachine(h.Host, h.Addr, h.Type, h.Zone, h.Spot)
-				m.incarnation, m.registered = latest[h.Host], true
-			}
-			e.hosts[h.Host] = struct{}{}
-			j := c.jobs[r.Job]
-			// A job's record is deleted only after all its placements were
-			// proven gone, so a task of an unknown job is not on the machine.
-			// Neither is one of an earlier session than the ledger has seen.
-			if j == nil || h.Incarnation < m.incarnation {
-				continue
-			}
-			for _, t := range r.Tasks {
-				if int(t) >= j.spec.Tasks || t < 0 || m.findPlacement(taskKey{j, t}, r.Attempt) != nil {
-					continue
-				}
-				p := c.addPlacement(j, t, m, r.Attempt)
-				p.durable, p.recovered, p.entry = true, true, e
-				e.live[p] = struct{}{}
-			}
-			if j.isGang() && r.Attempt > j.gangAttempt {
-				j.gangAttempt = r.Attempt
-			}
+		if len(b.drop) >= b.dropLimit() {
+			return
 		}
-		if len(e.live) == 0 {
-			c.retireEntry(e)
+		if !b.takeOver(entry) {
+			continue
 		}
+		delete(l.namingReturned, name)
+		entry.deleting, entry.transferring = true, true
+		b.drop = append(b.drop, name)
 	}
 }
 
@@ -271,19 +296,21 @@
 // which the next token is, on by one.
 const attemptBits = 20
 
-// Attempts of a pass: later ones are always larger, over terms too.
-func (c *Core) nextAttempt() uint64 {
-	c.seq++
-	return c.token<<attemptBits + c.seq
+// termSequence numbers what a term creates: attempts and ledger entries share one counter. As the
+// token rises with every term no number is ever used again.
+type termSequence struct {
+	token uint64 // the term's fencing token
+	last  uint64
 }
 
-// taskReportBytes is what is allowed for a task in a report, and in its answer.
-const taskReportBytes = 160
-
-// maxTasksPerMachine bounds the tasks on a machine, so that a report and its answer
-// stay well within the limits for bodies.
-const maxTasksPerMachine = wire.MaxBodyBytes / taskReportBytes
+// nextAttempt returns a number that is larger than that of any earlier attempt, of other terms too.
+func (s *termSequence) nextAttempt() uint64 {
+	s.last++
+	return s.token<<attemptBits + s.last
+}
 
-// leaseExpiry is when a lease must have run out: the workers' clocks may be 0.05%
-// slow, and ours fast.
-func (c *Core) leaseExpiry() Micros { return c.lease + c.lease/1000 + config.Second/2 }
+// nextEntryName returns a name that no ledger entry ever had. Names sort by age.
+func (s *termSequence) nextEntryName() string {
+	s.last++
+	return fmt.Sprintf("%016x.%08x", s.token, s.last)
+}
--- a/internal/sched/ledger_test.go
+++ b/internal/sched/ledger_test.go
@@ -105,7 +105,7 @@
 				cm := b.Schedule(b.now)
 				if cm == nil {
 					launched()
-					if len(b.jobs["j-1"].placementsOf()) == n-1 && b.staged == nil {
+					if len(b.jobs["j-1"].placementsOf()) == n-1 && b.ledger.staged == nil {
 						break
 					}
 					continue
@@ -168,7 +168,7 @@
 					}
 				}
 				live := 0
-				for _, e := range b.entries {
+				for _, e := range b.ledger.entries {
 					live += len(e.live)
 				}
 				if j := b.jobs["j-1"]; j != nil || live > 3 {
@@ -258,7 +258,7 @@
 	b.report("n-2", "s", "x", 1, run2...)
 	pass()
 	pass()
-	if len(store) != 0 || len(b.entries) != 0 {
+	if len(store) != 0 || len(b.ledger.entries) != 0 {
 		t.Errorf("%d entries are left", len(store))
 	}
 }
@@ -287,7 +287,7 @@
 	b.AddJob(spec("j-1", "a", wire.Normal, 1, 8), b.now, b.now)
 	cm := b.Schedule(b.now)
 	b.CommitRejected(cm, b.now)
-	if b.machines["n-1"].placementCount != 0 || len(b.entries) != 0 || b.schedule() == nil {
+	if b.machines["n-1"].placementCount != 0 || len(b.ledger.entries) != 0 || b.schedule() == nil {
 		t.Error("the task was not placed again")
 	}
 }
@@ -376,8 +376,8 @@
 			// A refused batch is undone whole: its launches are decided anew, and what it was
 			// to delete still is to be.
 			b.CommitRejected(cm, b.now)
-			if len(cm.Drop) > 0 && len(b.emptyEntries) < len(cm.Drop) {
-				t.Fatalf("seed %d: %d entries are to be deleted, of %d that the refused batch had", seed, len(b.emptyEntries), len(cm.Drop))
+			if len(cm.Drop) > 0 && len(b.ledger.empty) < len(cm.Drop) {
+				t.Fatalf("seed %d: %d entries are to be deleted, of %d that the refused batch had", seed, len(b.ledger.empty), len(cm.Drop))
 			}
 			for _, p := range cm.placements {
 				if _, there := p.job.placements[p]; there {
--- a/internal/sched/model.go
+++ b/internal/sched/model.go
@@ -34,43 +34,6 @@
 	return 0
 }
 
-type taskKey struct {
-	job       *job
-	taskIndex int32
-}
-
-// placement is a task that may be on a machine. It counts against quota, room
-// and place rules from before its launch is stored until proof that it is gone.
-type placement struct {
-	taskKey
-	attempt     uint64
-	machine     *machine
-	incarnation uint64       // of the worker, when it was placed
-	entry       *ledgerEntry // where it is stored
-
-	durable      bool // the write-ahead record is durable
-	recovered    bool // from a record of an earlier term: never launched again
-	observed     bool // a report showed it
-	dispatched   bool // its launch went with an answer, which may have arrived
-	state        string
-	placedAt     Micros
-	runningSince Micros // when it was first seen running, 0 before
-
-	stopping         bool   // to be stopped
-	checkpointing    bool   // stop with enough grace to save
-	checkpointQueued bool   // its checkpoint waits for another one on the machine
-	stopSentAt       Micros // when the stop was first given
-	preempted        bool   // stopped to make room
-}
-
-func (p *placement) stopCommand() wire.Command {
-	grace := 0.0
-	if p.checkpointing {
-		grace = p.job.spec.CheckpointDurationS + 1
-	}
-	return wire.Command{Op: wire.Stop, Task: wire.TaskName(p.job.id, p.taskIndex), Attempt: p.attempt, GraceS: &grace}
-}
-
 type job struct {
 	id      string
 	spec    wire.Job
@@ -120,6 +83,11 @@
 func (j *job) isGang() bool                      { return j.spec.Shape == wire.Gang }
 func (j *job) isOver() bool                      { return j.finalStatus != "" || j.completing }
 
+// taskResources is what each of the job's tasks takes.
+func (j *job) taskResources() resourceUse {
+	return resourceUse{j.spec.CPUs, j.spec.GPUs, j.spec.MemoryGB}
+}
+
 // ChunkTasks is the number of tasks whose completion one stored value covers;
 // with it the largest job's progress stays far below any value limit.
 const ChunkTasks = 4096
@@ -224,6 +192,28 @@
 
 const epsilon = 1e-6
 
+// addUse counts what a placed task takes.
+func (t *team) addUse(use resourceUse) {
+	t.usedCPUs += use.cpus
+	t.usedGPUs += use.gpus
+}
+
+// removeUse gives back what a released task took. releasing says whether it had been told to stop.
+func (t *team) removeUse(use resourceUse, releasing bool) {
+	t.usedCPUs -= use.cpus
+	t.usedGPUs -= use.gpus
+	if releasing {
+		t.releasingCPUs -= use.cpus
+		t.releasingGPUs -= use.gpus
+	}
+}
+
+// addReleasing counts what a task that is told to stop is going to give back.
+func (t *team) addReleasing(use resourceUse) {
+	t.releasingCPUs += use.cpus
+	t.releasingGPUs += use.gpus
+}
+
 // withinLimit says whether the team's limit leaves room; 0 means no limit.
 func (t *team) withinLimit(cpus, gpus float64) bool {
 	return (t.CPUsMax == 0 || t.usedCPUs+cpus <= t.CPUsMax+epsilon) && (t.GPUsMax == 0 || t.usedGPUs+gpus <= t.GPUsMax+epsilon)
@@ -346,39 +336,29 @@
 // resourceUse is what tasks take of a machine.
 type resourceUse struct{ cpus, gpus, mem float64 }
 
-// usedBelow is what is taken by jobs of a lower rank.
-func (m *machine) usedBelow(rank int) (u resourceUse) {
-	for _, x := range m.usedByRank[:rank] {
-		u.cpus, u.gpus, u.mem = u.cpus+x.cpus, u.gpus+x.gpus, u.mem+x.mem
-	}
-	return u
+// add adds what further tasks take.
+func (u *resourceUse) add(x resourceUse) {
+	u.cpus, u.gpus, u.mem = u.cpus+x.cpus, u.gpus+x.gpus, u.mem+x.mem
 }
 
-// eachPlacement calls f with the machine's placements, the oldest first. f may free any of them:
-// free never changes a list that is being read.
-func (m *machine) eachPlacement(f func(*placement)) {
-	for _, p := range m.placements {
-		if _, ok := p.job.placements[p]; ok {
-			f(p)
-		}
-	}
+// subtract takes away what tasks that left took.
+func (u *resourceUse) subtract(x resourceUse) {
+	u.cpus, u.gpus, u.mem = u.cpus-x.cpus, u.gpus-x.gpus, u.mem-x.mem
 }
 
-func (m *machine) findPlacement(k taskKey, attempt uint64) *placement {
-	for _, p := range m.tasks[k] {
-		if p.attempt == attempt {
-			return p
-		}
+// usedBelow is what is taken by jobs of a lower rank.
+func (m *machine) usedBelow(rank int) (u resourceUse) {
+	for _, x := range m.usedByRank[:rank] {
+		u.add(x)
 	}
-	return nil
+	return u
 }
 
 // Core is the scheduler's state.
 type Core struct {
 	settings         *config.Settings
 	now              Micros
-	token            uint64
-	seq              uint64
+	sequence         termSequence
 	termStart        Micros // start of this term
 	resumedAt        Micros // end of the last standstill
 	machineTypes     map[string]*wire.MachineType
@@ -403,24 +383,17 @@
 	gangsPlannedAt     Micros     // when it was last decided what is kept for gangs
 	passNeeded         bool       // something happened that a pass may use
 
-	// the ledger
-	entries           map[string]*ledgerEntry
-	emptyEntries      []*ledgerEntry      // nothing of them is left
-	entriesOfReturned map[string]struct{} // they name returned machines
-	victimCandidates  []victimCandidate   // of the machine that was looked at last, kept to be used again
+	ledger            ledger
+	victimCandidates  []victimCandidate // of the machine that was looked at last, kept to be used again
 	cordons           []dynconfig.Cordon
-	generation        uint64       // version of the configuration's generation that decisions are made by
-	unrecorded        []*placement // found on machines, not in any entry
-	ledgerCompactedAt Micros       // when the books were last kept
-	fairnessUpdatedAt Micros       // when it was last found out who is behind
-	placementsByRank  [4]int       // placements by their jobs' rank
+	generation        uint64 // version of the configuration's generation that decisions are made by
+	fairnessUpdatedAt Micros // when it was last found out who is behind
+	placementsByRank  [4]int // placements by their jobs' rank
 
 	pendingEnds    []string
 	forgotten      []ForgottenJob
 	directCommands []DirectCommand
-	inFlight       *Commit
-	staged         *Commit // the next part of a batch of which one is stored
-	nextGang       *job    // a gang that needs a batch for itself, served first in the next pass
+	nextGang       *job // a gang that needs a batch for itself, served first in the next pass
 	gpus           gpuSummary
 	// as a pass sees them
 	competingClasses  []*class                 // classes above the lowest priority whose jobs arrive
@@ -454,10 +427,10 @@
 // New returns the core of a term. The token rises with every term.
 func New(set *config.Settings, token uint64, now Micros, cat wire.Catalog, log func(string, ...any)) *Core {
 	c := &Core{
-		settings: set, now: now, termStart: now, token: token,
+		settings: set, now: now, termStart: now, sequence: termSequence{token: token},
 		machineTypes: map[string]*wire.MachineType{}, jobs: map[string]*job{}, machines: map[string]*machine{}, returnedMachines: map[string]Micros{},
 		teams: map[string]*team{}, classes: map[string]*class{},
-		entries: map[string]*ledgerEntry{}, entriesOfReturned: map[string]struct{}{}, onDemandTypes: map[string]bool{},
+		ledger: newLedger(), onDemandTypes: map[string]bool{},
 		outOfCapacity: map[string]Micros{}, bootOutcomes: map[string][]bootOutcome{}, pendingScaleOut: map[string]int{},
 		lease:        config.Micro(set.Deployment.Workers.LeaseS),
 		preemptAfter: config.Micro(*set.Operator.EvictAfterS), preemptionPolicy: set.Operator.Eviction, firstComeFirstServed: set.Operator.Order == config.OrderArrival,
@@ -487,8 +460,7 @@
 	}
 }
 
-// Token is the term's token.
-// inOrder returns the jobs that f selects, by id. The same events give the same effects
+// jobsByID returns the jobs that f selects, by id. The same events give the same effects
 // in the same order, so that a run can be played again: where the order shows, maps are
 // not read as they come.
 func (c *Core) jobsByID(f func(*job) bool) (out []*job) {
@@ -505,19 +477,6 @@
 	slices.SortFunc(js, func(a, b *job) int { return cmp.Compare(a.id, b.id) })
 }
 
-// sortedPlacements returns the job's placements by task and attempt.
-func (j *job) sortedPlacements() []*placement {
-	ps := slices.Collect(maps.Keys(j.placements))
-	byTask(ps)
-	return ps
-}
-
-func byTask(ps []*placement) {
-	slices.SortFunc(ps, func(a, b *placement) int {
-		return cmp.Or(cmp.Compare(a.taskIndex, b.taskIndex), cmp.Compare(a.attempt, b.attempt), cmp.Compare(a.machine.host, b.machine.host))
-	})
-}
-
 // classesByName returns the classes by name: sums of what they need round alike each time.
 func (c *Core) classesByName() []*class {
 	if c.sortedClasses == nil {
@@ -526,7 +485,8 @@
 	return c.sortedClasses
 }
 
-func (c *Core) Token() uint64 { return c.token }
+// Token is the term's fencing token.
+func (c *Core) Token() uint64 { return c.sequence.token }
 
 // maxClasses bounds what is remembered of classes of jobs.
 const maxClasses = 500
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -339,12 +339,11 @@
 func (c *Core) Schedule(now Micros) *Commit {
 	c.now = now
 	c.reconcile()
-	if c.inFlight != nil {
+	if c.ledger.isStoring() {
 		return nil
 	}
-	if c.staged != nil {
-		c.inFlight, c.staged = c.staged, nil
-		return c.inFlight
+	if commit := c.ledger.beginStaged(); commit != nil {
+		return commit
 	}
 	b := c.newBatch()
 	c.refreshSchedulable()
@@ -379,8 +378,8 @@
 		}
 	}
 	c.planGangs(gangs)
-	c.compactLedger(b)
-	return c.finishBatch(b)
+	c.ledger.compact(b, now, c.maxLedger())
+	return c.commitBatch(b)
 }
 
 // refreshSchedulable lists the machines that may get launches in this pass. Nothing that
@@ -500,7 +499,7 @@
 			return
 		}
 		if attempt == 0 {
-			attempt = c.nextAttempt()
+			attempt = c.sequence.nextAttempt()
 		}
 		var got []*placement
 		for len(j.placements) < tries && b.fits(j, b.cost(m), 1, len(got)+1) && c.canTakeTask(j, m, zones) && j.team.withinLimit(j.spec.CPUs, j.spec.GPUs) {
--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -283,7 +283,7 @@
 		cpus += float64(v.here) * s.CPUs
 		gpus += float64(v.here) * s.GPUs
 		mem += float64(v.here) * s.MemoryGB
-		byTask(v.tasks)
+		sortByTask(v.tasks)
 		c.chooseCheckpoint(&v, v.tasks[0], queue)
 		if v.checkpoint {
 			queue += max(v.dump, config.Micro(s.CheckpointDurationS))
--- a/internal/sched/reconcile.go
+++ b/internal/sched/reconcile.go
@@ -33,7 +33,7 @@
 			// what it says then frees the places of what it lost with its lease.
 			m.tokenPushedAt = c.now
 			pushes++
-			c.directCommands = append(c.directCommands, DirectCommand{m.addr, wire.CommandBatch{FencingToken: c.token, Incarnation: m.incarnation}})
+			c.directCommands = append(c.directCommands, DirectCommand{m.addr, wire.CommandBatch{FencingToken: c.Token(), Incarnation: m.incarnation}})
 		}
 		if m.reservedFor != nil && (c.now >= m.reservedUntil || m.reservedFor.isOver() || m.reservedFor.pendingCount() == 0) {
 			m.reservedFor = nil
@@ -97,3 +97,7 @@
 		}
 	})
 }
+
+// leaseExpiry is how long after a heartbeat its lease must have run out: the workers' clocks may be
+// 0.05% slow, and ours fast.
+func (c *Core) leaseExpiry() Micros { return c.lease + c.lease/1000 + config.Second/2 }
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -62,7 +62,7 @@
 				if m == nil {
 					break
 				}
-				plain.addPlacement(j, k, m, plain.nextAttempt())
+				plain.addPlacement(j, k, m, plain.sequence.nextAttempt())
 				zones[m.zone]++
 			}
 		}
