--- a/internal/sched/explain.go
+++ b/internal/sched/explain.go
@@ -33,16 +33,16 @@
 	})
 	var out []WaitingJob
 	for _, j := range js[:min(most, len(js))] {
-		out = append(out, c.explainWait(j))
+		out = append(out, c.lastPass.explainWait(j))
 	}
 	return out
 }
 
-func (c *Core) explainWait(j *job) WaitingJob {
-	w := WaitingJob{Job: j.id, Class: j.spec.Class, Team: j.spec.Team, Tasks: j.pendingCount(), Age: c.now - j.arrival}
+func (ps *pass) explainWait(j *job) WaitingJob {
+	w := WaitingJob{Job: j.id, Class: j.spec.Class, Team: j.spec.Team, Tasks: j.pendingCount(), Age: ps.core.now - j.arrival}
 	used := j.tasksByZone()
 	room := map[string]int{}
-	for _, m := range c.schedulable {
+	for _, m := range ps.schedulable {
 		if m.reservedFor == j {
 			w.Reserved++
 		}
@@ -50,7 +50,7 @@
 		if j.isGang() && j.spec.OneZone {
 			z = m.zone
 		}
-		room[z] += c.slotsOn(j, m, used)
+		room[z] += ps.slotsOn(j, m, used)
 	}
 	for _, n := range room {
 		w.Room = max(w.Room, n)
@@ -60,7 +60,7 @@
 		leaving = leaving || p.stopping
 	}
 	switch {
-	case c.now < j.backoffUntil:
+	case ps.core.now < j.backoffUntil:
 		w.Reason = "its tasks failed"
 		if j.isSuspect() {
 			w.Reason = "it fails on every machine"
@@ -71,7 +71,7 @@
 		w.Reason = "its team's limit"
 	case w.Room == 0 || j.isGang() && w.Room < w.Tasks:
 		w.Reason = "no room"
-		if x := c.cordonedOff(j); x != nil {
+		if x := ps.core.cordonedOff(j); x != nil {
 			w.Reason = "no room outside the cordon " + x.Name
 		}
 	default:
@@ -114,7 +114,7 @@
 		}
 		u.Tasks += len(j.placements)
 	}
-	for _, m := range c.schedulable {
+	for _, m := range c.lastPass.schedulable {
 		u := kinds[m.machineType.Name]
 		if u == nil {
 			u = &Usage{Name: m.machineType.Name}
--- a/internal/sched/failures.go
+++ b/internal/sched/failures.go
@@ -107,7 +107,7 @@
 	}
 	n, ok := e.free[j.class]
 	if !ok {
-		for _, o := range c.schedulable {
+		for _, o := range c.lastPass.schedulable {
 			if allowed(j, o) && (o.reservedFor == nil || o.reservedFor == j) {
 				n += slotsFor(j, o.machineType, o.usedCPUs, o.usedGPUs, o.usedMemoryGB)
 			}
--- a/internal/sched/fairness.go
+++ b/internal/sched/fairness.go
@@ -313,7 +313,7 @@
 		if s.underserved {
 			x.UnderservedFor = c.now - s.underservedSince
 			if j := oldest[s]; j != nil {
-				x.WaitReason = c.explainWait(j).Reason
+				x.WaitReason = c.lastPass.explainWait(j).Reason
 			}
 		}
 		return append(part, x)
--- a/internal/sched/fleet.go
+++ b/internal/sched/fleet.go
@@ -229,7 +229,7 @@
 		// Keeping a machine is worth as much as booting another one would cost,
 		// as long as tasks may be expected for it.
 		since := m.idleSince
-		if m.machineType.GPUs > 0 && c.gpus.any {
+		if m.machineType.GPUs > 0 && c.lastPass.gpus.any {
 			since = m.gpusIdleSince
 		}
 		if m.scalingIn || !m.confirmed || m.placementCount > 0 || m.reservedFor != nil || now-since < c.idleTimeout(m.machineType, idle[m.machineType] <= soon[m.machineType]) {
--- a/internal/sched/fleet_test.go
+++ b/internal/sched/fleet_test.go
@@ -103,8 +103,8 @@
 	b.AddJob(spec("j-3", "a", wire.Low, 50, 1), b.now, b.now)
 	b.jobs["j-2"].class.waitObjectives = []Micros{30 * second}
 	m := b.machines["n-1"]
-	b.refreshSchedulable()
-	b.summarizeGPUs([]*job{b.jobs["j-1"]})
+	ps := b.newPass()
+	ps.summarizeGPUs([]*job{b.jobs["j-1"]})
 	small := b.jobs["j-3"]
 	d := 60.0
 	small.spec.DeadlineS, small.dueAt = &d, b.now+500*second
@@ -115,15 +115,15 @@
 		b.release(p)
 	}
 	end("j-2")
-	if !b.mayBlockGPUs(small, m) || b.now-m.gpusIdleSince > 0 {
+	if !ps.mayBlockGPUs(small, m) || b.now-m.gpusIdleSince > 0 {
 		t.Error("a machine that has just served what it is for takes nothing else")
 	}
 	end("j-3")
-	if b.mayBlockGPUs(small, m) {
+	if ps.mayBlockGPUs(small, m) {
 		t.Error("small tasks keep a graphics machine whose GPUs have idled")
 	}
 	b.outOfCapacity[spotKey("s", "x", false)], b.outOfCapacity[spotKey("s", "y", false)] = b.now, b.now
-	if !b.mayBlockGPUs(small, m) {
+	if !ps.mayBlockGPUs(small, m) {
 		t.Error("a graphics machine stands empty though ordinary ones are sold out")
 	}
 }
@@ -139,9 +139,9 @@
 		scan.Class, scan.GPUs = "scan", 1
 		b.AddJob(scan, b.now, b.now)
 		b.AddJob(spec("j-2", "a", wire.Low, 8, 1), b.now, b.now)
-		b.refreshSchedulable()
-		b.summarizeGPUs(b.queue())
-		if got, want := b.keepsGPUMachine(b.jobs["j-2"]), within < 120; got != want {
+		ps := b.newPass()
+		ps.summarizeGPUs(b.queue())
+		if got, want := ps.keepsGPUMachine(b.jobs["j-2"]), within < 120; got != want {
 			t.Errorf("an aim of %.0f s beside one of 120 s: graphics machines are kept for it %v, want %v", within, got, want)
 		}
 	}
--- a/internal/sched/gangplacement.go
+++ b/internal/sched/gangplacement.go
@@ -5,11 +5,11 @@
 // placeGang places all missing tasks of a gang or none; false says that it lacks
 // room. A waiting attempt that lost a task gets a replacement with the same
 // attempt number; a broken one is cleared away first.
-func (c *Core) placeGang(j *job, b *batch) bool {
+func (ps *pass) placeGang(j *job) bool {
 	if j.gangBroken || (j.gangStarted && len(j.placements) > 0) {
 		for _, p := range j.sortedPlacements() {
 			if !p.checkpointing {
-				c.stopPlacement(p, false)
+				ps.core.stopPlacement(p, false)
 			}
 		}
 		return true
@@ -22,8 +22,8 @@
 	if j.atTeamLimit() {
 		return true
 	}
-	for _, z := range c.gangZones(j, j.pendingCount()) {
-		if c.placeGangIn(j, z, b) {
+	for _, z := range ps.gangZones(j, j.pendingCount()) {
+		if ps.placeGangIn(j, z) {
 			return true
 		}
 	}
@@ -31,30 +31,31 @@
 }
 
 // placeGangIn places the missing tasks in a zone, or anywhere if it is empty.
-func (c *Core) placeGangIn(j *job, zone string, b *batch) bool {
+func (ps *pass) placeGangIn(j *job, zone string) bool {
+	b := ps.batch
 	before := j.gangAttempt
 	if j.gangAttempt == 0 {
-		j.gangAttempt = c.nextAttempt()
+		j.gangAttempt = ps.core.nextAttempt()
 	}
 	got := map[*machine][]*placement{}
 	var order []*machine
 	used := j.tasksByZone()
-	all := c.candidates(j, used, zone)
+	all := ps.candidates(j, used, zone)
 	hosts, n := 0, 0
 	var m *machine
 	for t := int32(0); t < int32(j.spec.Tasks); t++ {
 		if j.placementsByTask[t] > 0 {
 			continue
 		}
-		if m == nil || !c.canTakeTask(j, m, used) {
-			if m = c.popBest(&all, j, used); m == nil {
+		if m == nil || !ps.canTakeTask(j, m, used) {
+			if m = ps.popBest(&all, j, used); m == nil {
 				break
 			}
 			order = append(order, m)
 			hosts += b.cost(m)
 		}
 		n++
-		got[m] = append(got[m], c.addPlacement(j, t, m, j.gangAttempt))
+		got[m] = append(got[m], ps.core.addPlacement(j, t, m, j.gangAttempt))
 		used[m.zone]++
 	}
 	fits := m != nil && b.fits(j, hosts, len(order), n)
@@ -62,8 +63,8 @@
 		// It takes several transactions, and a batch of its own.
 		if fits = len(b.placements) == 0; fits {
 			b.large = true
-		} else if c.nextGang == nil {
-			c.nextGang = j
+		} else if ps.core.nextGang == nil {
+			ps.core.nextGang = j
 		}
 	}
 	if fits {
@@ -75,7 +76,7 @@
 	attempt := j.gangAttempt
 	for _, m := range order {
 		for _, p := range got[m] {
-			c.release(p)
+			ps.core.release(p)
 		}
 	}
 	if j.gangAttempt = attempt; before == 0 {
@@ -88,12 +89,12 @@
 // zone rule gets the empty one. The zone that has least room comes first, so that
 // small gangs don't cut up the room that large ones need; where the tasks would
 // rather not be (their image is missing) counts as room that is left.
-func (c *Core) gangZones(j *job, missing int) []string {
+func (ps *pass) gangZones(j *job, missing int) []string {
 	used := j.tasksByZone()
 	room, like := map[string]int{}, map[string]float64{}
 	share := map[string]int{} // of a zone, for tasks that are to be spread
-	for _, m := range c.withRoom {
-		n := c.slotsOn(j, m, used)
+	for _, m := range ps.withRoom {
+		n := ps.slotsOn(j, m, used)
 		if j.spec.Spread {
 			n = max(0, min(n, j.zoneLimit()-used[m.zone]-share[m.zone]))
 			share[m.zone] += n
@@ -106,7 +107,7 @@
 			z = ""
 		}
 		room[z] += n
-		like[z] += float64(n) / (1 + c.placementScore(j, m))
+		like[z] += float64(n) / (1 + ps.placementScore(j, m))
 	}
 	var zs []string
 	for z, n := range room {
@@ -123,7 +124,7 @@
 		return x < y
 	})
 	if j.spec.Tasks == 1 && len(zs) > 1 { // a lone task goes where it starts first
-		if m := c.findMachine(j, used, ""); m != nil {
+		if m := ps.findMachine(j, used, ""); m != nil {
 			zs = []string{m.zone}
 		}
 	}
@@ -131,8 +132,8 @@
 }
 
 // slotsOn is how many tasks of the job the machine could take now.
-func (c *Core) slotsOn(j *job, m *machine, used map[string]int) int {
-	if !hasRoom(j, m, 1) || !c.canTakeTask(j, m, used) || c.reservedAgainst(j, m) {
+func (ps *pass) slotsOn(j *job, m *machine, used map[string]int) int {
+	if !hasRoom(j, m, 1) || !ps.canTakeTask(j, m, used) || ps.reservedAgainst(j, m) {
 		return 0
 	}
 	n := min(slotsFor(j, m.machineType, m.usedCPUs, m.usedGPUs, m.usedMemoryGB), maxTasksPerMachine-m.placementCount)
--- a/internal/sched/gangplan.go
+++ b/internal/sched/gangplan.go
@@ -28,8 +28,8 @@
 const minGangLooks = 8
 
 // candidateLimit is how many gangs may each look at all machines in a pass.
-func (c *Core) candidateLimit() int {
-	return max(minGangLooks, maxCandidateLooks/max(1, len(c.schedulable)))
+func (ps *pass) candidateLimit() int {
+	return max(minGangLooks, maxCandidateLooks/max(1, len(ps.schedulable)))
 }
 
 // shape is what decides where a gang's task may go.
@@ -49,9 +49,9 @@
 }
 
 // zonesOf parts the open machines by zone, or lists all under one that is empty.
-func (c *Core) zonesOf(oneZone bool) map[string][]int {
+func (ps *pass) zonesOf(oneZone bool) map[string][]int {
 	out := map[string][]int{}
-	for i, m := range c.schedulable {
+	for i, m := range ps.schedulable {
 		z := ""
 		if oneZone {
 			z = m.zone
@@ -73,7 +73,7 @@
 // one would start as soon as they were cleared: whatever they started there would be
 // stopped again before it had its image. A gang that could start and does not, since
 // no more of its victims may be stopped, holds them back half of the time only.
-func (c *Core) reserveBelow(gangs []*job) {
+func (ps *pass) reserveBelow(gangs []*job) {
 	if len(gangs) == 0 {
 		return
 	}
@@ -83,17 +83,17 @@
 	}
 	cleared := map[key]*clearing{}
 	kept := map[*job][]int{} // the open machines that are kept for a job
-	for i, m := range c.schedulable {
+	for i, m := range ps.schedulable {
 		if m.reservedFor != nil {
 			kept[m.reservedFor] = append(kept[m.reservedFor], i)
 		}
 	}
 	marks := 0
-	for _, j := range gangs[:min(len(gangs), c.candidateLimit())] {
-		if j.startableSince > 0 && c.now-j.startableSince > 2*holdFor {
+	for _, j := range gangs[:min(len(gangs), ps.candidateLimit())] {
+		if j.startableSince > 0 && ps.core.now-j.startableSince > 2*holdFor {
 			j.startableSince = 0
 		}
-		if j.startableSince > 0 && c.now-j.startableSince > holdFor {
+		if j.startableSince > 0 && ps.core.now-j.startableSince > holdFor {
 			continue
 		}
 		zone := func(m *machine) string {
@@ -105,8 +105,8 @@
 		k := key{j.shape(), j.spec.OneZone}
 		x := cleared[k]
 		if x == nil {
-			x = &clearing{places: make([]int, len(c.schedulable)), marks: -1}
-			for i, m := range c.schedulable {
+			x = &clearing{places: make([]int, len(ps.schedulable)), marks: -1}
+			for i, m := range ps.schedulable {
 				if allowed(j, m) {
 					u := m.usedBelow(j.rank)
 					x.places[i] = slotsFor(j, m.machineType, m.usedCPUs-u.cpus, m.usedGPUs-u.gpus, m.usedMemoryGB-u.mem)
@@ -117,11 +117,11 @@
 		used := j.tasksByZone()
 		// others is whether the machine has places for any gang of the shape.
 		others := func(i int) bool {
-			m := c.schedulable[i]
+			m := ps.schedulable[i]
 			return x.places[i] > 0 && m.claimedByRank == 0 && (m.reservedFor == nil || m.reservedFor.rank < j.rank)
 		}
 		free := func(i int) int {
-			m := c.schedulable[i]
+			m := ps.schedulable[i]
 			if (others(i) || (x.places[i] > 0 && m.claimedByRank == 0 && m.reservedFor == j)) && satisfiesZones(j, used, m.zone) {
 				return x.places[i]
 			}
@@ -130,13 +130,13 @@
 		var sum map[string]int
 		if len(used) > 0 || j.spec.Spread {
 			sum = map[string]int{}
-			for i, m := range c.schedulable {
+			for i, m := range ps.schedulable {
 				sum[zone(m)] += free(i)
 			}
 		} else {
 			if x.marks != marks {
 				x.sum, x.marks = map[string]int{}, marks
-				for i, m := range c.schedulable {
+				for i, m := range ps.schedulable {
 					if others(i) {
 						x.sum[zone(m)] += x.places[i]
 					}
@@ -150,7 +150,7 @@
 				}
 				for _, i := range own {
 					if !others(i) {
-						sum[zone(c.schedulable[i])] += free(i)
+						sum[zone(ps.schedulable[i])] += free(i)
 					}
 				}
 			}
@@ -166,11 +166,11 @@
 			continue
 		}
 		if j.startableSince == 0 {
-			j.startableSince = c.now
+			j.startableSince = ps.core.now
 		}
 		marks++
 		for _, empty := range []bool{true, false} { // those that need no clearing first
-			for i, m := range c.schedulable {
+			for i, m := range ps.schedulable {
 				if missing <= 0 {
 					break
 				}
@@ -290,17 +290,17 @@
 // lack room: first come, first served, but those that can still meet an aim come
 // first. In each zone only one gang at a time keeps machines that it has to wait
 // for; the others start when they fit.
-func (c *Core) planGangs(gangs []*job) {
-	if c.now-c.gangsPlannedAt < planEvery {
+func (ps *pass) planGangs(gangs []*job) {
+	if ps.core.now-ps.core.gangsPlannedAt < planEvery {
 		return
 	}
-	c.gangsPlannedAt = c.now
+	ps.core.gangsPlannedAt = ps.core.now
 	if len(gangs) == 0 {
 		return
 	}
 	late := make(map[*job]bool, len(gangs))
 	for _, j := range gangs {
-		_, late[j] = j.latestStart(c.now, 0)
+		_, late[j] = j.latestStart(ps.core.now, 0)
 	}
 	sort.SliceStable(gangs, func(a, b int) bool {
 		x, y := gangs[a], gangs[b]
@@ -320,21 +320,21 @@
 		return x.arrival < y.arrival
 	})
 	pl := &gangPlanning{taken: map[string]bool{}, kept: map[*job][]int{}, offers: map[kind]*offers{}}
-	for i, m := range c.schedulable {
+	for i, m := range ps.schedulable {
 		if m.reservedFor != nil && m.reservationStart > 0 {
 			pl.kept[m.reservedFor] = append(pl.kept[m.reservedFor], i)
 		}
 	}
-	for _, j := range gangs[:min(len(gangs), c.candidateLimit())] {
-		c.makeRoomForGang(j, j.pendingCount(), pl)
+	for _, j := range gangs[:min(len(gangs), ps.candidateLimit())] {
+		ps.makeRoomForGang(j, j.pendingCount(), pl)
 	}
 }
 
 // isReservedForWait says whether the machine is kept for a gang that waits for it, and
 // that has not had its turn in this plan: one that is served before may have it.
 // Until then the machine stays kept, or small tasks would take it in between.
-func (c *Core) isReservedForWait(m *machine) bool {
-	return m.reservationStart > 0 && m.reservationCheckedAt < c.gangsPlannedAt
+func (ps *pass) isReservedForWait(m *machine) bool {
+	return m.reservationStart > 0 && m.reservationCheckedAt < ps.core.gangsPlannedAt
 }
 
 // makeRoomForGang finds the machines on which a waiting gang could start with
@@ -343,14 +343,14 @@
 // victims. Without that a large gang waits for ever for machines that small
 // tasks keep filling. Two gangs never hold part of what the other needs: what is
 // kept for one isn't looked at for the next.
-func (c *Core) makeRoomForGang(j *job, missing int, pl *gangPlanning) {
+func (ps *pass) makeRoomForGang(j *job, missing int, pl *gangPlanning) {
 	for _, i := range pl.kept[j] {
-		if m := c.schedulable[i]; m.reservedFor == j && m.reservationStart > 0 {
+		if m := ps.schedulable[i]; m.reservedFor == j && m.reservationStart > 0 {
 			m.reservedFor = nil // chosen anew
 		}
 	}
 	used := j.tasksByZone()
-	os := c.offersFor(j, pl)
+	os := ps.offersFor(j, pl)
 	var best []clearingPlan
 	var bestCost Micros
 	in := ""
@@ -362,7 +362,7 @@
 	}
 	slices.Sort(zones)
 	for _, z := range zones {
-		ws, quick := c.clearingPlansIn(j, z, missing, used, os)
+		ws, quick := ps.clearingPlansIn(j, z, missing, used, os)
 		n, k, cost, last := 0, 0, Micros(0), Micros(0)
 		for ; k < len(ws) && n < missing; k++ {
 			n += ws[k].slots
@@ -393,22 +393,22 @@
 		pl.taken[in] = true
 	}
 	// Soft point: a guest's huge job would evict almost everything.
-	if cleared > max(1, len(c.schedulable)/2) {
+	if cleared > max(1, len(ps.schedulable)/2) {
 		return
 	}
 	for _, w := range best {
 		if len(w.victims) > 0 && start <= worthWaiting {
 			// Not before the rest is there: the room would stand idle, or be
 			// filled by others and be cleared once more.
-			pl.evicts(c, w.victims)
-			c.preempt(j, w.m, w.victims)
+			pl.evicts(ps, w.victims)
+			ps.preempt(j, w.m, w.victims)
 			continue
 		}
-		if w.m.reservedFor == j && w.m.reservationStart == 0 && c.now < w.m.reservedUntil {
+		if w.m.reservedFor == j && w.m.reservationStart == 0 && ps.core.now < w.m.reservedUntil {
 			continue // cleared for it
 		}
-		w.m.reservedFor, w.m.reservationStart, w.m.reservationCheckedAt = j, c.now+max(start, 1), c.now
-		w.m.reservedUntil = c.now + start + 5*second
+		w.m.reservedFor, w.m.reservationStart, w.m.reservationCheckedAt = j, ps.core.now+max(start, 1), ps.core.now
+		w.m.reservedUntil = ps.core.now + start + 5*second
 	}
 }
 
@@ -416,20 +416,20 @@
 // first, and how many places all ways there have that are not worth evicting for. Where a
 // way's victims have become dearer since it was looked at, it is looked at again only if
 // it would be among the first: most would not.
-func (c *Core) clearingPlansIn(j *job, zone string, missing int, used map[string]int, os *offers) (ws []clearingPlan, quick int) {
+func (ps *pass) clearingPlansIn(j *job, zone string, missing int, used map[string]int, os *offers) (ws []clearingPlan, quick int) {
 	var all []clearingPlan
 	for _, i := range os.zones[zone] {
-		m, o := c.schedulable[i], &os.of[i]
+		m, o := ps.schedulable[i], &os.of[i]
 		if o.slots == 0 || !satisfiesZones(j, used, m.zone) {
 			continue
 		}
-		if r := m.reservedFor; r != nil && r != j && c.now < m.reservedUntil && r.rank >= j.rank && !c.isReservedForWait(m) {
+		if r := m.reservedFor; r != nil && r != j && ps.core.now < m.reservedUntil && r.rank >= j.rank && !ps.isReservedForWait(m) {
 			continue
 		}
-		if o.room && j.spec.GPUs == 0 && m.machineType.GPUs > 0 && !c.mayBlockGPUs(j, m) {
+		if o.room && j.spec.GPUs == 0 && m.machineType.GPUs > 0 && !ps.mayBlockGPUs(j, m) {
 			continue
 		}
-		like := Micros(c.placementScore(j, m) * float64(second))
+		like := Micros(ps.placementScore(j, m) * float64(second))
 		if m.reservedFor == j && m.reservationStart == 0 {
 			like = 0 // cleared for it
 		}
@@ -444,7 +444,7 @@
 		again := false
 		for _, w := range first.ways {
 			if w.stale {
-				c.offerOf(os, w.at, j)
+				ps.offerOf(os, w.at, j)
 				again = true
 			}
 		}
@@ -464,9 +464,9 @@
 
 // evicts notes what the eviction that is about to happen does to machines. A job that is
 // about to have been evicted too often has no more victims anywhere.
-func (pl *gangPlanning) evicts(c *Core, victims []victim) {
+func (pl *gangPlanning) evicts(ps *pass, victims []victim) {
 	note := func(p *placement, dearer bool) {
-		if i := p.machine.passIndex; i < len(c.schedulable) && c.schedulable[i] == p.machine {
+		if i := p.machine.passIndex; i < len(ps.schedulable) && ps.schedulable[i] == p.machine {
 			pl.changes = append(pl.changes, change{i, dearer})
 		}
 	}
@@ -486,16 +486,16 @@
 }
 
 // offersFor is what the open machines offer to the gang as things stand in the plan.
-func (c *Core) offersFor(j *job, pl *gangPlanning) *offers {
-	k := kind{shape: j.shape(), may: c.mayPreempt(j), oneZone: j.spec.OneZone}
-	if k.may && c.reclaimsGuarantee(j) {
+func (ps *pass) offersFor(j *job, pl *gangPlanning) *offers {
+	k := kind{shape: j.shape(), may: ps.mayPreempt(j), oneZone: j.spec.OneZone}
+	if k.may && ps.core.reclaimsGuarantee(j) {
 		k.claims, k.team = true, j.team
 	}
 	os := pl.offers[k]
 	if os == nil || k.claims && os.seen < len(pl.changes) { // how far other teams go beyond their guarantees has changed
-		os = &offers{kind: k, of: make([]offer, len(c.schedulable)), zones: c.zonesOf(k.oneZone), quick: map[string]int{}, all: map[string]int{}, seen: len(pl.changes)}
-		for i := range c.schedulable {
-			c.offerOf(os, i, j)
+		os = &offers{kind: k, of: make([]offer, len(ps.schedulable)), zones: ps.zonesOf(k.oneZone), quick: map[string]int{}, all: map[string]int{}, seen: len(pl.changes)}
+		for i := range ps.schedulable {
+			ps.offerOf(os, i, j)
 		}
 		pl.offers[k] = os
 	}
@@ -508,7 +508,7 @@
 	for _, x := range pl.changes[os.seen:] {
 		if !x.dearer && !done[x.at] {
 			done[x.at] = true
-			c.offerOf(os, x.at, j)
+			ps.offerOf(os, x.at, j)
 		}
 	}
 	os.seen = len(pl.changes)
@@ -516,10 +516,10 @@
 }
 
 // offerOf finds out what a machine offers and brings the sums up to date.
-func (c *Core) offerOf(os *offers, i int, j *job) {
-	m, o := c.schedulable[i], offer{}
+func (ps *pass) offerOf(os *offers, i int, j *job) {
+	m, o := ps.schedulable[i], offer{}
 	if allowed(j, m) && slotsFor(j, m.machineType, 0, 0, 0) > 0 {
-		o = c.offer(j, m, os.may)
+		o = ps.offer(j, m, os.may)
 	}
 	z := ""
 	if os.oneZone {
@@ -538,7 +538,7 @@
 
 // offer says how the machine could take tasks of a gang: now, by waiting, or by
 // evicting, whichever costs less.
-func (c *Core) offer(j *job, m *machine, may bool) offer {
+func (ps *pass) offer(j *job, m *machine, may bool) offer {
 	o := offer{slots: slotsFor(j, m.machineType, m.usedCPUs, m.usedGPUs, m.usedMemoryGB)}
 	if o.slots > 0 {
 		o.room = true
@@ -559,9 +559,9 @@
 			left = 3600 * second
 		default:
 			// Later than expected is likely to be a while later still.
-			left = p.job.expectedRunTime() + Micros(c.imageFetchS(p.job, m)*float64(second))
+			left = p.job.expectedRunTime() + Micros(ps.core.imageFetchS(p.job, m)*float64(second))
 			if p.runningSince > 0 {
-				left = max(p.job.expectedRunTime()-(c.now-p.runningSince), p.job.expectedRunTime()/4)
+				left = max(p.job.expectedRunTime()-(ps.core.now-p.runningSince), p.job.expectedRunTime()/4)
 			}
 		}
 		ends = append(ends, end{left, p.job})
@@ -579,7 +579,7 @@
 	if o.slots == 0 || !may || o.after <= worthWaiting {
 		return o
 	}
-	vs, ok := c.victims(j, m)
+	vs, ok := ps.victims(j, m)
 	if !ok {
 		return o
 	}
--- a/internal/sched/gangplan_test.go
+++ b/internal/sched/gangplan_test.go
@@ -88,28 +88,27 @@
 	held, evicted, wanted := 0, 0, 0
 	for seed := uint64(1); seed <= 40; seed++ {
 		fast, plain := gangs(t, seed, 24+int(seed)), gangs(t, seed, 24+int(seed))
-		prepare := func(b *bed) (waiting []*job) {
+		prepare := func(b *bed) (ps *pass, waiting []*job) {
 			b.reconcile()
-			b.refreshSchedulable()
+			ps = b.newPass()
 			queue := b.queue()
-			b.summarizeGPUs(queue)
-			b.prepareClaims(queue)
-			b.filterWithRoom(queue)
-			b.fleetSettled = true
+			ps.prepare(queue)
+			ps.fleetSettled = true
 			for _, j := range queue {
 				if j.isGang() && len(j.placements) == 0 {
 					waiting = append(waiting, j)
 				}
 			}
-			return waiting
+			return ps, waiting
 		}
 		for round := range 3 { // the second and third with what the one before left
-			f, p := prepare(fast), prepare(plain)
+			fastPass, f := prepare(fast)
+			plainPass, p := prepare(plain)
 			before := fast.Stats.Preemptions
-			fast.reserveBelow(f)
-			plain.plainHoldBack(p)
-			fast.planGangs(f)
-			plain.plainPlan(p)
+			fastPass.reserveBelow(f)
+			plainPass.plainHoldBack(p)
+			fastPass.planGangs(f)
+			plainPass.plainPlan(p)
 			got, want := fast.kept(), plain.kept()
 			for i := range want {
 				if got[i] != want[i] {
@@ -135,19 +134,19 @@
 
 // What follows is how plans were made before, as a reference.
 
-func (c *Core) plainHoldBack(gangs []*job) {
+func (ps *pass) plainHoldBack(gangs []*job) {
 	cleared := map[shape][]int{} // places on each open machine once it is cleared
-	for _, j := range gangs[:min(len(gangs), c.candidateLimit())] {
-		if j.startableSince > 0 && c.now-j.startableSince > 2*holdFor {
+	for _, j := range gangs[:min(len(gangs), ps.candidateLimit())] {
+		if j.startableSince > 0 && ps.core.now-j.startableSince > 2*holdFor {
 			j.startableSince = 0
 		}
-		if j.startableSince > 0 && c.now-j.startableSince > holdFor {
+		if j.startableSince > 0 && ps.core.now-j.startableSince > holdFor {
 			continue
 		}
 		places := cleared[j.shape()]
 		if places == nil {
-			places = make([]int, len(c.schedulable))
-			for i, m := range c.schedulable {
+			places = make([]int, len(ps.schedulable))
+			for i, m := range ps.schedulable {
 				if allowed(j, m) {
 					u := m.usedBelow(j.rank)
 					places[i] = slotsFor(j, m.machineType, m.usedCPUs-u.cpus, m.usedGPUs-u.gpus, m.usedMemoryGB-u.mem)
@@ -157,7 +156,7 @@
 		}
 		used := j.tasksByZone()
 		free := func(i int) int {
-			m := c.schedulable[i]
+			m := ps.schedulable[i]
 			if places[i] == 0 || m.claimedByRank > 0 || !satisfiesZones(j, used, m.zone) || (m.reservedFor != nil && m.reservedFor != j && m.reservedFor.rank >= j.rank) {
 				return 0
 			}
@@ -170,7 +169,7 @@
 			return ""
 		}
 		sum := map[string]int{}
-		for i, m := range c.schedulable {
+		for i, m := range ps.schedulable {
 			sum[zone(m)] += free(i)
 		}
 		missing, in, found := j.pendingCount(), "", false
@@ -184,10 +183,10 @@
 			continue
 		}
 		if j.startableSince == 0 {
-			j.startableSince = c.now
+			j.startableSince = ps.core.now
 		}
 		for _, empty := range []bool{true, false} { // those that need no clearing first
-			for i, m := range c.schedulable {
+			for i, m := range ps.schedulable {
 				if missing <= 0 {
 					break
 				}
@@ -208,14 +207,14 @@
 	cost    Micros
 }
 
-func (c *Core) plainPlan(gangs []*job) {
-	if c.now-c.gangsPlannedAt < planEvery {
+func (ps *pass) plainPlan(gangs []*job) {
+	if ps.core.now-ps.core.gangsPlannedAt < planEvery {
 		return
 	}
-	c.gangsPlannedAt = c.now
+	ps.core.gangsPlannedAt = ps.core.now
 	late := make(map[*job]bool, len(gangs))
 	for _, j := range gangs {
-		_, late[j] = j.latestStart(c.now, 0)
+		_, late[j] = j.latestStart(ps.core.now, 0)
 	}
 	sort.SliceStable(gangs, func(a, b int) bool {
 		x, y := gangs[a], gangs[b]
@@ -233,26 +232,26 @@
 		return x.arrival < y.arrival
 	})
 	taken := map[string]bool{}
-	for _, j := range gangs[:min(len(gangs), c.candidateLimit())] {
-		c.plainRoom(j, j.pendingCount(), taken)
+	for _, j := range gangs[:min(len(gangs), ps.candidateLimit())] {
+		ps.plainRoom(j, j.pendingCount(), taken)
 	}
 }
 
-func (c *Core) plainRoom(j *job, missing int, taken map[string]bool) {
+func (ps *pass) plainRoom(j *job, missing int, taken map[string]bool) {
 	used := j.tasksByZone()
-	may := c.mayPreempt(j)
+	may := ps.mayPreempt(j)
 	ways := map[string][]plainWay{}
-	for _, m := range c.schedulable {
+	for _, m := range ps.schedulable {
 		if m.reservedFor == j && m.reservationStart > 0 {
 			m.reservedFor = nil // chosen anew
 		}
-		if r := m.reservedFor; r != nil && r != j && c.now < m.reservedUntil && r.rank >= j.rank && !c.isReservedForWait(m) {
+		if r := m.reservedFor; r != nil && r != j && ps.core.now < m.reservedUntil && r.rank >= j.rank && !ps.isReservedForWait(m) {
 			continue
 		}
 		if !allowed(j, m) || !satisfiesZones(j, used, m.zone) || slotsFor(j, m.machineType, 0, 0, 0) == 0 {
 			continue
 		}
-		if w, ok := c.plainWayOn(j, m, may); ok {
+		if w, ok := ps.plainWayOn(j, m, may); ok {
 			z := m.zone
 			if !j.spec.OneZone {
 				z = ""
@@ -310,33 +309,33 @@
 		taken[in] = true
 	}
 	// Soft point: a guest's huge job would evict almost everything.
-	if cleared > max(1, len(c.schedulable)/2) {
+	if cleared > max(1, len(ps.schedulable)/2) {
 		return
 	}
 	for _, w := range best {
 		if len(w.victims) > 0 && start <= worthWaiting {
 			// Not before the rest is there: the room would stand idle, or be
 			// filled by others and be cleared once more.
-			c.preempt(j, w.m, w.victims)
+			ps.preempt(j, w.m, w.victims)
 			continue
 		}
-		if w.m.reservedFor == j && w.m.reservationStart == 0 && c.now < w.m.reservedUntil {
+		if w.m.reservedFor == j && w.m.reservationStart == 0 && ps.core.now < w.m.reservedUntil {
 			continue // cleared for it
 		}
-		w.m.reservedFor, w.m.reservationStart, w.m.reservationCheckedAt = j, c.now+max(start, 1), c.now
-		w.m.reservedUntil = c.now + start + 5*second
+		w.m.reservedFor, w.m.reservationStart, w.m.reservationCheckedAt = j, ps.core.now+max(start, 1), ps.core.now
+		w.m.reservedUntil = ps.core.now + start + 5*second
 	}
 }
 
-func (c *Core) plainWayOn(j *job, m *machine, may bool) (plainWay, bool) {
+func (ps *pass) plainWayOn(j *job, m *machine, may bool) (plainWay, bool) {
 	w := plainWay{m: m, slots: slotsFor(j, m.machineType, m.usedCPUs, m.usedGPUs, m.usedMemoryGB)}
-	like := Micros(c.placementScore(j, m) * float64(second))
+	like := Micros(ps.placementScore(j, m) * float64(second))
 	if m.reservedFor == j && m.reservationStart == 0 {
 		like = 0 // cleared for it
 	}
 	if w.slots > 0 {
 		w.cost = like
-		return w, j.spec.GPUs > 0 || m.machineType.GPUs == 0 || c.mayBlockGPUs(j, m)
+		return w, j.spec.GPUs > 0 || m.machineType.GPUs == 0 || ps.mayBlockGPUs(j, m)
 	}
 	// By waiting: the tasks that are expected to end first.
 	type end struct {
@@ -353,9 +352,9 @@
 			left = 3600 * second
 		default:
 			// Later than expected is likely to be a while later still.
-			left = p.job.expectedRunTime() + Micros(c.imageFetchS(p.job, m)*float64(second))
+			left = p.job.expectedRunTime() + Micros(ps.core.imageFetchS(p.job, m)*float64(second))
 			if p.runningSince > 0 {
-				left = max(p.job.expectedRunTime()-(c.now-p.runningSince), p.job.expectedRunTime()/4)
+				left = max(p.job.expectedRunTime()-(ps.core.now-p.runningSince), p.job.expectedRunTime()/4)
 			}
 		}
 		ends = append(ends, end{left, p.job})
@@ -376,7 +375,7 @@
 	if !may || w.after <= worthWaiting {
 		return w, true
 	}
-	vs, ok := c.victims(j, m)
+	vs, ok := ps.victims(j, m)
 	if !ok {
 		return w, true
 	}
--- a/internal/sched/gpus.go
+++ b/internal/sched/gpus.go
@@ -13,9 +13,9 @@
 	rate      float64 // GPUs wanted per second by arrivals
 }
 
-func (c *Core) summarizeGPUs(queue []*job) {
+func (ps *pass) summarizeGPUs(queue []*job) {
 	v := gpuSummary{rank: -1}
-	for _, cl := range c.classesByName() {
+	for _, cl := range ps.core.classesByName() {
 		if cl.sampleJob == nil || cl.sampleJob.spec.GPUs <= 0 {
 			continue
 		}
@@ -23,31 +23,30 @@
 		v.any = true
 		v.cpus, v.mem = max(v.cpus, s.CPUs/s.GPUs), max(v.mem, s.MemoryGB/s.GPUs)
 		v.rank = max(v.rank, cl.sampleJob.rank)
-		v.rate += cl.arrivalRate(c.now) * s.GPUs
+		v.rate += cl.arrivalRate(ps.core.now) * s.GPUs
 		if len(cl.waitObjectives) > 0 && (v.wait == 0 || cl.waitObjectives[0] < v.wait) {
 			v.wait = cl.waitObjectives[0]
 		}
 	}
-	clear(c.onDemandTypes)
 	for _, j := range queue {
 		if !j.spec.Spot {
-			for name, t := range c.machineTypes {
-				c.onDemandTypes[name] = c.onDemandTypes[name] || fitsType(&j.spec, t)
+			for name, t := range ps.core.machineTypes {
+				ps.onDemandTypes[name] = ps.onDemandTypes[name] || fitsType(&j.spec, t)
 			}
 		}
 		v.waiting += float64(j.pendingCount()) * j.spec.GPUs
 	}
-	for _, m := range c.schedulable {
+	for _, m := range ps.schedulable {
 		v.free += max(0, m.machineType.GPUs-m.usedGPUs)
 	}
-	c.gpus = v
+	ps.gpus = v
 }
 
 // keepsGPUMachine says whether a graphics machine is kept for tasks of the job too: they
 // use graphics, rank higher than those that do, or have an aim that watches their
 // start more closely.
-func (c *Core) keepsGPUMachine(j *job) bool {
-	v := &c.gpus
+func (ps *pass) keepsGPUMachine(j *job) bool {
+	v := &ps.gpus
 	return !v.any || j.spec.GPUs > 0 || j.rank > v.rank || (j.rank == v.rank && len(j.class.waitObjectives) > 0 && (v.wait == 0 || j.class.waitObjectives[0] < v.wait))
 }
 
@@ -65,22 +64,22 @@
 // enough GPUs stay free elsewhere for the graphics tasks that arrive during its
 // stay. Otherwise small tasks fill the processors of the graphics machines and
 // their GPUs, the dearest part, stand idle.
-func (c *Core) mayBlockGPUs(j *job, m *machine) bool {
-	if c.keepsGPUMachine(j) || c.starved(j) {
+func (ps *pass) mayBlockGPUs(j *job, m *machine) bool {
+	if ps.keepsGPUMachine(j) || ps.core.starved(j) {
 		return true
 	}
-	v := &c.gpus
+	v := &ps.gpus
 	if m.usedGPUs < epsilon && j.hasNoObjective() {
 		return false // nothing would ever let the dearest machines go
 	}
-	if m.usedGPUs < epsilon && c.now-m.gpusIdleSince > c.idleTimeout(m.machineType, true) && !c.allLackCapacity(j) {
+	if m.usedGPUs < epsilon && ps.core.now-m.gpusIdleSince > ps.core.idleTimeout(m.machineType, true) && !ps.core.allLackCapacity(j) {
 		return false // it empties and goes back: cheaper machines can be had
 	}
 	free := m.machineType.GPUs - m.usedGPUs
 	if m.usedCPUs+j.spec.CPUs+free*v.cpus <= m.machineType.CPUs+epsilon && m.usedMemoryGB+j.spec.MemoryGB+free*v.mem <= m.machineType.MemoryGB+epsilon {
 		return true
 	}
-	if c.now > j.dueAt-j.expectedRunTime() && j.spec.DeadlineS != nil {
+	if ps.core.now > j.dueAt-j.expectedRunTime() && j.spec.DeadlineS != nil {
 		return false // too late anyway: it can wait for a cheaper machine
 	}
 	coming := v.rate * float64(j.expectedRunTime()) / float64(second)
--- a/internal/sched/heartbeat.go
+++ b/internal/sched/heartbeat.go
@@ -29,9 +29,7 @@
 	if i := slices.Index(c.machinesByName, m); i >= 0 {
 		c.machinesByName = slices.Delete(c.machinesByName, i, i+1)
 	}
-	if i := slices.Index(c.schedulable, m); i >= 0 {
-		c.schedulable = slices.Delete(c.schedulable, i, i+1)
-	}
+	c.lastPass.dropMachine(m)
 }
 
 // addPlacement books a task on a machine.
@@ -99,7 +97,7 @@
 	if m.placementCount == 0 && p.durable {
 		m.idleSince = c.now
 	}
-	if c.keepsGPUMachine(j) && p.durable {
+	if c.lastPass.keepsGPUMachine(j) && p.durable {
 		m.gpusIdleSince = c.now
 	}
 	if j.placementsByTask[p.taskIndex]--; j.placementsByTask[p.taskIndex] <= 0 {
--- a/internal/sched/model.go
+++ b/internal/sched/model.go
@@ -395,19 +395,15 @@
 	preemptionPolicy     string
 	firstComeFirstServed bool // first come, first served
 
-	machinesByName     []*machine // all, by name
-	schedulable        []*machine // those that may get launches in this pass
-	withRoom           []*machine // of these, those with room for anything that waits
-	preemptionSearches int        // jobs that looked for victims in this pass
-	fleetSettled       bool       // enough machines are known in this pass to evict on others
-	gangsPlannedAt     Micros     // when it was last decided what is kept for gangs
-	passNeeded         bool       // something happened that a pass may use
+	machinesByName []*machine // all, by name
+	lastPass       *pass
+	gangsPlannedAt Micros // when it was last decided what is kept for gangs
+	passNeeded     bool   // something happened that a pass may use
 
 	// the ledger
 	entries           map[string]*ledgerEntry
 	emptyEntries      []*ledgerEntry      // nothing of them is left
 	entriesOfReturned map[string]struct{} // they name returned machines
-	victimCandidates  []victimCandidate   // of the machine that was looked at last, kept to be used again
 	cordons           []dynconfig.Cordon
 	generation        uint64       // version of the configuration's generation that decisions are made by
 	unrecorded        []*placement // found on machines, not in any entry
@@ -415,27 +411,22 @@
 	fairnessUpdatedAt Micros       // when it was last found out who is behind
 	placementsByRank  [4]int       // placements by their jobs' rank
 
-	pendingEnds    []string
-	forgotten      []ForgottenJob
-	directCommands []DirectCommand
-	inFlight       *Commit
-	staged         *Commit // the next part of a batch of which one is stored
-	nextGang       *job    // a gang that needs a batch for itself, served first in the next pass
-	gpus           gpuSummary
-	// as a pass sees them
-	competingClasses  []*class                 // classes above the lowest priority whose jobs arrive
-	guaranteedWaiting []*job                   // jobs that wait within their teams' guarantees
-	onDemandTypes     map[string]bool          // types wanted by waiting jobs that may not use spot machines
-	outOfCapacity     map[string]Micros        // type/zone/spot without capacity, until
-	bootOutcomes      map[string][]bootOutcome // by type, the latest last
-	pendingScaleOut   map[string]int           // machines asked for, by type
-	writeGBPerS       float64                  // GB/s
-	readGBPerS        float64
-	log               func(msg string, args ...any)
-	listedAt          Micros
-	detector          *failuredomain.Detector
-	surveyed          []failuredomain.Machine // of the last survey
-	peerContacts      map[string]Micros       // what other controllers heard of machines not yet known here
+	pendingEnds     []string
+	forgotten       []ForgottenJob
+	directCommands  []DirectCommand
+	inFlight        *Commit
+	staged          *Commit                  // the next part of a batch of which one is stored
+	nextGang        *job                     // a gang that needs a batch for itself, served first in the next pass
+	outOfCapacity   map[string]Micros        // type/zone/spot without capacity, until
+	bootOutcomes    map[string][]bootOutcome // by type, the latest last
+	pendingScaleOut map[string]int           // machines asked for, by type
+	writeGBPerS     float64                  // GB/s
+	readGBPerS      float64
+	log             func(msg string, args ...any)
+	listedAt        Micros
+	detector        *failuredomain.Detector
+	surveyed        []failuredomain.Machine // of the last survey
+	peerContacts    map[string]Micros       // what other controllers heard of machines not yet known here
 
 	Stats Stats
 }
@@ -457,7 +448,7 @@
 		settings: set, now: now, termStart: now, token: token,
 		machineTypes: map[string]*wire.MachineType{}, jobs: map[string]*job{}, machines: map[string]*machine{}, returnedMachines: map[string]Micros{},
 		teams: map[string]*team{}, classes: map[string]*class{},
-		entries: map[string]*ledgerEntry{}, entriesOfReturned: map[string]struct{}{}, onDemandTypes: map[string]bool{},
+		entries: map[string]*ledgerEntry{}, entriesOfReturned: map[string]struct{}{},
 		outOfCapacity: map[string]Micros{}, bootOutcomes: map[string][]bootOutcome{}, pendingScaleOut: map[string]int{},
 		lease:        config.Micro(set.Deployment.Workers.LeaseS),
 		preemptAfter: config.Micro(*set.Operator.EvictAfterS), preemptionPolicy: set.Operator.Eviction, firstComeFirstServed: set.Operator.Order == config.OrderArrival,
@@ -466,6 +457,7 @@
 		log:          log,
 		peerContacts: map[string]Micros{},
 	}
+	c.lastPass = emptyPass(c)
 	c.detector = failuredomain.New(failuredomain.Params{Zone: set.Zone, Began: now, Report: config.Micro(set.Deployment.Workers.ReportS),
 		ListLag: config.Micro(set.Deployment.Cloud.ListLagS)})
 	for _, t := range set.Deployment.Teams {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -82,18 +82,18 @@
 }
 
 // placementScore says how much a task would rather not go to the machine, in seconds.
-func (c *Core) placementScore(j *job, m *machine) float64 {
-	s := c.imageFetchS(j, m)
+func (ps *pass) placementScore(j *job, m *machine) float64 {
+	s := ps.core.imageFetchS(j, m)
 	if m.machineType.GPUs > 0 && j.spec.GPUs == 0 {
 		s += 20 // keep graphics machines for those who need them
 	}
 	if j.spec.Spot && !m.spot {
 		s += 2 // keep ordinary machines for those who may use no others
-		if c.onDemandTypes[m.machineType.Name] {
+		if ps.onDemandTypes[m.machineType.Name] {
 			s += 30 // and these wait
 		}
 	}
-	if (m.machineType.GPUs > 0 && j.spec.GPUs == 0) || c.contested(j, m) {
+	if (m.machineType.GPUs > 0 && j.spec.GPUs == 0) || ps.contested(j, m) {
 		s += 12 // where it would have to make way before long
 	}
 	if m.slowdown > 2 {
@@ -107,8 +107,8 @@
 
 // contested says whether a class of higher priority uses machines of the type:
 // there a task is likely to be stopped, and its stop keeps the others waiting.
-func (c *Core) contested(j *job, m *machine) bool {
-	for _, cl := range c.competingClasses {
+func (ps *pass) contested(j *job, m *machine) bool {
+	for _, cl := range ps.competingClasses {
 		if cl.sampleJob.rank > j.rank && fitsType(&cl.sampleJob.spec, m.machineType) {
 			return true
 		}
@@ -127,21 +127,21 @@
 
 // prepareClaims lists, once a pass, the classes by what they may use, and the jobs that
 // wait within their teams' guarantees, one of each class and zone.
-func (c *Core) prepareClaims(queue []*job) {
-	c.competingClasses, c.guaranteedWaiting = c.competingClasses[:0], c.guaranteedWaiting[:0]
-	for _, cl := range c.classesByName() {
-		if cl.sampleJob != nil && cl.sampleJob.rank > 0 && cl.arrivalRate(c.now) > 0.001 {
-			c.competingClasses = append(c.competingClasses, cl)
+func (ps *pass) prepareClaims(queue []*job) {
+	ps.competingClasses, ps.guaranteedWaiting = ps.competingClasses[:0], ps.guaranteedWaiting[:0]
+	for _, cl := range ps.core.classesByName() {
+		if cl.sampleJob != nil && cl.sampleJob.rank > 0 && cl.arrivalRate(ps.core.now) > 0.001 {
+			ps.competingClasses = append(ps.competingClasses, cl)
 		}
 	}
 	for _, j := range queue {
-		if len(c.guaranteedWaiting) == maxGuaranteedWaiting {
+		if len(ps.guaranteedWaiting) == maxGuaranteedWaiting {
 			break
 		}
-		if j.withinGuarantee && j.rank > 0 && !j.isSuspect() && !j.atTeamLimit() && !slices.ContainsFunc(c.guaranteedWaiting, func(o *job) bool {
+		if j.withinGuarantee && j.rank > 0 && !j.isSuspect() && !j.atTeamLimit() && !slices.ContainsFunc(ps.guaranteedWaiting, func(o *job) bool {
 			return o.class == j.class && o.spec.Zone == j.spec.Zone && o.spec.Spot == j.spec.Spot
 		}) {
-			c.guaranteedWaiting = append(c.guaranteedWaiting, j)
+			ps.guaranteedWaiting = append(ps.guaranteedWaiting, j)
 		}
 	}
 }
@@ -151,11 +151,11 @@
 // claimedByGuaranteed says whether work of higher priority that waits within its team's
 // guarantee could use the machine right now. Work that is not guaranteed anything
 // would fill it up again as often as it is cleared, and the claimant waits on.
-func (c *Core) claimedByGuaranteed(j *job, m *machine) bool {
-	if len(c.guaranteedWaiting) == 0 || c.starved(j) {
+func (ps *pass) claimedByGuaranteed(j *job, m *machine) bool {
+	if len(ps.guaranteedWaiting) == 0 || ps.core.starved(j) {
 		return false
 	}
-	for _, o := range c.guaranteedWaiting {
+	for _, o := range ps.guaranteedWaiting {
 		if o.rank > j.rank && allowed(o, m) && hasRoom(o, m, 1) {
 			return true
 		}
@@ -164,8 +164,8 @@
 }
 
 // preference is the score, with what the job's own failures on the machine add.
-func (c *Core) preference(j *job, m *machine) float64 {
-	s := c.placementScore(j, m)
+func (ps *pass) preference(j *job, m *machine) float64 {
+	s := ps.placementScore(j, m)
 	if j.failedHosts[m.host] {
 		s += 300
 	}
@@ -173,14 +173,14 @@
 }
 
 // findMachine returns the best machine for a task now.
-func (c *Core) findMachine(j *job, zones map[string]int, only string) *machine {
+func (ps *pass) findMachine(j *job, zones map[string]int, only string) *machine {
 	var best *machine
 	bestScore := math.Inf(1)
-	for _, m := range c.withRoom { // in the order of their names
-		if (only != "" && m.zone != only) || !c.canTakeTask(j, m, zones) || c.reservedAgainst(j, m) {
+	for _, m := range ps.withRoom { // in the order of their names
+		if (only != "" && m.zone != only) || !ps.canTakeTask(j, m, zones) || ps.reservedAgainst(j, m) {
 			continue
 		}
-		if s := c.preference(j, m); s < bestScore {
+		if s := ps.preference(j, m); s < bestScore {
 			best, bestScore = m, s
 		}
 	}
@@ -188,29 +188,29 @@
 }
 
 // canTakeTask says whether a usable machine may take another task of the job.
-func (c *Core) canTakeTask(j *job, m *machine, zones map[string]int) bool {
-	return j.rank >= m.claimedByRank && hasRoom(j, m, 1) && allowed(j, m) && m.placementCount < maxTasksPerMachine && satisfiesZones(j, zones, m.zone) && !c.claimedByGuaranteed(j, m) &&
-		(j.spec.GPUs > 0 || m.machineType.GPUs == 0 || c.firstComeFirstServed || c.mayBlockGPUs(j, m))
+func (ps *pass) canTakeTask(j *job, m *machine, zones map[string]int) bool {
+	return j.rank >= m.claimedByRank && hasRoom(j, m, 1) && allowed(j, m) && m.placementCount < maxTasksPerMachine && satisfiesZones(j, zones, m.zone) && !ps.claimedByGuaranteed(j, m) &&
+		(j.spec.GPUs > 0 || m.machineType.GPUs == 0 || ps.core.firstComeFirstServed || ps.mayBlockGPUs(j, m))
 }
 
 // reservedAgainst says whether the machine is kept for another job. A task that is
 // expected to be gone before that job can use it may run in the meantime.
-func (c *Core) reservedAgainst(j *job, m *machine) bool {
+func (ps *pass) reservedAgainst(j *job, m *machine) bool {
 	r := m.reservedFor
-	if r == nil || r == j || c.now >= m.reservedUntil || r.rank < j.rank || r.isOver() {
+	if r == nil || r == j || ps.core.now >= m.reservedUntil || r.rank < j.rank || r.isOver() {
 		return false
 	}
 	if r.rank == j.rank && r.withinGuarantee == j.withinGuarantee && j.underserved() && !r.underserved() {
 		return false
 	}
-	neglected := c.starved(j)
-	if (m.reservationStart > c.now+worthWaiting || neglected) && r.rank > j.rank {
+	neglected := ps.core.starved(j)
+	if (m.reservationStart > ps.core.now+worthWaiting || neglected) && r.rank > j.rank {
 		return false // it is evicted when the gang's other machines are there
 	}
-	if neglected && m.placementCount == 0 && c.now-m.idleSince > starvationAfter {
+	if neglected && m.placementCount == 0 && ps.core.now-m.idleSince > starvationAfter {
 		return false // kept in vain for so long: that gang may wait for what can't be had
 	}
-	return m.reservationStart == 0 || j.spec.EstimateS == 0 || c.now+j.expectedRunTime()*3/2+Micros(c.imageFetchS(j, m)*float64(second)) > m.reservationStart
+	return m.reservationStart == 0 || j.spec.EstimateS == 0 || ps.core.now+j.expectedRunTime()*3/2+Micros(ps.core.imageFetchS(j, m)*float64(second)) > m.reservationStart
 }
 
 // queue returns the jobs that wait, in the order in which they are served:
@@ -292,7 +292,7 @@
 		return cl.capacity
 	}
 	cl.capacity, cl.capacityAt = 0, c.now
-	for _, m := range c.schedulable {
+	for _, m := range c.lastPass.schedulable {
 		if !allowed(j, m) || slotsFor(j, m.machineType, 0, 0, 0) == 0 || (m.machineType.GPUs > 0 && j.spec.GPUs == 0) {
 			continue
 		}
@@ -334,85 +334,6 @@
 	}
 }
 
-// Schedule places what waits and returns a batch to be stored, or nil. Only one
-// batch is outstanding at a time.
-func (c *Core) Schedule(now Micros) *Commit {
-	c.now = now
-	c.reconcile()
-	if c.inFlight != nil {
-		return nil
-	}
-	if c.staged != nil {
-		c.inFlight, c.staged = c.staged, nil
-		return c.inFlight
-	}
-	b := c.newBatch()
-	c.refreshSchedulable()
-	queue := c.queue()
-	if i := slices.Index(queue, c.nextGang); i > 0 { // it needs the batch for itself
-		copy(queue[1:i+1], queue[:i])
-		queue[0] = c.nextGang
-	}
-	c.nextGang = nil
-	c.summarizeGPUs(queue)
-	c.prepareClaims(queue)
-	c.filterWithRoom(queue)
-	c.preemptionSearches, c.fleetSettled = 0, c.isFleetSettled()
-	var gangs []*job // without room
-	rank, held := len(c.placementsByRank), 0
-	for _, j := range queue {
-		if now < j.backoffUntil {
-			continue
-		}
-		if j.rank < rank {
-			rank = j.rank
-			c.reserveBelow(gangs[held:])
-			held = len(gangs)
-		}
-		if !j.isGang() {
-			c.placeTasks(j, b)
-		} else if !c.placeGang(j, b) && !j.isSuspect() {
-			gangs = append(gangs, j)
-		}
-		if c.firstComeFirstServed && j.pendingCount() > 0 && !j.isSuspect() && j.team.withinLimit(j.spec.CPUs, j.spec.GPUs) {
-			break // first come, first served
-		}
-	}
-	c.planGangs(gangs)
-	c.compactLedger(b)
-	return c.finishBatch(b)
-}
-
-// refreshSchedulable lists the machines that may get launches in this pass. Nothing that
-// happens within a pass changes which these are.
-func (c *Core) refreshSchedulable() {
-	c.schedulable = c.schedulable[:0]
-	for _, m := range c.machinesByName {
-		m.claimedByRank = 0
-		if c.isSchedulable(m) {
-			m.passIndex = len(c.schedulable)
-			c.schedulable = append(c.schedulable, m)
-		}
-	}
-	c.withRoom = c.schedulable
-}
-
-// filterWithRoom leaves out, for this pass, the machines that have no room for even the least
-// that a waiting job asks for: within a pass they only get fuller. When much waits
-// nearly all are full, and each job would look at all of them.
-func (c *Core) filterWithRoom(queue []*job) {
-	smallest := emptyRequest()
-	for _, j := range queue {
-		smallest.add(j)
-	}
-	c.withRoom = nil
-	for _, m := range c.schedulable {
-		if smallest.fits(m.machineType, m.usedCPUs, m.usedMemoryGB) && m.placementCount < maxTasksPerMachine {
-			c.withRoom = append(c.withRoom, m)
-		}
-	}
-}
-
 // minimumRequest is the least that a task of some jobs asks for: a machine without room for it
 // has none for any of them.
 type minimumRequest struct{ cpus, mem float64 }
@@ -455,11 +376,11 @@
 // candidates weighs all machines for a job once. While it is placed its tasks change
 // the score of the machine that they fill alone, and that one is filled until it takes
 // no more.
-func (c *Core) candidates(j *job, zones map[string]int, only string) candidates {
+func (ps *pass) candidates(j *job, zones map[string]int, only string) candidates {
 	var out candidates
-	for i, m := range c.withRoom {
-		if (only == "" || m.zone == only) && c.canTakeTask(j, m, zones) && !c.reservedAgainst(j, m) {
-			out = append(out, candidate{m, c.preference(j, m), i})
+	for i, m := range ps.withRoom {
+		if (only == "" || m.zone == only) && ps.canTakeTask(j, m, zones) && !ps.reservedAgainst(j, m) {
+			out = append(out, candidate{m, ps.preference(j, m), i})
 		}
 	}
 	heap.Init(&out)
@@ -467,9 +388,9 @@
 }
 
 // popBest takes the best of the candidates that may still take a task, or returns nil.
-func (c *Core) popBest(all *candidates, j *job, zones map[string]int) *machine {
+func (ps *pass) popBest(all *candidates, j *job, zones map[string]int) *machine {
 	for len(*all) > 0 {
-		if m := heap.Pop(all).(candidate).m; c.canTakeTask(j, m, zones) {
+		if m := heap.Pop(all).(candidate).m; ps.canTakeTask(j, m, zones) {
 			return m
 		} // its zone has had its share
 	}
@@ -478,12 +399,13 @@
 
 // placeTasks fills machine after machine: the best one for a task is also the
 // best for the job's next one, since it only gets fuller.
-func (c *Core) placeTasks(j *job, b *batch) {
+func (ps *pass) placeTasks(j *job) {
+	b := ps.batch
 	zones := j.tasksByZone()
 	var all candidates
 	weighed := false
 	attempt := uint64(0)
-	tries := c.concurrencyLimit(j)
+	tries := ps.core.concurrencyLimit(j)
 	for {
 		if _, ok := j.nextPendingTask(); !ok || len(j.placements) >= tries {
 			return
@@ -492,23 +414,23 @@
 			return // the limit holds, counting tasks that can't be seen
 		}
 		if !weighed {
-			all, weighed = c.candidates(j, zones, ""), true
+			all, weighed = ps.candidates(j, zones, ""), true
 		}
-		m := c.popBest(&all, j, zones)
+		m := ps.popBest(&all, j, zones)
 		if m == nil {
-			c.preemptFor(j)
+			ps.preemptFor(j)
 			return
 		}
 		if attempt == 0 {
-			attempt = c.nextAttempt()
+			attempt = ps.core.nextAttempt()
 		}
 		var got []*placement
-		for len(j.placements) < tries && b.fits(j, b.cost(m), 1, len(got)+1) && c.canTakeTask(j, m, zones) && j.team.withinLimit(j.spec.CPUs, j.spec.GPUs) {
+		for len(j.placements) < tries && b.fits(j, b.cost(m), 1, len(got)+1) && ps.canTakeTask(j, m, zones) && j.team.withinLimit(j.spec.CPUs, j.spec.GPUs) {
 			t, ok := j.nextPendingTask()
 			if !ok {
 				break
 			}
-			got = append(got, c.addPlacement(j, t, m, attempt))
+			got = append(got, ps.core.addPlacement(j, t, m, attempt))
 			zones[m.zone]++
 		}
 		if len(got) == 0 {
--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -21,7 +21,7 @@
 func transferTime(gb, bw float64) Micros { return Micros(gb / max(bw, 0.001) * float64(second)) }
 
 // weighVictim is what a task's eviction takes with it and costs, if no save is ahead of its.
-func (c *Core) weighVictim(p *placement) victim {
+func (ps *pass) weighVictim(p *placement) victim {
 	j := p.job
 	v := victim{tasks: []*placement{p}, size: 1, here: 1}
 	if j.isGang() { // gangs go whole
@@ -34,23 +34,23 @@
 		}
 		v.size = len(v.tasks)
 	}
-	c.chooseCheckpoint(&v, p, 0)
+	ps.chooseCheckpoint(&v, p, 0)
 	return v
 }
 
 // chooseCheckpoint applies the paper's rule, by the progress of one of the victim's tasks: if it
 // exceeds dump, restore and queue time the victim is checkpointed, otherwise killed.
-func (c *Core) chooseCheckpoint(v *victim, p *placement, queue Micros) {
+func (ps *pass) chooseCheckpoint(v *victim, p *placement, queue Micros) {
 	j := p.job
-	v.dump = transferTime(j.spec.MemoryGB, c.writeGBPerS)
-	v.overhead = v.dump + transferTime(j.spec.MemoryGB, c.readGBPerS) + queue
+	v.dump = transferTime(j.spec.MemoryGB, ps.core.writeGBPerS)
+	v.overhead = v.dump + transferTime(j.spec.MemoryGB, ps.core.readGBPerS) + queue
 	v.progress = j.checkpointedRunTime
 	lost := Micros(0)
 	if p.runningSince > 0 {
-		v.progress += c.now - p.runningSince
-		lost = c.now - p.runningSince
+		v.progress += ps.core.now - p.runningSince
+		lost = ps.core.now - p.runningSince
 	}
-	v.checkpoint = canCheckpoint(j) && (v.progress > v.overhead || c.preemptionPolicy == config.EvictCheckpoint) && c.preemptionPolicy != config.EvictKill
+	v.checkpoint = canCheckpoint(j) && (v.progress > v.overhead || ps.core.preemptionPolicy == config.EvictCheckpoint) && ps.core.preemptionPolicy != config.EvictKill
 	if v.checkpoint {
 		v.cost = v.overhead
 	} else {
@@ -70,12 +70,12 @@
 // beyond is decided by their arrival, as the aim counts it, and not by what runs
 // at the moment: then jobs within are never evicted for that and jobs beyond
 // never evict, and two teams can't go on stopping each other's work.
-func (c *Core) isPreemptible(p *placement, j *job) bool {
+func (ps *pass) isPreemptible(p *placement, j *job) bool {
 	v := p.job
 	if p.stopping || v == j || v.isOver() {
 		return false
 	}
-	return v.rank < j.rank || (v.team != j.team && v.team.exceedsGuarantee() && !v.withinGuarantee && c.reclaimsGuarantee(j))
+	return v.rank < j.rank || (v.team != j.team && v.team.exceedsGuarantee() && !v.withinGuarantee && ps.core.reclaimsGuarantee(j))
 }
 
 // reclaimsGuarantee says whether the job may have work of other teams stopped that they run
@@ -112,21 +112,21 @@
 
 // mayPreempt says whether the job has waited long enough and whether anything that
 // it may evict can be running at all.
-func (c *Core) mayPreempt(j *job) bool {
-	if !c.fleetSettled || c.preemptionPolicy == config.EvictNone || c.firstComeFirstServed || j.isSuspect() || j.waitingSince == 0 || c.now-j.waitingSince < c.preemptAfter || c.now < j.preemptionBackoffUntil {
+func (ps *pass) mayPreempt(j *job) bool {
+	if !ps.fleetSettled || ps.core.preemptionPolicy == config.EvictNone || ps.core.firstComeFirstServed || j.isSuspect() || j.waitingSince == 0 || ps.core.now-j.waitingSince < ps.core.preemptAfter || ps.core.now < j.preemptionBackoffUntil {
 		return false
 	}
 	lower := 0
 	for r := 0; r < j.rank; r++ {
-		lower += c.placementsByRank[r]
+		lower += ps.core.placementsByRank[r]
 	}
 	if lower > 0 {
 		return true
 	}
-	if !c.reclaimsGuarantee(j) {
+	if !ps.core.reclaimsGuarantee(j) {
 		return false
 	}
-	for _, t := range c.teams {
+	for _, t := range ps.core.teams {
 		if t != j.team && t.exceedsGuarantee() && (t.usedCPUs > epsilon || t.usedGPUs > epsilon) {
 			return true
 		}
@@ -143,8 +143,8 @@
 )
 
 // maxClearings is how many jobs may each look at all machines for victims in a pass.
-func (c *Core) maxClearings() int {
-	return max(minClearings, maxCandidateLooks/max(1, len(c.schedulable)))
+func (ps *pass) maxClearings() int {
+	return max(minClearings, maxCandidateLooks/max(1, len(ps.schedulable)))
 }
 
 // noRoom is how long a job for which nothing could be cleared is not tried again.
@@ -152,15 +152,15 @@
 
 // preemptFor evicts for the job's next task, if it has waited long enough and may
 // evict at all: victims from the one machine with the least total cost.
-func (c *Core) preemptFor(j *job) {
+func (ps *pass) preemptFor(j *job) {
 	// Each look goes over all machines; those who don't get one have it in a later pass.
-	if !c.mayPreempt(j) || c.preemptionSearches > c.maxClearings() {
+	if !ps.mayPreempt(j) || ps.preemptionSearches > ps.maxClearings() {
 		return
 	}
-	c.preemptionSearches++
+	ps.preemptionSearches++
 	reserved := 0
 	usable := 0
-	for _, m := range c.schedulable {
+	for _, m := range ps.schedulable {
 		if m.reservedFor == j {
 			reserved++
 		}
@@ -172,10 +172,10 @@
 	if reserved >= max(1, usable/4) || reserved >= j.pendingCount() {
 		return
 	}
-	zones, claims := j.tasksByZone(), c.reclaimsGuarantee(j)
+	zones, claims := j.tasksByZone(), ps.core.reclaimsGuarantee(j)
 	var bestM *machine
 	var bestCost Micros
-	for _, m := range c.schedulable {
+	for _, m := range ps.schedulable {
 		if !allowed(j, m) || m.reservedFor != nil || !satisfiesZones(j, zones, m.zone) ||
 			j.spec.CPUs > m.machineType.CPUs+epsilon || j.spec.GPUs > m.machineType.GPUs+epsilon || j.spec.MemoryGB > m.machineType.MemoryGB+epsilon {
 			continue
@@ -183,59 +183,59 @@
 		if u := m.usedBelow(j.rank); !claims && slotsFor(j, m.machineType, m.usedCPUs-u.cpus, m.usedGPUs-u.gpus, m.usedMemoryGB-u.mem) == 0 {
 			continue // not with all of them gone
 		}
-		evictions, ok := c.preemptionCost(j, m)
+		evictions, ok := ps.preemptionCost(j, m)
 		if !ok {
 			continue
 		}
-		cost := Micros(c.placementScore(j, m)*float64(second)) + evictions
+		cost := Micros(ps.placementScore(j, m)*float64(second)) + evictions
 		if bestM == nil || cost < bestCost || (cost == bestCost && m.host < bestM.host) {
 			bestM, bestCost = m, cost
 		}
 	}
 	if bestM == nil {
-		j.preemptionBackoffUntil = c.now + noRoom
+		j.preemptionBackoffUntil = ps.core.now + noRoom
 		return
 	}
-	best, _ := c.victims(j, bestM)
-	c.preempt(j, bestM, best)
+	best, _ := ps.victims(j, bestM)
+	ps.preempt(j, bestM, best)
 }
 
 // preempt carries out a choice of victims and keeps the machine for the job.
-func (c *Core) preempt(j *job, m *machine, best []victim) {
+func (ps *pass) preempt(j *job, m *machine, best []victim) {
 	longest := Micros(0)
 	queue := Micros(0)
 	for _, v := range best {
 		if v.tasks[0].stopping {
 			continue // it goes already, for another machine of the same choice
 		}
-		c.Stats.Preemptions += len(v.tasks)
+		ps.core.Stats.Preemptions += len(v.tasks)
 		if v.checkpoint {
-			c.Stats.Checkpoints++
+			ps.core.Stats.Checkpoints++
 			queue += max(v.dump, config.Micro(v.tasks[0].job.spec.CheckpointDurationS))
 			longest = queue
 		} else {
-			c.Stats.Kills++
+			ps.core.Stats.Kills++
 		}
 		v.tasks[0].job.preemptions++
-		c.log("evict", "for", j.id, "job", v.tasks[0].job.id, "tasks", len(v.tasks), "host", m.host,
+		ps.core.log("evict", "for", j.id, "job", v.tasks[0].job.id, "tasks", len(v.tasks), "host", m.host,
 			"checkpoint", v.checkpoint, "progress_us", v.progress, "overhead_us", v.overhead)
 		for _, p := range v.tasks {
 			p.preempted = true
-			c.stopPlacement(p, v.checkpoint)
+			ps.core.stopPlacement(p, v.checkpoint)
 		}
 	}
 	m.reservedFor, m.reservationStart = j, 0
-	m.reservedUntil = c.now + longest + 10*second
+	m.reservedUntil = ps.core.now + longest + 10*second
 }
 
 // mayBeVictim says whether the task may make way for the job, and its job was not evicted too often.
-func (c *Core) mayBeVictim(p *placement, j *job) bool {
-	return c.isPreemptible(p, j) && p.job.preemptions < maxEvictions*max(1, len(p.job.placements))
+func (ps *pass) mayBeVictim(p *placement, j *job) bool {
+	return ps.isPreemptible(p, j) && p.job.preemptions < maxEvictions*max(1, len(p.job.placements))
 }
 
 // victims picks the cheapest victims on the machine, by checkpoint time, that
 // make room for one task of the job.
-func (c *Core) victims(j *job, m *machine) ([]victim, bool) {
+func (ps *pass) victims(j *job, m *machine) ([]victim, bool) {
 	var cand []victim
 	seen := map[*job]bool{}
 	queue := Micros(0)
@@ -252,11 +252,11 @@
 			}
 			return
 		}
-		if seen[p.job] && p.job.isGang() || !c.mayBeVictim(p, j) {
+		if seen[p.job] && p.job.isGang() || !ps.mayBeVictim(p, j) {
 			return
 		}
 		seen[p.job] = true
-		cand = append(cand, c.weighVictim(p))
+		cand = append(cand, ps.weighVictim(p))
 	})
 	sort.Slice(cand, func(a, b int) bool {
 		x, y := cand[a], cand[b]
@@ -284,7 +284,7 @@
 		gpus += float64(v.here) * s.GPUs
 		mem += float64(v.here) * s.MemoryGB
 		byTask(v.tasks)
-		c.chooseCheckpoint(&v, v.tasks[0], queue)
+		ps.chooseCheckpoint(&v, v.tasks[0], queue)
 		if v.checkpoint {
 			queue += max(v.dump, config.Micro(s.CheckpointDurationS))
 		}
--- a/internal/sched/preemptioncost.go
+++ b/internal/sched/preemptioncost.go
@@ -27,10 +27,10 @@
 // preemptionCost is what the victims that victims would pick on the machine cost together, and
 // whether they make room. At a full site every task that waits asks this of all machines, and
 // mostly one victim is enough: nothing is sorted or allocated here.
-func (c *Core) preemptionCost(j *job, m *machine) (Micros, bool) {
+func (ps *pass) preemptionCost(j *job, m *machine) (Micros, bool) {
 	cpus, gpus, memory := m.machineType.CPUs-m.usedCPUs, m.machineType.GPUs-m.usedGPUs, m.machineType.MemoryGB-m.usedMemoryGB
 	queue := Micros(0)
-	all := c.victimCandidates[:0]
+	all := ps.victimCandidates[:0]
 	for _, p := range m.placements {
 		if _, there := p.job.placements[p]; !there {
 			continue
@@ -42,17 +42,17 @@
 			}
 			continue
 		}
-		if !c.mayBeVictim(p, j) {
+		if !ps.mayBeVictim(p, j) {
 			continue
 		}
 		if p.job.isGang() {
-			return c.victimCostSum(j, m) // they go whole, from other machines too
+			return ps.victimCostSum(j, m) // they go whole, from other machines too
 		}
 		v := victim{size: 1, here: 1}
-		c.chooseCheckpoint(&v, p, 0)
+		ps.chooseCheckpoint(&v, p, 0)
 		all = append(all, victimCandidate{p: p, dump: v.dump, cost: v.cost})
 	}
-	c.victimCandidates = all
+	ps.victimCandidates = all
 	total := Micros(0)
 	picked := false
 	for j.spec.CPUs > cpus+epsilon || j.spec.GPUs > gpus+epsilon || j.spec.MemoryGB > memory+epsilon {
@@ -64,7 +64,7 @@
 		s := &next.p.job.spec
 		cpus, gpus, memory = cpus+s.CPUs, gpus+s.GPUs, memory+s.MemoryGB
 		v := victim{size: 1, here: 1}
-		c.chooseCheckpoint(&v, next.p, queue)
+		ps.chooseCheckpoint(&v, next.p, queue)
 		if v.checkpoint {
 			queue += max(v.dump, config.Micro(s.CheckpointDurationS))
 		}
@@ -84,8 +84,8 @@
 }
 
 // victimCostSum is the same from the victims themselves.
-func (c *Core) victimCostSum(j *job, m *machine) (total Micros, ok bool) {
-	victims, ok := c.victims(j, m)
+func (ps *pass) victimCostSum(j *job, m *machine) (total Micros, ok bool) {
+	victims, ok := ps.victims(j, m)
 	if !ok {
 		return 0, false
 	}
--- a/internal/sched/preemptioncost_test.go
+++ b/internal/sched/preemptioncost_test.go
@@ -40,17 +40,17 @@
 			j := spec(fmt.Sprintf("j-9%03d", i), []string{"a", "b"}[i%2], []string{wire.Normal, wire.High, wire.Production}[r.IntN(3)], 1, float64(1+r.IntN(8)))
 			j.MemoryGB, j.GPUs = float64(1+r.IntN(30)), float64(r.IntN(2))
 			b.AddJob(j, b.now, b.now)
-			want := b.jobs[j.ID]
+			want, ps := b.jobs[j.ID], b.newPass()
 			for _, m := range b.machinesByName {
-				cost, ok := b.preemptionCost(want, m)
-				wantCost, wantOK := b.victimCostSum(want, m)
+				cost, ok := ps.preemptionCost(want, m)
+				wantCost, wantOK := ps.victimCostSum(want, m)
 				if ok != wantOK || ok && cost != wantCost {
 					t.Fatalf("seed %d, %s on %s: %d, %v; the victims cost %d, %v", seed, j.ID, m.host, cost, ok, wantCost, wantOK)
 				}
 				compared++
 				if ok {
 					fits++
-					if vs, _ := b.victims(want, m); len(vs) > 1 {
+					if vs, _ := ps.victims(want, m); len(vs) > 1 {
 						several++
 					}
 				}
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -458,7 +458,7 @@
 	}
 	j := b.jobs["j-2"]
 	j.backoffUntil = b.now
-	if b.mayPreempt(j) || b.mayScaleOutFor(j) || b.concurrencyLimit(j) != 1 {
+	if b.lastPass.mayPreempt(j) || b.mayScaleOutFor(j) || b.concurrencyLimit(j) != 1 {
 		t.Error("a broken job may evict or rent, or is tried with all its tasks")
 	}
 	// Once a task of it runs for long it is trusted again.
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -52,13 +52,13 @@
 		fast, plain := crowd(t, seed, 60, 20), crowd(t, seed, 60, 20)
 		fast.Schedule(fast.now)
 		plain.reconcile()
-		plain.refreshSchedulable()
+		ps := plain.newPass()
 		queue := plain.queue()
-		plain.summarizeGPUs(queue)
+		ps.summarizeGPUs(queue)
 		for _, j := range queue {
 			zones := j.tasksByZone()
 			for k, ok := j.nextPendingTask(); ok && j.team.withinLimit(j.spec.CPUs, j.spec.GPUs); k, ok = j.nextPendingTask() {
-				m := plain.findMachine(j, zones, "")
+				m := ps.findMachine(j, zones, "")
 				if m == nil {
 					break
 				}
