--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -12,8 +12,6 @@
 	"sync/atomic"
 	"time"
 
-	"golang.org/x/time/rate"
-
 	"dalefront/internal/api"
 	"dalefront/internal/archive"
 	"dalefront/internal/calendar"
@@ -22,7 +20,6 @@
 	"dalefront/internal/kvstore"
 	"dalefront/internal/peer"
 	"dalefront/internal/snapshot"
-	"dalefront/internal/standby"
 	"dalefront/internal/workerclient"
 	"dalefront/wire"
 )
@@ -60,32 +57,20 @@
 
 	lastTurn atomic.Int64 // when the owner goroutine last came by
 
+	term           termTracker
+	peerTable      *peerTable
+	workerContacts *workerContacts
+	catalog        machineCatalog
+	gauges         atomic.Pointer[gauges] // of the core, nil on controllers that don't lead
+
 	draining atomic.Bool
 	drained  chan struct{} // closed when this node is to end
 
-	mu              sync.Mutex
-	leader          string // who holds the term, as far as known
-	token           uint64 // highest token known
-	gauges          gauges
-	renewalToken    uint64 // the token under which a leader let this node renew leases
-	resignedToken   uint64 // the last term that this node gave up by itself
-	leadingToken    uint64 // this node's token while it acts, otherwise 0
-	catalog         *wire.Catalog
-	finalStatuses   map[string]wire.JobStatus
-	finalOrder      []string
-	knownJobs       map[string]struct{}     // jobs known to be accepted
-	peerSeenAt      map[string]time.Time    // when a peer last answered
-	workerSeenAt    map[string]time.Time    // when a worker last reported to this node
-	redirectLimiter *rate.Limiter           // workers that are sent on to another node
-	sendOnAt        time.Time               // when its rate was last set
-	processID       uint64                  // names this process
-	peerProcesses   map[string]*peerProcess // of the peers' processes
-	standbyView     standby.View            // who stands by
-	peerUnfitAt     map[string]time.Time    // when a peer said that it could not follow
-	leaderProcess   leaderProcess           // which process said hello as leader
-	peerAnswers     int                     // hellos that were answered
-	ownRestarts     int                     // how often this node was started anew lately, as a peer said
-	ownRestartsAt   time.Time               // when
+	mu            sync.Mutex
+	finalStatuses map[string]wire.JobStatus
+	finalOrder    []string
+	knownJobs     map[string]struct{} // jobs known to be accepted
+	processID     uint64              // names this process
 }
 
 const (
@@ -135,10 +120,11 @@
 		submitSlots: make(chan struct{}, max(minSubmits, int(2*d.State.WriteRPS))),
 		cancelSlots: make(chan struct{}, max(minCancels, d.Resources.Sockets/4)),
 		lookupQueue: make(chan lookup, maxLookups), archiveSlots: make(chan struct{}, maxLookBacks),
-		finalStatuses: map[string]wire.JobStatus{}, knownJobs: map[string]struct{}{}, peerSeenAt: map[string]time.Time{}, workerSeenAt: map[string]time.Time{},
-		redirectLimiter: rate.NewLimiter(minSendOn, sendOnBurst*minSendOn), drained: make(chan struct{}),
-		processID: newProcessID(), peerProcesses: map[string]*peerProcess{}, peerUnfitAt: map[string]time.Time{},
+		finalStatuses: map[string]wire.JobStatus{}, knownJobs: map[string]struct{}{},
+		drained: make(chan struct{}), processID: newProcessID(), peerTable: newPeerTable(set.Label),
+		workerContacts: newWorkerContacts(time.Duration(config.Micro(d.Workers.LeaseS)) * time.Microsecond),
 	}
+	n.term.self = set.Label
 	n.archive = archive.NewReader(n.store)
 	n.follower = newFollower(n)
 	n.config = newConfiguration(n)
@@ -166,51 +152,51 @@
 
 // now is the time of day at the start plus steady time since: intervals are
 // steady, and arrivals stored by other nodes can be compared within the bound.
-func (n *Controller) now() config.Micros {
-	return n.startWallMicros + time.Since(n.startedAt).Microseconds()
+func (c *Controller) now() config.Micros {
+	return c.startWallMicros + time.Since(c.startedAt).Microseconds()
 }
 
 // Run serves until the context ends or a listener fails.
-func (n *Controller) Run(ctx context.Context) error {
+func (c *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	users, err := net.Listen("tcp", n.settings.ServeOn)
+	users, err := net.Listen("tcp", c.settings.ServeOn)
 	if err != nil {
 		return err
 	}
-	mesh, err := net.Listen("tcp", n.settings.MeshAddr)
+	mesh, err := net.Listen("tcp", c.settings.MeshAddr)
 	if err != nil {
 		return err
 	}
-	sockets := n.settings.Deployment.Resources.Sockets
-	srv := api.NewServer(api.Handler(n, n.metrics()), sockets-idleWorkers(sockets))
-	rpc := peer.NewServer(n, sockets)
+	sockets := c.settings.Deployment.Resources.Sockets
+	srv := api.NewServer(api.Handler(c, c.metrics()), sockets-idleWorkers(sockets))
+	rpc := peer.NewServer(c, sockets)
 	failed := make(chan error, 2)
 	go func() { failed <- srv.Serve(users) }()
 	go func() { failed <- rpc.Serve(mesh) }()
-	go n.runOwner(ctx)
-	go n.refreshCatalog(ctx)
-	go n.electionLoop(ctx)
-	go n.probeStore(ctx)
-	go n.follower.follow(ctx)
-	go n.config.follow(ctx)
-	go n.follower.watchLeader(ctx)
-	go n.warmArchive(ctx)
-	pace := n.lookupPace()
+	go c.runOwner(ctx)
+	go c.refreshCatalog(ctx)
+	go c.electionLoop(ctx)
+	go c.probeStore(ctx)
+	go c.follower.follow(ctx)
+	go c.config.follow(ctx)
+	go c.follower.watchLeader(ctx)
+	go c.warmArchive(ctx)
+	pace := c.lookupPace()
 	for i := 0; i < lookupers; i++ {
-		go n.lookupLoop(ctx, pace)
+		go c.lookupLoop(ctx, pace)
 	}
-	for label, p := range n.peers {
-		go n.heartbeatPeer(ctx, label, p)
+	for label, p := range c.peers {
+		go c.heartbeatPeer(ctx, label, p)
 	}
-	n.log.Info("serving", "node", n.settings.Label, "users", n.settings.ServeOn, "mesh", n.settings.MeshAddr)
+	c.log.Info("serving", "node", c.settings.Label, "users", c.settings.ServeOn, "mesh", c.settings.MeshAddr)
 	select {
 	case <-ctx.Done():
 		_ = srv.Close()
 		rpc.Stop()
 		return nil
-	case <-n.drained:
-		n.shutDown(ctx, srv)
+	case <-c.drained:
+		c.shutDown(ctx, srv)
 		rpc.Stop()
 		return nil
 	case err := <-failed:
@@ -220,38 +206,38 @@
 
 // runOwner is the goroutine that owns the core. It schedules once events have
 // settled for a moment, so that a burst of reports leads to one pass.
-func (n *Controller) runOwner(ctx context.Context) {
+func (c *Controller) runOwner(ctx context.Context) {
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
-	work := &n.loopStats
+	work := &c.loopStats
 	settle := time.NewTimer(time.Hour)
 	defer settle.Stop()
 	armed := false
 	var took time.Duration
-	n.lastTurn.Store(n.now())
+	c.lastTurn.Store(c.now())
 	for {
-		n.lastTurn.Store(n.now())
+		c.lastTurn.Store(c.now())
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-n.ownerQueue:
-			n.detectStall()
+		case f := <-c.ownerQueue:
+			c.detectStall()
 			work.measure(loopEvents, f)
-			if n.passPending && !armed {
+			if c.passPending && !armed {
 				armed = true
 				settle.Reset(max(20*time.Millisecond, 3*took))
 			}
 		case <-settle.C:
-			n.detectStall()
+			c.detectStall()
 			armed = false
-			n.passPending = false
-			if n.leadership != nil {
-				took = min(work.measure(loopPasses, n.leadership.schedule), 100*time.Millisecond) // a small share of the processor
+			c.passPending = false
+			if c.leadership != nil {
+				took = min(work.measure(loopPasses, c.leadership.schedule), 100*time.Millisecond) // a small share of the processor
 			}
 		case <-tick.C:
-			n.detectStall()
-			if n.leadership != nil {
-				work.measure(loopTicks, n.leadership.tick)
+			c.detectStall()
+			if c.leadership != nil {
+				work.measure(loopTicks, c.leadership.tick)
 			}
 		}
 	}
@@ -263,24 +249,24 @@
 
 // ranRecently says whether the owner goroutine came by lately. After a standstill
 // whatever wakes first must not act for a term that another node may hold by now.
-func (n *Controller) ranRecently() bool { return n.now()-n.lastTurn.Load() < stallThreshold }
+func (c *Controller) ranRecently() bool { return c.now()-c.lastTurn.Load() < stallThreshold }
 
 // detectStall notices a standstill: it runs before anything else that a turn does, since
 // to this node everything timed looks overdue and all workers look silent.
-func (n *Controller) detectStall() {
-	now := n.now()
-	gap := now - n.lastTurn.Load()
-	n.lastTurn.Store(now)
-	if gap >= stallThreshold && n.leadership != nil {
-		n.leadership.suspend(gap)
+func (c *Controller) detectStall() {
+	now := c.now()
+	gap := now - c.lastTurn.Load()
+	c.lastTurn.Store(now)
+	if gap >= stallThreshold && c.leadership != nil {
+		c.leadership.suspend(gap)
 	}
 }
 
 // runOnOwner runs f on the owner goroutine and waits for it. A full queue is refused.
-func (n *Controller) runOnOwner(ctx context.Context, f func()) bool {
+func (c *Controller) runOnOwner(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
 	select {
-	case n.ownerQueue <- func() { f(); close(done) }:
+	case c.ownerQueue <- func() { f(); close(done) }:
 	default:
 		return false
 	}
@@ -294,96 +280,25 @@
 
 // postToOwner runs f on the owner goroutine later; results of I/O must not be lost, so
 // it waits for room.
-func (n *Controller) postToOwner(f func()) { n.ownerQueue <- f }
-
-func (n *Controller) termView() (leader string, token, leading uint64) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.leader, n.token, n.leadingToken
-}
+func (c *Controller) postToOwner(f func()) { c.ownerQueue <- f }
 
 // observeTerm takes what somebody says about the term. A higher token always wins:
 // if this node acted under a lower one, it steps down.
-func (n *Controller) observeTerm(leader string, token uint64) {
-	n.mu.Lock()
-	higher := token > n.token
-	if higher {
-		n.token, n.leader = token, leader
-	} else if token == n.token && leader != "" {
-		n.leader = leader
-	}
-	deposed := n.leadingToken != 0 && token > n.leadingToken
-	if deposed {
-		n.leadingToken = 0
-	}
-	n.mu.Unlock()
-	if deposed {
-		n.log.Info("step down", "for", leader, "token", token)
-		n.postToOwner(func() {
-			if n.leadership != nil && n.leadership.token < token {
-				n.leadership.stepDown()
-			}
-		})
-	}
-}
-
-// refreshCatalog reads the machine types from the cloud, and prices again from
-// time to time. A node that starts while the cloud is in trouble uses the copy
-// that a leader stored: it must be able to take jobs all the same.
-func (n *Controller) refreshCatalog(ctx context.Context) {
-	for wait := 300 * time.Millisecond; ; {
-		cat, err := n.cloud.Catalog(ctx)
-		if err == nil && len(cat.Types) > 0 {
-			n.setCatalog(cat)
-			if _, _, leading := n.termView(); leading != 0 {
-				_, _ = n.store.Txn(ctx, wire.Txn{
-					Conditions: []wire.Condition{{Key: termKey, Version: leading}},
-					Mutations:  []wire.Mutation{{Put: catalogKey, Value: cat}},
-				})
-				wait = 120 * time.Second
-			} else {
-				wait = 60 * time.Second
-			}
-		} else {
-			wait = min(2*wait, 3*time.Second)
-			if _, known := n.machineTypes(); !known {
-				e, found, serr := n.store.Get(ctx, catalogKey)
-				if serr == nil && found && wire.Unmarshal(e.Value, &cat) == nil && len(cat.Types) > 0 {
-					n.setCatalog(cat)
-				}
-			}
-		}
-		select {
-		case <-ctx.Done():
-			return
-		case <-time.After(wait):
-		}
-	}
-}
-
-func (n *Controller) setCatalog(cat wire.Catalog) {
-	n.mu.Lock()
-	n.catalog = &cat
-	n.mu.Unlock()
-	n.postToOwner(func() {
-		if n.leadership != nil {
-			n.leadership.core.SetCatalog(cat)
+func (c *Controller) observeTerm(leader string, token uint64) {
+	if !c.term.observe(leader, token) {
+		return
+	}
+	c.log.Info("step down", "for", leader, "token", token)
+	c.postToOwner(func() {
+		if c.leadership != nil && c.leadership.token < token {
+			c.leadership.stepDown()
 		}
 	})
 }
 
-func (n *Controller) machineTypes() (wire.Catalog, bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.catalog == nil {
-		return wire.Catalog{}, false
-	}
-	return *n.catalog, true
-}
-
 // PeerRelay implements peer.Server.
-func (n *Controller) PeerRelay(ctx context.Context, r *peer.RelayRequest) (*peer.RelayResponse, error) {
-	a, ok := n.handleHeartbeat(ctx, &r.Report)
+func (c *Controller) PeerRelay(ctx context.Context, r *peer.RelayRequest) (*peer.RelayResponse, error) {
+	a, ok := c.handleHeartbeat(ctx, &r.Report)
 	if !ok {
 		return &peer.RelayResponse{Status: http.StatusMisdirectedRequest}, nil
 	}
@@ -391,22 +306,22 @@
 }
 
 // PeerCounts implements peer.Server.
-func (n *Controller) PeerCounts(ctx context.Context, c *peer.CountsRequest) (*peer.CountsResponse, error) {
-	return &peer.CountsResponse{Jobs: n.localCounts(ctx, c.JobIDs)}, nil
+func (c *Controller) PeerCounts(ctx context.Context, request *peer.CountsRequest) (*peer.CountsResponse, error) {
+	return &peer.CountsResponse{Jobs: c.localCounts(ctx, request.JobIDs)}, nil
 }
 
 // localCounts reads jobs' display counts from the core, if this node has it.
-func (n *Controller) localCounts(ctx context.Context, ids []string) (sts []wire.JobStatus) {
+func (c *Controller) localCounts(ctx context.Context, ids []string) (sts []wire.JobStatus) {
 	var out []wire.JobStatus
-	if _, _, leading := n.termView(); leading == 0 {
+	if !c.term.view().isLeading() {
 		return nil
 	}
-	if n.runOnOwner(ctx, func() {
-		if n.leadership == nil {
+	if c.runOnOwner(ctx, func() {
+		if c.leadership == nil {
 			return
 		}
 		for _, id := range ids {
-			if s, done, running, ok := n.leadership.core.Counts(id); ok {
+			if s, done, running, ok := c.leadership.core.Counts(id); ok {
 				out = append(out, wire.JobStatus{ID: id, Status: s, Done: done, Running: running})
 			}
 		}
@@ -420,25 +335,25 @@
 // the term as far as it knows, and neither the worker nor a peer has shown a
 // higher token. While the state service is out of reach it goes on renewing
 // leases, since it starts nothing without it.
-func (n *Controller) handleHeartbeat(ctx context.Context, r *wire.Heartbeat) (a wire.HeartbeatResponse, ok bool) {
-	_, token, leading := n.termView()
-	if r.FencingToken > token {
-		n.observeTerm("", r.FencingToken)
+func (c *Controller) handleHeartbeat(ctx context.Context, r *wire.Heartbeat) (a wire.HeartbeatResponse, ok bool) {
+	term := c.term.view()
+	if r.FencingToken > term.token {
+		c.observeTerm("", r.FencingToken)
 	}
-	if leading == 0 || r.FencingToken > leading {
+	if !term.isLeading() || r.FencingToken > term.leading {
 		return a, false
 	}
 	var fresh chan []wire.Command
-	done := n.runOnOwner(ctx, func() {
-		if n.leadership == nil || n.leadership.stalledFor > 0 || ctx.Err() != nil {
+	done := c.runOnOwner(ctx, func() {
+		if c.leadership == nil || c.leadership.stalledFor > 0 || ctx.Err() != nil {
 			return
 		}
-		a, ok = n.leadership.core.Heartbeat(r, n.now()), true
-		hungry := n.leadership.core.WantsLaunches(r.Host)
-		n.passPending = n.passPending || hungry || n.leadership.core.TakePassNeeded()
-		if hungry && len(n.leadership.waiters) < n.maxWaiters() {
+		a, ok = c.leadership.core.Heartbeat(r, c.now()), true
+		hungry := c.leadership.core.WantsLaunches(r.Host)
+		c.passPending = c.passPending || hungry || c.leadership.core.TakePassNeeded()
+		if hungry && len(c.leadership.waiters) < c.maxWaiters() {
 			fresh = make(chan []wire.Command, 1)
-			n.leadership.waiters = append(n.leadership.waiters, waiter{r.Host, n.leadership.passes, fresh})
+			c.leadership.waiters = append(c.leadership.waiters, waiter{r.Host, c.leadership.passes, fresh})
 		}
 	})
 	if !ok || !done {
@@ -463,14 +378,13 @@
 		case <-ctx.Done():
 		}
 	}
-	_, _, leading = n.termView()
-	return a, leading == a.FencingToken && n.ranRecently()
+	return a, c.term.view().leading == a.FencingToken && c.ranRecently()
 }
 
 // maxWaiters is how many reports may wait for launches at a time: each holds a socket
 // here or at a peer.
-func (n *Controller) maxWaiters() int {
-	return max(minWaiters, n.settings.Deployment.Resources.Sockets/2)
+func (c *Controller) maxWaiters() int {
+	return max(minWaiters, c.settings.Deployment.Resources.Sockets/2)
 }
 
 // waiter is a report whose answer waits a moment for launches.
@@ -484,31 +398,31 @@
 
 // Heartbeat implements api.Service: the leader answers itself, other nodes relay
 // to it, so that no worker has to find it.
-func (n *Controller) Heartbeat(ctx context.Context, r *wire.Heartbeat) (wire.HeartbeatResponse, error) {
-	n.recordWorkerContact(r.Host)
-	if a, ok := n.handleHeartbeat(ctx, r); ok {
+func (c *Controller) Heartbeat(ctx context.Context, r *wire.Heartbeat) (wire.HeartbeatResponse, error) {
+	c.workerContacts.record(r.Host)
+	if a, ok := c.handleHeartbeat(ctx, r); ok {
 		return a, nil
 	}
-	leader, token, leading := n.termView()
-	if leading != 0 || leader == "" || leader == n.settings.Label || r.FencingToken > token {
-		return wire.HeartbeatResponse{}, api.ErrNotNow
+	term := c.term.view()
+	if term.isLeading() || term.leader == "" || term.leader == c.settings.Label || r.FencingToken > term.token {
+		return wire.HeartbeatResponse{}, api.ErrUnavailable
 	}
-	p := n.peers[leader]
+	p := c.peers[term.leader]
 	if p == nil {
-		return wire.HeartbeatResponse{}, api.ErrNotNow
+		return wire.HeartbeatResponse{}, api.ErrUnavailable
 	}
 	a, err := p.Relay(ctx, &peer.RelayRequest{Report: *r})
 	if err != nil {
-		if token, ok := n.mayRenewLease(r); ok {
+		if token, ok := c.mayRenewLease(r); ok {
 			return wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}, nil
 		}
-		if to := n.redirectTarget(leader); to != "" {
-			return wire.HeartbeatResponse{}, api.Elsewhere{Node: to}
+		if to := c.redirectTarget(term.leader); to != "" {
+			return wire.HeartbeatResponse{}, api.RedirectError{Target: to}
 		}
-		return wire.HeartbeatResponse{}, api.ErrNotNow
+		return wire.HeartbeatResponse{}, api.ErrUnavailable
 	}
 	if a.Status != http.StatusOK {
-		return wire.HeartbeatResponse{}, api.ErrElse
+		return wire.HeartbeatResponse{}, api.ErrNotLeader
 	}
 	return a.Answer, nil
 }
@@ -518,37 +432,20 @@
 // each that is silent; behind two such nodes its lease runs out. It bounds how many
 // are sent on, since they come back at once while nobody can act: a part of those that
 // report to this node, or a few at a small site.
-func (n *Controller) redirectTarget(but string) string {
-	if !n.redirectLimiter.Allow() {
+func (c *Controller) redirectTarget(but string) string {
+	if !c.workerContacts.mayRedirect() {
 		return ""
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	first, next := "", ""
-	for label, at := range n.peerSeenAt {
-		if label == but || time.Since(at) > 2500*time.Millisecond {
-			continue
-		}
-		if first == "" || label < first {
-			first = label
-		}
-		if label > n.settings.Label && (next == "" || label < next) {
-			next = label
-		}
-	}
-	if next == "" {
-		next = first // in a ring, so that those who are sent on meet all
-	}
-	return next
+	return c.peerTable.nextAlive(but, time.Now())
 }
 
 // Ready implements api.Service: requests can be taken while the state service is in
 // reach and the machine types are known, unless the node is about to end.
-func (n *Controller) Ready() error {
-	switch _, ok := n.machineTypes(); {
-	case n.draining.Load():
+func (c *Controller) Ready() error {
+	switch _, ok := c.machineTypes(); {
+	case c.draining.Load():
 		return errors.New("draining: this controller is about to end")
-	case !n.store.Reachable(3 * time.Second):
+	case !c.store.Reachable(3 * time.Second):
 		return errors.New("the state service is out of reach")
 	case !ok:
 		return errors.New("the machine types are not known yet: the cloud has not answered")
--- a/internal/sched/heartbeat.go
+++ b/internal/sched/heartbeat.go
@@ -29,9 +29,7 @@
 	if i := slices.Index(c.machinesByName, m); i >= 0 {
 		c.machinesByName = slices.Delete(c.machinesByName, i, i+1)
 	}
-	if i := slices.Index(c.schedulable, m); i >= 0 {
-		c.schedulable = slices.Delete(c.schedulable, i, i+1)
-	}
+	c.lastPass.dropMachine(m)
 }
 
 // ResumeAfterStall says that the controller stood still for so long. Its own absence is not
--- a/internal/sched/placement.go
+++ b/internal/sched/placement.go
@@ -119,7 +119,7 @@
 	c.ledger.removePlacement(p)
 	m.removePlacement(p)
 	if p.durable {
-		m.recordVacated(c.now, c.keepsGPUMachine(j))
+		m.recordVacated(c.now, c.lastPass.keepsGPUMachine(j))
 	}
 	j.team.removeUse(j.taskResources(), p.stopping)
 	j.removePlacement(p, c.now)
