--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -28,10 +28,10 @@
 	return conds
 }
 
-// unlessEnded runs a transaction that must not take effect if the job has an end in
+// txnUnlessArchived runs a transaction that must not take effect if the job has an end in
 // the archive; then it returns that end. The transaction's own conditions see to an
 // end that is not archived.
-func (c *Controller) unlessEnded(ctx context.Context, id string, txn wire.Txn) (wire.JobStatus, error) {
+func (c *Controller) txnUnlessArchived(ctx context.Context, id string, txn wire.Txn) (wire.JobStatus, error) {
 	own := txn.Conditions
 	for tries := 0; ; tries++ {
 		a, err := c.archive.Look(ctx, id)
@@ -39,7 +39,7 @@
 			return wire.JobStatus{}, api.ErrUnavailable
 		}
 		if a.Found {
-			return c.archived(a.Record), nil
+			return c.rememberArchived(a.Record), nil
 		}
 		txn.Conditions = append(slices.Clone(own), a.Cond)
 		res, err := c.store.Txn(ctx, txn)
@@ -55,8 +55,8 @@
 	}
 }
 
-// archived remembers an answer of the archive.
-func (c *Controller) archived(rec archive.Record) wire.JobStatus {
+// rememberArchived remembers an answer of the archive.
+func (c *Controller) rememberArchived(rec archive.Record) wire.JobStatus {
 	st := wire.JobStatus{ID: rec.ID, Status: rec.Status, Done: rec.Done}
 	c.rememberFinal(st)
 	return st
@@ -81,7 +81,7 @@
 	case err != nil:
 		return lookupResult{err: err}
 	case a.Found:
-		return lookupResult{accepted: true, ended: true, archived: true, st: c.archived(a.Record)}
+		return lookupResult{accepted: true, ended: true, archived: true, st: c.rememberArchived(a.Record)}
 	case l.known: // it can't be: an accepted job leaves something
 		return lookupResult{err: api.ErrUnavailable}
 	}
@@ -151,7 +151,7 @@
 		Decode: func(id string, value []byte) (archive.End, error) {
 			var e endRecord
 			err := wire.Unmarshal(value, &e)
-			return archive.End{Record: archive.Record{ID: id, Status: e.Status, Done: e.Done}, At: e.At}, err
+			return archive.End{Record: archive.Record{ID: id, Status: e.Status, Done: e.TasksDone}, At: e.EndedAt}, err
 		},
 	}
 }
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -68,7 +68,7 @@
 }
 
 func sceneEnd(i int) endRecord {
-	return endRecord{Status: []string{wire.JobDone, wire.JobCancelled}[i%2], At: 5, Done: i % 3}
+	return endRecord{Status: []string{wire.JobDone, wire.JobCancelled}[i%2], EndedAt: 5, TasksDone: i % 3}
 }
 
 // move archives; with drop, the keys of the ends go too.
@@ -107,7 +107,7 @@
 		if errors.Is(err, api.ErrUnavailable) && tries < 3 {
 			continue
 		}
-		if err != nil || st.Status != want.Status || st.Done != want.Done || st.ID != id {
+		if err != nil || st.Status != want.Status || st.Done != want.TasksDone || st.ID != id {
 			s.t.Fatalf("%s: got %+v, %v; want %+v", what, st, err, want)
 		}
 		break
--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -34,7 +34,7 @@
 	case err != nil:
 		return wire.JobStatus{}, api.ErrUnavailable
 	case end.Status == wire.JobDone:
-		return end.answer(id), nil
+		return end.status(id), nil
 	}
 	return c.awaitRecordDeleted(ctx, id, end)
 }
@@ -57,7 +57,7 @@
 		case v.archived:
 			return v.st, nil
 		case v.ended && !v.accepted:
-			st := end.answer(id)
+			st := end.status(id)
 			c.rememberFinal(st)
 			return st, nil
 		}
@@ -74,7 +74,7 @@
 // term it comes to the same.
 func (l *leadership) deleteCancelled(keys []string) {
 	c := l.controller
-	err := l.deleteNow(keys)
+	err := l.deleteUnderTerm(keys)
 	if err != nil {
 		sleepContext(l.ctx, goneEvery)
 	}
@@ -94,8 +94,8 @@
 	})
 }
 
-// deleteNow deletes keys on condition of the term.
-func (l *leadership) deleteNow(keys []string) error {
+// deleteUnderTerm deletes keys on condition of the term.
+func (l *leadership) deleteUnderTerm(keys []string) error {
 	txn := wire.Txn{Conditions: []wire.Condition{l.termCondition()}}
 	for _, k := range keys {
 		txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: k})
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -141,7 +141,7 @@
 	at := c.now()
 	for i, id := range ids {
 		txn.Conditions = append(txn.Conditions, wire.Condition{Key: endKey(id)})
-		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: endKey(id), Value: endRecord{Status: wire.JobDone, At: at, Done: done[i]}})
+		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: endKey(id), Value: endRecord{Status: wire.JobDone, EndedAt: at, TasksDone: done[i]}})
 	}
 	txn.Conditions = c.withArchiveGuards(txn.Conditions, ids...)
 	_, together := c.store.Txn(ctx, txn)
@@ -150,8 +150,8 @@
 	failed := false
 	for i, id := range ids {
 		if together == nil {
-			ends[i] = endRecord{Status: wire.JobDone, Done: done[i]}
-			c.rememberFinal(ends[i].answer(id))
+			ends[i] = endRecord{Status: wire.JobDone, TasksDone: done[i]}
+			c.rememberFinal(ends[i].status(id))
 			continue
 		}
 		if errs[i] = together; errors.Is(together, kvstore.ErrConflict) || errors.Is(together, kvstore.ErrUnknown) {
@@ -185,7 +185,7 @@
 func (l *leadership) progressTxn(cs []sched.ProgressChunk) wire.Txn {
 	txn := wire.Txn{Conditions: []wire.Condition{l.termCondition()}}
 	for _, c := range cs {
-		key := chunkKey(c.Job, c.Index)
+		key := progressKey(c.Job, c.Index)
 		txn.Conditions = append(txn.Conditions, wire.Condition{Key: key, Version: l.chunkVersions[key]})
 		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: key, Value: c.Text})
 	}
@@ -216,9 +216,9 @@
 			return
 		}
 		for _, chunk := range cs {
-			l.chunkVersions[chunkKey(chunk.Job, chunk.Index)] = a.Revision
+			l.chunkVersions[progressKey(chunk.Job, chunk.Index)] = a.Revision
 			if _, _, _, known := l.core.Counts(chunk.Job); !known {
-				l.staleKeys = append(l.staleKeys, chunkKey(chunk.Job, chunk.Index)) // forgotten meanwhile
+				l.staleKeys = append(l.staleKeys, progressKey(chunk.Job, chunk.Index)) // forgotten meanwhile
 				continue
 			}
 			l.chunkCounts[chunk.Job] = max(l.chunkCounts[chunk.Job], chunk.Index+1)
@@ -239,7 +239,7 @@
 
 func (l *leadership) deleteKeys(keys []string) {
 	c := l.controller
-	err := l.deleteNow(keys)
+	err := l.deleteUnderTerm(keys)
 	time.Sleep(time.Second)
 	c.postToOwner(func() {
 		l.busyStaleKeys = false
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -92,8 +92,8 @@
 	minSubmits = 8
 	// minCancels is how many users may wait for their jobs' tasks to be gone at least.
 	minCancels = 16
-	// maxLookBacks is how many questions to the archive may be open at a time.
-	maxLookBacks = 8
+	// maxArchiveLookups is how many questions to the archive may be open at a time.
+	maxArchiveLookups = 8
 	// minWaiters is how many reports may wait for launches at a time at least.
 	minWaiters = 256
 	// cloudShare is the part of the cloud's requests that this node may use.
@@ -130,7 +130,7 @@
 		// once, since they could not be told in time.
 		submitSlots: make(chan struct{}, max(minSubmits, int(2*d.State.WriteRPS))),
 		cancelSlots: make(chan struct{}, max(minCancels, d.Resources.Sockets/4)),
-		lookupQueue: make(chan lookup, maxLookups), archiveSlots: make(chan struct{}, maxLookBacks),
+		lookupQueue: make(chan lookup, maxLookups), archiveSlots: make(chan struct{}, maxArchiveLookups),
 		finalStatuses: map[string]wire.JobStatus{}, knownJobs: map[string]struct{}{}, peerSeenAt: map[string]time.Time{}, workerSeenAt: map[string]time.Time{},
 		redirectLimiter: rate.NewLimiter(minSendOn, sendOnBurst*minSendOn), drained: make(chan struct{}),
 		processID: newProcessID(), peerProcesses: map[string]*peerProcess{}, peerUnfitAt: map[string]time.Time{},
@@ -194,7 +194,7 @@
 	go c.follower.watchLeader(ctx)
 	go c.warmArchive(ctx)
 	pace := c.lookupPace()
-	for i := 0; i < lookupers; i++ {
+	for i := 0; i < lookupWorkers; i++ {
 		go c.lookupLoop(ctx, pace)
 	}
 	for label, p := range c.peers {
--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -58,7 +58,7 @@
 
 // followedPrefixes lists the prefixes that a takeover needs, in the order in which they are read;
 // ends are kept of jobs whose records are there.
-var followedPrefixes = []string{jobPrefix, donePrefix, ledgerPrefix, learnedKey, hirePrefix, schedulePrefix, dynconfig.Prefix}
+var followedPrefixes = []string{jobPrefix, progressPrefix, ledgerPrefix, learnedKey, scaleOutPrefix, schedulePrefix, dynconfig.Prefix}
 
 func (w *follower) newCopy() *standby.Copy {
 	keep := func(key string) bool {
@@ -95,7 +95,7 @@
 		rec := new(sched.LedgerEntry)
 		err = wire.Unmarshal(value, rec)
 		return rec, err
-	case strings.HasPrefix(key, donePrefix):
+	case strings.HasPrefix(key, progressPrefix):
 		text := ""
 		err = wire.Unmarshal(value, &text)
 		return text, err
@@ -262,7 +262,7 @@
 			after = page.Items[len(page.Items)-1].Key
 		}
 	}
-	ends, err := n.endsOf(ctx, jobs)
+	ends, err := n.readEnds(ctx, jobs)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controller/follower_test.go
+++ b/internal/controller/follower_test.go
@@ -76,22 +76,22 @@
 			id := fmt.Sprintf("j-%06d", w.seq)
 			w.jobs = append(w.jobs, id)
 			j := wire.Job{ID: id, Class: "c", Team: "a", Shape: []string{wire.Array, wire.Gang}[r.IntN(2)], Priority: wire.Normal, Tasks: 1 + r.IntN(9), CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 60}
-			w.write(wire.Mutation{Put: jobKey(id), Value: jobRecord{Job: j, Arrival: w.now()}})
+			w.write(wire.Mutation{Put: jobKey(id), Value: jobRecord{Job: j, SubmittedAt: w.now()}})
 		case k < 6:
 			e := sched.LedgerEntry{Hosts: []sched.LedgerHost{{Host: fmt.Sprintf("n-%02d", r.IntN(9)), Type: "s", Zone: "x", Incarnation: 1}},
 				Runs: []sched.LedgerRun{{Job: pick(), Attempt: uint64(w.seq), Tasks: []int32{int32(r.IntN(9))}}}}
 			w.write(wire.Mutation{Put: ledgerPrefix + fmt.Sprintf("%016x.%08x", w.term, w.seq), Value: e})
 		case k < 7:
-			w.write(wire.Mutation{Put: chunkKey(pick(), 0), Value: "AQAAAAAAAAA="})
+			w.write(wire.Mutation{Put: progressKey(pick(), 0), Value: "AQAAAAAAAAA="})
 		case k < 8:
 			id := pick()
-			_, _ = w.store.Txn(w.ctx, wire.Txn{Conditions: []wire.Condition{{Key: endKey(id)}}, Mutations: []wire.Mutation{{Put: endKey(id), Value: endRecord{Status: wire.JobDone, At: w.now(), Done: 1}}}})
+			_, _ = w.store.Txn(w.ctx, wire.Txn{Conditions: []wire.Condition{{Key: endKey(id)}}, Mutations: []wire.Mutation{{Put: endKey(id), Value: endRecord{Status: wire.JobDone, EndedAt: w.now(), TasksDone: 1}}}})
 		case k < 9:
 			if es, _, _ := w.store.List(w.ctx, ledgerPrefix); len(es) > 0 {
 				w.write(wire.Mutation{Delete: es[r.IntN(len(es))].Key})
 			}
 		default:
-			w.write(wire.Mutation{Put: learnedKey, Value: sched.Statistics{At: w.now(), Write: 0.1 + r.Float64()}}, wire.Mutation{Put: hirePrefix + fmt.Sprint(w.seq), Value: "x"})
+			w.write(wire.Mutation{Put: learnedKey, Value: sched.Statistics{At: w.now(), Write: 0.1 + r.Float64()}}, wire.Mutation{Put: scaleOutPrefix + fmt.Sprint(w.seq), Value: "x"})
 		}
 		if r.IntN(12) == 0 { // a job that is over and gone
 			id := pick()
@@ -217,7 +217,7 @@
 			id := fmt.Sprintf("j-%06d", i)
 			j := wire.Job{ID: id, Class: "c", Team: "a", Shape: wire.Array, Priority: wire.Normal, Tasks: 20, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 60}
 			e := sched.LedgerEntry{Hosts: []sched.LedgerHost{{Host: fmt.Sprintf("n-%06d", i), Type: "s", Zone: "x", Incarnation: 1}}, Runs: []sched.LedgerRun{{Job: id, Attempt: 1, Tasks: []int32{1, 2, 3, 4}}}}
-			w.write(wire.Mutation{Put: jobKey(id), Value: jobRecord{Job: j, Arrival: w.now()}}, wire.Mutation{Put: ledgerPrefix + id, Value: e})
+			w.write(wire.Mutation{Put: jobKey(id), Value: jobRecord{Job: j, SubmittedAt: w.now()}}, wire.Mutation{Put: ledgerPrefix + id, Value: e})
 		}
 		run := func(name string, load func(r *leadership) *stored) {
 			b.Run(fmt.Sprint(name, "/", jobs), func(b *testing.B) {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -34,13 +34,13 @@
 		{"jobs and ends", queuePrefix},
 		{"jobs", jobPrefix},
 		{"ends", endPrefix},
-		{"progress", donePrefix},
+		{"progress", progressPrefix},
 		{"ledger", ledgerPrefix},
-		{"rentals", hirePrefix},
+		{"rentals", scaleOutPrefix},
 		{"schedules", schedulePrefix},
 		{"a job", jobKey("j-1")},
 		{"an end", endKey("j-1")},
-		{"a chunk of progress", chunkKey("j-1", 2)},
+		{"a chunk of progress", progressKey("j-1", 2)},
 		{"a schedule", scheduleKey("nightly")},
 	} {
 		fmt.Fprintf(&out, "%s: %s\n", x.name, x.key)
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -29,11 +29,11 @@
 	for _, e := range page.Items {
 		ids = append(ids, strings.TrimPrefix(e.Key, jobPrefix))
 	}
-	over, err := c.haveEnded(ctx, ids)
+	over, err := c.endedJobs(ctx, ids)
 	if err != nil {
 		return out, api.ErrUnavailable
 	}
-	counts := c.countsOf(ctx, ids)
+	counts := c.taskCounts(ctx, ids)
 	for i, e := range page.Items {
 		var rec jobRecord
 		if over[ids[i]] || wire.Unmarshal(e.Value, &rec) != nil {
@@ -41,7 +41,7 @@
 		}
 		j := &rec.Job
 		s := wire.JobSummary{ID: j.ID, Class: j.Class, Team: j.Team, Shape: j.Shape, Priority: j.Priority, Tasks: j.Tasks,
-			Status: wire.JobQueued, Submitted: rec.Arrival}
+			Status: wire.JobQueued, Submitted: rec.SubmittedAt}
 		if st, ok := counts[j.ID]; ok && !wire.Final(st.Status) {
 			s.Status, s.Done, s.Running = st.Status, st.Done, st.Running
 		}
@@ -55,8 +55,8 @@
 	return out, nil
 }
 
-// haveEnded tells which of some jobs have an end of their own.
-func (c *Controller) haveEnded(ctx context.Context, ids []string) (map[string]bool, error) {
+// endedJobs tells which of some jobs have an end of their own.
+func (c *Controller) endedJobs(ctx context.Context, ids []string) (map[string]bool, error) {
 	keys := make([]string, len(ids))
 	for i, id := range ids {
 		keys[i] = endKey(id)
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -267,7 +267,7 @@
 		}
 		if _, over := c.rememberedFinal(id); !over { // else its record is gone, or its core knows it
 			c.setKnown(id)
-			l.core.AddJob(rec.Job, rec.Arrival, c.now())
+			l.core.AddJob(rec.Job, rec.SubmittedAt, c.now())
 		}
 	} else if id, ok := strings.CutPrefix(key, endPrefix); ok {
 		l.jobEnded(id, value)
@@ -281,7 +281,7 @@
 	if err != nil {
 		return 0, false
 	}
-	ends, err := c.endsOf(l.ctx, jobs)
+	ends, err := c.readEnds(l.ctx, jobs)
 	if err != nil {
 		return 0, false
 	}
@@ -355,8 +355,8 @@
 			l.staleKeys = append(l.staleKeys, jobKey(id))
 		}
 		for i := range l.chunkCounts[id] {
-			l.staleKeys = append(l.staleKeys, chunkKey(id, i))
-			delete(l.chunkVersions, chunkKey(id, i))
+			l.staleKeys = append(l.staleKeys, progressKey(id, i))
+			delete(l.chunkVersions, progressKey(id, i))
 		}
 		delete(l.chunkCounts, id)
 	}
--- a/internal/controller/lookup.go
+++ b/internal/controller/lookup.go
@@ -39,7 +39,7 @@
 
 const (
 	maxLookups  = 4096 // more are refused at once
-	lookupers   = 4    // batches at the same time
+	lookupWorkers   = 4    // batches at the same time
 	lookupShare = 0.35 // of the requests that the state service takes, for all nodes' lookups
 )
 
@@ -142,7 +142,7 @@
 			running = append(running, l.id)
 		}
 	}
-	counts := c.countsOf(ctx, running)
+	counts := c.taskCounts(ctx, running)
 	for _, l := range batch {
 		if !exists[jobKey(l.id)] && !exists[endKey(l.id)] {
 			moved := l.known || exists[c.archive.Guard(l.id).Key]
@@ -160,9 +160,9 @@
 	}
 }
 
-// countsOf asks for the counts that only the leader has; without it jobs are
+// taskCounts asks for the counts that only the leader has; without it jobs are
 // shown as queued.
-func (c *Controller) countsOf(ctx context.Context, ids []string) map[string]wire.JobStatus {
+func (c *Controller) taskCounts(ctx context.Context, ids []string) map[string]wire.JobStatus {
 	if len(ids) == 0 {
 		return nil
 	}
@@ -180,10 +180,10 @@
 	return out
 }
 
-// endOf reads the end of a job that is known to have one.
-func (c *Controller) endOf(ctx context.Context, id string) (endRecord, error) {
+// readEnd reads the end of a job that is known to have one.
+func (c *Controller) readEnd(ctx context.Context, id string) (endRecord, error) {
 	if st, ok := c.rememberedFinal(id); ok {
-		return endAs(st), nil
+		return endFromStatus(st), nil
 	}
 	e, found, err := c.store.Get(ctx, endKey(id))
 	if err != nil {
@@ -199,5 +199,5 @@
 	if err != nil {
 		return endRecord{}, err
 	}
-	return endAs(c.archived(a.Record)), nil
+	return endFromStatus(c.rememberArchived(a.Record)), nil
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -79,7 +79,7 @@
 			s.jobs = append(s.jobs, rec)
 		}
 	}
-	chunks, _, err := l.list(copied, donePrefix)
+	chunks, _, err := l.list(copied, progressPrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -106,7 +106,7 @@
 	if len(learned) > 0 {
 		s.learn(learned[0].Value)
 	}
-	hires, _, err := l.list(copied, hirePrefix)
+	hires, _, err := l.list(copied, scaleOutPrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 			return nil, err
 		}
 	}
-	ends, err := c.endsOf(l.ctx, jobs)
+	ends, err := c.readEnds(l.ctx, jobs)
 	if err != nil {
 		return nil, err
 	}
@@ -137,7 +137,7 @@
 
 // chunk takes a key of progress; readable says whether its value could be read.
 func (s *stored) chunk(key string, version uint64, text string, readable bool) {
-	id, idx, _ := strings.Cut(strings.TrimPrefix(key, donePrefix), "/")
+	id, idx, _ := strings.Cut(strings.TrimPrefix(key, progressPrefix), "/")
 	if i, err := strconv.Atoi(idx); err == nil && readable {
 		s.chunks = append(s.chunks, storedChunk{key, id, i, text, version})
 	}
@@ -156,7 +156,7 @@
 	core.Configure(inForce.settings, inForce.cordons, inForce.version, now)
 	l.staleKeys, l.chunkCounts, l.chunkVersions = nil, map[string]int{}, map[string]uint64{}
 	for _, rec := range s.jobs {
-		core.AddJob(rec.Job, rec.Arrival, now)
+		core.AddJob(rec.Job, rec.SubmittedAt, now)
 		c.setKnown(rec.Job.ID)
 	}
 	for _, chunk := range s.chunks {
@@ -177,7 +177,7 @@
 	l.staleKeys = append(l.staleKeys, s.hires...)
 	for _, e := range s.ends {
 		if e.Status == wire.JobDone {
-			c.rememberFinal(e.answer(e.id))
+			c.rememberFinal(e.status(e.id))
 		}
 		core.JobEnded(e.id, e.Status, c.now())
 	}
@@ -187,16 +187,16 @@
 // endReaders is how many ends are read at a time at a takeover.
 const endReaders = 8
 
-// endsOf reads the ends of those of the jobs that have ended. Which have is asked
+// readEnds reads the ends of those of the jobs that have ended. Which have is asked
 // for many at a time, by a transaction that only compares; their ends are read side
 // by side: after a flood of small jobs hundreds may wait to be tidied up, and a
 // takeover must not ask for one after the other.
-func (c *Controller) endsOf(ctx context.Context, jobs []wire.KeyValue) (ends []wire.KeyValue, err error) {
+func (c *Controller) readEnds(ctx context.Context, jobs []wire.KeyValue) (ends []wire.KeyValue, err error) {
 	var ids, keys []string
 	for _, e := range jobs {
 		ids = append(ids, strings.TrimPrefix(e.Key, jobPrefix))
 	}
-	over, err := c.haveEnded(ctx, ids)
+	over, err := c.endedJobs(ctx, ids)
 	if err != nil {
 		return nil, err
 	}
@@ -259,7 +259,7 @@
 			s.ends = append(s.ends, storedEnd{id, *e.Decoded.(*endRecord)})
 		}
 	}
-	for _, k := range c.Under(donePrefix) {
+	for _, k := range c.Under(progressPrefix) {
 		it, _ := c.Get(k)
 		s.chunk(k, it.Version, it.Decoded.(string), true)
 	}
@@ -270,7 +270,7 @@
 	if it, ok := c.Get(learnedKey); ok {
 		s.learn(it.Value)
 	}
-	s.hires = c.Under(hirePrefix)
+	s.hires = c.Under(scaleOutPrefix)
 	for _, k := range c.Under(dynconfig.Prefix) {
 		it, _ := c.Get(k)
 		s.config = append(s.config, wire.KeyValue{Key: k, Value: it.Value, Version: it.Version})
--- a/internal/controller/recurring.go
+++ b/internal/controller/recurring.go
@@ -110,11 +110,11 @@
 				return []string{endKey(j.ID)}, 0, kvstore.ErrConflict
 			}
 			txn.Conditions = c.withArchiveGuards(append(txn.Conditions, wire.Condition{Key: jobKey(j.ID)}, wire.Condition{Key: endKey(j.ID)}), j.ID)
-			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: jobKey(j.ID), Value: jobRecord{Job: j, Arrival: c.now()}})
+			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: jobKey(j.ID), Value: jobRecord{Job: j, SubmittedAt: c.now()}})
 		}
 		if d.Cancel != "" {
 			txn.Conditions = c.withArchiveGuards(append(txn.Conditions, wire.Condition{Key: endKey(d.Cancel)}), d.Cancel)
-			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: endKey(d.Cancel), Value: endRecord{Status: wire.JobCancelled, At: c.now()}})
+			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: endKey(d.Cancel), Value: endRecord{Status: wire.JobCancelled, EndedAt: c.now()}})
 		}
 	}
 	if len(txn.Mutations) > c.settings.Deployment.State.TxnOps || len(txn.Conditions) > 4*c.settings.Deployment.State.TxnOps {
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -119,7 +119,7 @@
 		return
 	}
 	c := l.controller
-	key := hirePrefix + hires[0].RequestID
+	key := scaleOutPrefix + hires[0].RequestID
 	_, stored := c.store.Txn(l.ctx, wire.Txn{Conditions: []wire.Condition{l.termCondition()}, Mutations: []wire.Mutation{{Put: key, Value: hires}}})
 	var all sync.WaitGroup
 	for _, h := range hires {
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -59,7 +59,7 @@
 }
 
 // copyPrefixes is what a leader reads when it takes over, but for the ends of jobs.
-var copyPrefixes = []string{jobPrefix, donePrefix, ledgerPrefix, learnedKey, hirePrefix, schedulePrefix}
+var copyPrefixes = []string{jobPrefix, progressPrefix, ledgerPrefix, learnedKey, scaleOutPrefix, schedulePrefix}
 
 func nothing(string) bool { return false }
 
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -31,7 +31,7 @@
 		write := func(k int) {
 			var txn wire.Txn
 			for range k {
-				key := fmt.Sprintf("%s%d", []string{jobPrefix, donePrefix, ledgerPrefix, hirePrefix, schedulePrefix, endPrefix, "x/"}[rnd.IntN(7)], rnd.IntN(20))
+				key := fmt.Sprintf("%s%d", []string{jobPrefix, progressPrefix, ledgerPrefix, scaleOutPrefix, schedulePrefix, endPrefix, "x/"}[rnd.IntN(7)], rnd.IntN(20))
 				if rnd.IntN(3) == 0 {
 					txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: key})
 				} else {
@@ -110,7 +110,7 @@
 	for i := range live {
 		j := sceneJob(sceneID(i))
 		j.Class, j.Image, j.Tasks = "some-class", "some-image", 4
-		svc.Set(jobKey(j.ID), jobRecord{Job: *j, Arrival: int64(i)})
+		svc.Set(jobKey(j.ID), jobRecord{Job: *j, SubmittedAt: int64(i)})
 		svc.Set(fmt.Sprintf("%s%d.%d", ledgerPrefix, 7, i), sched.LedgerEntry{})
 	}
 	for i := range over {
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -24,43 +24,43 @@
 	queuePrefix  = "q/"
 	jobPrefix    = "q/a/"
 	endPrefix    = "q/e/"
-	donePrefix   = "p/"
+	progressPrefix   = "p/"
 	ledgerPrefix = "l/"
-	hirePrefix   = "h/"
-	maxRemember  = 20000
-	maxKnownJobs = 50000
+	scaleOutPrefix   = "h/"
+	maxFinalStatuses  = 20000
+	maxAcceptedJobs = 50000
 )
 
 func jobKey(id string) string { return jobPrefix + id }
 func endKey(id string) string { return endPrefix + id }
-func chunkKey(id string, i int) string {
-	return fmt.Sprintf("%s%s/%d", donePrefix, id, i)
+func progressKey(id string, i int) string {
+	return fmt.Sprintf("%s%s/%d", progressPrefix, id, i)
 }
 
 // jobRecord is a stored job.
 type jobRecord struct {
 	Job     wire.Job `msgpack:"J"`
-	Arrival int64    `msgpack:"A"` // microseconds, time of day
+	SubmittedAt int64    `msgpack:"A"` // microseconds, time of day
 }
 
 // endRecord is a job's end: created once, by whoever is first, and never
 // changed.
 type endRecord struct {
 	Status string `msgpack:"S"`
-	At     int64  `msgpack:"A"`
-	Done   int    `msgpack:"D"`
+	EndedAt     int64  `msgpack:"A"`
+	TasksDone   int    `msgpack:"D"`
 	// Nobody is told of this end before its job's record is gone. Ends of earlier versions lack
 	// it: their users may have been told.
-	Untold bool `msgpack:"U,omitempty"`
+	HiddenUntilDeleted bool `msgpack:"U,omitempty"`
 }
 
-// answer is what users are told, once they may be.
-func (e *endRecord) answer(id string) wire.JobStatus {
-	return wire.JobStatus{ID: id, Status: e.Status, Done: e.Done}
+// status is what users are told, once they may be.
+func (e *endRecord) status(id string) wire.JobStatus {
+	return wire.JobStatus{ID: id, Status: e.Status, Done: e.TasksDone}
 }
 
-// endAs is an end as it is known from a final answer.
-func endAs(st wire.JobStatus) endRecord { return endRecord{Status: st.Status, Done: st.Done} }
+// endFromStatus is an end as it is known from a final answer.
+func endFromStatus(st wire.JobStatus) endRecord { return endRecord{Status: st.Status, TasksDone: st.Done} }
 
 // rememberFinal keeps a final answer that any user may be given without asking anybody.
 func (c *Controller) rememberFinal(st wire.JobStatus) {
@@ -69,7 +69,7 @@
 	if _, ok := c.finalStatuses[st.ID]; ok {
 		return
 	}
-	if len(c.finalOrder) >= maxRemember {
+	if len(c.finalOrder) >= maxFinalStatuses {
 		delete(c.finalStatuses, c.finalOrder[0])
 		c.finalOrder = c.finalOrder[1:]
 	}
@@ -95,7 +95,7 @@
 func (c *Controller) setKnown(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.knownJobs) >= maxKnownJobs {
+	if len(c.knownJobs) >= maxAcceptedJobs {
 		clear(c.knownJobs) // only costs one read more
 	}
 	c.knownJobs[id] = struct{}{}
@@ -104,7 +104,7 @@
 // decodeEnd reads a stored end. One as done may be told at once.
 func (c *Controller) decodeEnd(id string, v msgpack.RawMessage) (e endRecord, err error) {
 	if err = wire.Unmarshal(v, &e); err == nil && e.Status == wire.JobDone {
-		c.rememberFinal(e.answer(id))
+		c.rememberFinal(e.status(id))
 	}
 	return e, err
 }
@@ -129,14 +129,14 @@
 		if wire.Final(v.st.Status) {
 			return v.st, nil
 		}
-		end, err := c.endOf(ctx, id)
+		end, err := c.readEnd(ctx, id)
 		switch {
 		case err != nil:
 			return wire.JobStatus{}, api.ErrUnavailable
 		case end.Status == wire.JobDone || !v.accepted:
-			c.rememberFinal(end.answer(id))
-			return end.answer(id), nil
-		case !end.Untold:
+			c.rememberFinal(end.status(id))
+			return end.status(id), nil
+		case !end.HiddenUntilDeleted:
 			return wire.JobStatus{}, api.ErrUnavailable
 		}
 		return v.st, nil // cancelled, and nobody has been told
@@ -174,12 +174,12 @@
 	default:
 		return wire.JobStatus{}, false, api.ErrOverloaded
 	}
-	rec := jobRecord{Job: *j, Arrival: c.now()}
+	rec := jobRecord{Job: *j, SubmittedAt: c.now()}
 	if b, err := wire.Marshal(rec); err != nil || float64(len(b)) > 0.9*1024*c.settings.Deployment.State.ValueKB {
 		// Sizes count in the longer text form; no sensible job comes near.
 		return wire.JobStatus{}, false, fmt.Errorf("%w: too large to be stored", wire.ErrMalformed)
 	}
-	st, err := c.unlessEnded(ctx, j.ID, wire.Txn{
+	st, err := c.txnUnlessArchived(ctx, j.ID, wire.Txn{
 		Conditions: []wire.Condition{{Key: jobKey(j.ID)}, {Key: endKey(j.ID)}},
 		Mutations:  []wire.Mutation{{Put: jobKey(j.ID), Value: rec}},
 	})
@@ -203,21 +203,21 @@
 // createEnd creates a job's end or returns the one that exists. An error means
 // that it isn't known whether there is an end.
 func (c *Controller) createEnd(ctx context.Context, id, status string, done int, conds []wire.Condition) (endRecord, error) {
-	end := endRecord{Status: status, At: c.now(), Done: done, Untold: status == wire.JobCancelled}
-	st, err := c.unlessEnded(ctx, id, wire.Txn{
+	end := endRecord{Status: status, EndedAt: c.now(), TasksDone: done, HiddenUntilDeleted: status == wire.JobCancelled}
+	st, err := c.txnUnlessArchived(ctx, id, wire.Txn{
 		Conditions: append(slices.Clone(conds), wire.Condition{Key: endKey(id)}),
 		Mutations:  []wire.Mutation{{Put: endKey(id), Value: end}},
 	})
 	switch {
 	case err == nil && wire.Final(st.Status):
-		return endAs(st), nil
+		return endFromStatus(st), nil
 	case err == nil:
 		if status == wire.JobDone {
-			c.rememberFinal(end.answer(id))
+			c.rememberFinal(end.status(id))
 		}
 		return end, nil
 	case errors.Is(err, kvstore.ErrConflict), errors.Is(err, kvstore.ErrUnknown):
-		if there, rerr := c.endOf(ctx, id); rerr == nil {
+		if there, rerr := c.readEnd(ctx, id); rerr == nil {
 			return there, nil
 		}
 	}
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -69,7 +69,7 @@
 		loops.Wait()
 	})
 	pace := n.lookupPace()
-	for range lookupers {
+	for range lookupWorkers {
 		loops.Go(func() { n.lookupLoop(ctx, pace) })
 	}
 	return n
@@ -118,7 +118,7 @@
 			}
 		})
 	}
-	for int(reads.Load()) < lookupers || len(n.lookupQueue) < users-lookupers*24 {
+	for int(reads.Load()) < lookupWorkers || len(n.lookupQueue) < users-lookupWorkers*24 {
 		runtime.Gosched()
 	}
 	close(release)
