--- a/internal/controller/lookup.go
+++ b/internal/controller/lookup.go
@@ -38,9 +38,9 @@
 }
 
 const (
-	maxLookups  = 4096 // more are refused at once
-	lookupWorkers   = 4    // batches at the same time
-	lookupShare = 0.35 // of the requests that the state service takes, for all nodes' lookups
+	maxLookups    = 4096 // more are refused at once
+	lookupWorkers = 4    // batches at the same time
+	lookupShare   = 0.35 // of the requests that the state service takes, for all nodes' lookups
 )
 
 // lookUpJob asks together with others. Hundreds of users polling, each with a read of
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -18,17 +18,17 @@
 // over and all its tasks are gone; its end stays for good, or until the archive
 // answers for it.
 const (
-	termKey      = "term"
-	catalogKey   = "catalog"
-	learnedKey   = "learned"
-	queuePrefix  = "q/"
-	jobPrefix    = "q/a/"
-	endPrefix    = "q/e/"
+	termKey          = "term"
+	catalogKey       = "catalog"
+	learnedKey       = "learned"
+	queuePrefix      = "q/"
+	jobPrefix        = "q/a/"
+	endPrefix        = "q/e/"
 	progressPrefix   = "p/"
-	ledgerPrefix = "l/"
+	ledgerPrefix     = "l/"
 	scaleOutPrefix   = "h/"
-	maxFinalStatuses  = 20000
-	maxAcceptedJobs = 50000
+	maxFinalStatuses = 20000
+	maxAcceptedJobs  = 50000
 )
 
 func jobKey(id string) string { return jobPrefix + id }
@@ -39,16 +39,16 @@
 
 // jobRecord is a stored job.
 type jobRecord struct {
-	Job     wire.Job `msgpack:"J"`
+	Job         wire.Job `msgpack:"J"`
 	SubmittedAt int64    `msgpack:"A"` // microseconds, time of day
 }
 
 // endRecord is a job's end: created once, by whoever is first, and never
 // changed.
 type endRecord struct {
-	Status string `msgpack:"S"`
-	EndedAt     int64  `msgpack:"A"`
-	TasksDone   int    `msgpack:"D"`
+	Status    string `msgpack:"S"`
+	EndedAt   int64  `msgpack:"A"`
+	TasksDone int    `msgpack:"D"`
 	// Nobody is told of this end before its job's record is gone. Ends of earlier versions lack
 	// it: their users may have been told.
 	HiddenUntilDeleted bool `msgpack:"U,omitempty"`
@@ -60,7 +60,9 @@
 }
 
 // endFromStatus is an end as it is known from a final answer.
-func endFromStatus(st wire.JobStatus) endRecord { return endRecord{Status: st.Status, TasksDone: st.Done} }
+func endFromStatus(st wire.JobStatus) endRecord {
+	return endRecord{Status: st.Status, TasksDone: st.Done}
+}
 
 // rememberFinal keeps a final answer that any user may be given without asking anybody.
 func (c *Controller) rememberFinal(st wire.JobStatus) {
