--- a/internal/sched/fleet.go
+++ b/internal/sched/fleet.go
@@ -103,11 +103,7 @@
 		if k := spotKey(m.machineType.Name, m.zone, m.spot); c.outOfCapacity[k] >= now {
 			c.outOfCapacity[k] = now - 1 // there may be room for another one now
 		}
-		for _, e := range c.entries {
-			if _, named := e.hosts[h]; named && len(e.live) > 0 {
-				c.entriesOfReturned[e.name] = struct{}{}
-			}
-		}
+		c.ledger.machineReturned(h)
 		if m.placementCount == 0 {
 			c.dropMachine(m)
 		} else {
@@ -229,7 +225,7 @@
 		// Keeping a machine is worth as much as booting another one would cost,
 		// as long as tasks may be expected for it.
 		since := m.idleSince
-		if m.machineType.GPUs > 0 && c.gpus.any {
+		if m.machineType.GPUs > 0 && c.lastPass.gpus.any {
 			since = m.gpusIdleSince
 		}
 		if m.scalingIn || !m.confirmed || m.placementCount > 0 || m.reservedFor != nil || now-since < c.idleTimeout(m.machineType, idle[m.machineType] <= soon[m.machineType]) {
