--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -118,7 +118,7 @@
 		case <-time.After(rest):
 		}
 		rest = time.Second
-		if !c.store.Reachable(3*time.Second) || !c.owner.ranRecently() {
+		if !c.store.Reachable(storeAnswerAge) || !c.owner.ranRecently() {
 			continue
 		}
 		before := compactor.Counts
--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -2,11 +2,9 @@
 
 import (
 	"context"
-	"errors"
 	"time"
 
 	"dalefront/internal/api"
-	"dalefront/internal/kvstore"
 	"dalefront/wire"
 )
 
@@ -68,40 +66,3 @@
 		}
 	}
 }
-
-// deleteCancelled deletes the records of cancelled jobs whose tasks are gone, apart from the
-// other tidying, since their users wait for it. Without an answer it is done again: under one
-// term it comes to the same.
-func (l *leadership) deleteCancelled(keys []string) {
-	c := l.controller
-	err := l.deleteUnderTerm(keys)
-	if err != nil {
-		sleepContext(l.ctx, goneEvery)
-	}
-	c.owner.post(func() {
-		l.busyCancelled = false
-		if c.owner.leadership != l {
-			return
-		}
-		if errors.Is(err, kvstore.ErrConflict) {
-			l.stepDown()
-			return
-		}
-		if err != nil {
-			l.cancelledRecords = append(l.cancelledRecords, keys...)
-		}
-		if len(l.cancelledRecords) > 0 {
-			c.owner.requestPass()
-		}
-	})
-}
-
-// deleteUnderTerm deletes keys on condition of the term.
-func (l *leadership) deleteUnderTerm(keys []string) error {
-	txn := wire.Txn{Conditions: []wire.Condition{l.termCondition()}}
-	for _, k := range keys {
-		txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: k})
-	}
-	_, err := l.controller.store.Txn(l.ctx, txn)
-	return err
-}
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -1,9 +1,7 @@
 package controller
 
 import (
-	"context"
 	"errors"
-	"maps"
 	"strings"
 	"time"
 
@@ -14,13 +12,16 @@
 	"dalefront/wire"
 )
 
+// commitRetry is the pause before a commit whose outcome is unknown is tried again.
+const commitRetry = 100 * time.Millisecond
+
 // CommitTxn is the transaction that stores a write-ahead batch: on condition of the
 // leadership, of the entries' names, which are never used again, and of no end of the jobs.
 func CommitTxn(cm *sched.Commit, conditions ...wire.Condition) wire.Txn {
 	txn := wire.Txn{Conditions: conditions}
-	for _, e := range cm.Entries {
-		txn.Conditions = append(txn.Conditions, wire.Condition{Key: ledgerPrefix + e.Name})
-		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: ledgerPrefix + e.Name, Value: e.LedgerEntry})
+	for _, entry := range cm.Entries {
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: ledgerPrefix + entry.Name})
+		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: ledgerPrefix + entry.Name, Value: entry.LedgerEntry})
 	}
 	for _, name := range cm.Drop {
 		txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: ledgerPrefix + name})
@@ -31,220 +32,146 @@
 	return txn
 }
 
-// commit stores a write-ahead batch. While its outcome is unknown it is asked
-// again under the same conditions: its entries are created once, so that only one
-// copy can ever be applied.
-func (l *leadership) commit(cm *sched.Commit) {
-	c := l.controller
-	txn := CommitTxn(cm, l.termCondition(), generationCond(cm.Generation))
-	txn.Conditions = c.withArchiveGuards(txn.Conditions, cm.Jobs...)
+// commitOutcome is what has become of a write-ahead batch.
+type commitOutcome int
+
+const (
+	commitAbandoned commitOutcome = iota // nobody knows, and this leadership has ended
+	commitStored                         // it is stored
+	commitRejected                       // it is not stored and never will be
+)
+
+// committer stores write-ahead batches, one at a time.
+type committer struct {
+	leadership *leadership
+	task       backgroundTask
+}
+
+// start stores a batch and hands the outcome to the core. Owner goroutine.
+func (c *committer) start(batch *sched.Commit) {
+	c.leadership.startTask(&c.task, func() func() {
+		outcome := c.store(batch)
+		if outcome == commitAbandoned {
+			return nil
+		}
+		return func() { c.finish(batch, outcome) }
+	})
+}
+
+// finish hands the outcome of a batch to the core. Owner goroutine.
+func (c *committer) finish(batch *sched.Commit, outcome commitOutcome) {
+	controller, core := c.leadership.controller, c.leadership.core
+	controller.config.configureCore() // what was refused is decided by the newest one
+	if outcome == commitStored {
+		core.CommitStored(batch, controller.now())
+	} else {
+		core.CommitRejected(batch, controller.now())
+	}
+	c.leadership.launchWaiters.serve(core)
+	controller.owner.requestPass()
+}
+
+// store stores a batch. While its outcome is unknown it is asked again under the same conditions:
+// its entries are created once, so that only one copy can ever be applied.
+func (c *committer) store(batch *sched.Commit) commitOutcome {
+	l, controller := c.leadership, c.leadership.controller
+	txn := CommitTxn(batch, l.termCondition(), generationCond(batch.Generation))
+	txn.Conditions = controller.withArchiveGuards(txn.Conditions, batch.Jobs...)
 	unknown := false
 	for l.ctx.Err() == nil {
-		a, err := c.store.Txn(l.ctx, txn)
+		answer, err := controller.store.Txn(l.ctx, txn)
 		switch {
 		case err == nil:
-			l.commitFinished(cm, true)
-			return
+			return commitStored
 		case errors.Is(err, kvstore.ErrUnknown):
 			unknown = true
 		case errors.Is(err, kvstore.ErrConflict):
-			l.resolveConflict(cm, a.FailedKeys)
-			return
+			return c.resolveConflict(answer.FailedKeys)
 		case !unknown:
 			// Refused: it was not executed and never will be.
 			if errors.Is(err, kvstore.ErrRefused) {
-				c.log.Debug("commit refused", "err", err)
+				controller.log.Debug("commit refused", "err", err)
 			} else {
-				c.log.Error("commit is not accepted", "err", err, "conditions", len(txn.Conditions), "changes", len(txn.Mutations))
+				controller.log.Error("commit is not accepted", "err", err, "conditions", len(txn.Conditions), "changes", len(txn.Mutations))
 			}
-			l.commitFinished(cm, false)
-			return
+			return commitRejected
 		}
-		time.Sleep(100 * time.Millisecond)
+		time.Sleep(commitRetry)
 	}
+	return commitAbandoned
 }
 
-func (l *leadership) commitFinished(cm *sched.Commit, ok bool) {
-	c := l.controller
-	c.owner.post(func() {
-		if c.owner.leadership != l {
-			return
-		}
-		l.busyCommit = false
-		c.config.configureCore() // what was refused is decided by the newest one
-		if ok {
-			l.core.CommitStored(cm, c.now())
-		} else {
-			l.core.CommitRejected(cm, c.now())
-		}
-		l.serveWaiters()
-		c.owner.requestPass()
-	})
-}
+// conflictCause is what a failed condition says of a batch.
+type conflictCause int
+
+const (
+	conflictUnreadable conflictCause = iota // to be read again
+	conflictRejected                        // the batch was not stored
+	conflictApplied                         // an earlier copy of the batch was stored after all
+	conflictTermLost                        // another controller holds the term
+)
 
 // resolveConflict finds out why a batch failed: the term is lost, a job has ended, or
 // an earlier copy of the same batch was applied after all.
-func (l *leadership) resolveConflict(cm *sched.Commit, failed []string) {
-	c := l.controller
-	for l.ctx.Err() == nil {
-		again, applied := false, false
-		for _, k := range failed {
-			e, found, err := c.store.Get(l.ctx, k)
-			if err != nil {
-				again = true
-				break
-			}
-			switch {
-			case k == termKey:
-				if !found || e.Version != l.token {
-					c.owner.post(func() { l.stepDown() })
-					return
-				}
-			case k == dynconfig.GenerationKey:
-				// Decided by a configuration that is in force no more: decided anew.
-				c.config.refused.Add(1)
-				if c.config.refresh(l.ctx) != nil {
-					again = true
-				}
-			case strings.HasPrefix(k, endPrefix) && found:
-				c.owner.post(func() {
-					if c.owner.leadership == l {
-						l.jobEnded(strings.TrimPrefix(k, endPrefix), e.Value)
-					}
-				})
-			case strings.HasPrefix(k, ledgerPrefix):
-				applied = applied || found
-			case strings.HasPrefix(k, archive.ManifestPrefix):
-				// Ends were archived meanwhile: planned anew. What was sent is as
-				// little applied later as after an end.
-				if _, err := c.archive.Refresh(l.ctx, []string{k}); err != nil {
-					again = true
-				}
-			}
-		}
-		if !again {
-			l.commitFinished(cm, applied)
-			return
+func (c *committer) resolveConflict(failedKeys []string) commitOutcome {
+	for c.leadership.ctx.Err() == nil {
+		switch c.conflictCause(failedKeys) {
+		case conflictApplied:
+			return commitStored
+		case conflictRejected:
+			return commitRejected
+		case conflictTermLost:
+			c.leadership.postStepDown()
+			return commitAbandoned
 		}
-		time.Sleep(100 * time.Millisecond)
+		time.Sleep(commitRetry)
 	}
+	return commitAbandoned
 }
 
-// storeEnds makes jobs done, unless they were cancelled before: all in one
-// transaction, or one by one if that fails.
-func (l *leadership) storeEnds(ids []string, done []int) {
-	c := l.controller
-	ctx, cancel := context.WithTimeout(l.ctx, 4*time.Second)
-	defer cancel()
-	conds := []wire.Condition{l.termCondition()}
-	txn := wire.Txn{Conditions: conds}
-	at := c.now()
-	for i, id := range ids {
-		txn.Conditions = append(txn.Conditions, wire.Condition{Key: endKey(id)})
-		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: endKey(id), Value: endRecord{Status: wire.JobDone, EndedAt: at, TasksDone: done[i]}})
-	}
-	txn.Conditions = c.withArchiveGuards(txn.Conditions, ids...)
-	_, together := c.store.Txn(ctx, txn)
-	ends := make([]endRecord, len(ids))
-	errs := make([]error, len(ids))
-	failed := false
-	for i, id := range ids {
-		if together == nil {
-			ends[i] = endRecord{Status: wire.JobDone, TasksDone: done[i]}
-			c.rememberFinal(ends[i].status(id))
-			continue
-		}
-		if errs[i] = together; errors.Is(together, kvstore.ErrConflict) || errors.Is(together, kvstore.ErrUnknown) {
-			ends[i], errs[i] = c.createEnd(ctx, id, wire.JobDone, done[i], conds)
-		}
-		failed = failed || errs[i] != nil
-	}
-	if failed {
-		time.Sleep(150 * time.Millisecond)
-	}
-	c.owner.post(func() {
-		l.busyEnds = false
-		if c.owner.leadership != l {
-			return
+// conflictCause reads the keys whose conditions failed, as far as they can be read.
+func (c *committer) conflictCause(failedKeys []string) conflictCause {
+	result := conflictRejected
+	for _, key := range failedKeys {
+		entry, found, err := c.leadership.controller.store.Get(c.leadership.ctx, key)
+		if err != nil {
+			return conflictUnreadable
 		}
-		for i, id := range ids {
-			if errs[i] != nil {
-				l.core.RetryEnd(id)
-			} else {
-				l.core.JobEnded(id, ends[i].Status, c.now())
-			}
+		switch cause := c.causeOfKey(key, entry, found); {
+		case cause == conflictTermLost:
+			return cause
+		case cause == conflictUnreadable, cause == conflictApplied && result != conflictUnreadable:
+			result = cause
 		}
-		l.dispatchEffects()
-		c.owner.requestPass()
-	})
-}
-
-// progressTxn stores progress, each chunk on condition that it is as last stored or read: a
-// copy of an earlier transaction that got no answer may be applied after it, and would take
-// back what tasks have been cleared for since. Owner goroutine.
-func (l *leadership) progressTxn(cs []sched.ProgressChunk) wire.Txn {
-	txn := wire.Txn{Conditions: []wire.Condition{l.termCondition()}}
-	for _, c := range cs {
-		key := progressKey(c.Job, c.Index)
-		txn.Conditions = append(txn.Conditions, wire.Condition{Key: key, Version: l.chunkVersions[key]})
-		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: key, Value: c.Text})
 	}
-	return txn
+	return result
 }
 
-func (l *leadership) storeProgress(cs []sched.ProgressChunk, txn wire.Txn) {
-	c := l.controller
-	a, err := c.store.Txn(l.ctx, txn)
-	changed := map[string]uint64{} // versions that are another than thought
-	if errors.Is(err, kvstore.ErrConflict) {
-		for _, k := range a.FailedKeys {
-			if e, found, err := c.store.Get(l.ctx, k); err == nil && found && k != termKey {
-				changed[k] = e.Version
-			} else if err == nil && k != termKey {
-				changed[k] = 0
-			}
+// causeOfKey says what one key whose condition failed tells of the batch, and brings up to date what
+// this controller knows of it.
+func (c *committer) causeOfKey(key string, entry wire.KeyValue, found bool) conflictCause {
+	l, controller := c.leadership, c.leadership.controller
+	switch {
+	case key == termKey:
+		if !found || entry.Version != l.token {
+			return conflictTermLost
 		}
-	}
-	// What completes meanwhile goes with the next one. Launches wait for every
-	// change stored before them, and a result that is not stored yet is only
-	// reported once more.
-	time.Sleep(time.Second)
-	c.owner.post(func() {
-		l.busyProgress = false
-		maps.Copy(l.chunkVersions, changed)
-		if c.owner.leadership != l || err != nil {
-			return
+	case key == dynconfig.GenerationKey:
+		// Decided by a configuration that is in force no more: decided anew.
+		controller.config.refused.Add(1)
+		if controller.config.refresh(l.ctx) != nil {
+			return conflictUnreadable
 		}
-		for _, chunk := range cs {
-			l.chunkVersions[progressKey(chunk.Job, chunk.Index)] = a.Revision
-			if _, _, _, known := l.core.Counts(chunk.Job); !known {
-				l.staleKeys = append(l.staleKeys, progressKey(chunk.Job, chunk.Index)) // forgotten meanwhile
-				continue
-			}
-			l.chunkCounts[chunk.Job] = max(l.chunkCounts[chunk.Job], chunk.Index+1)
-			l.core.ProgressStored(chunk)
+	case strings.HasPrefix(key, endPrefix) && found:
+		l.post(func() { l.jobEnded(strings.TrimPrefix(key, endPrefix), entry.Value) })
+	case strings.HasPrefix(key, ledgerPrefix) && found:
+		return conflictApplied
+	case strings.HasPrefix(key, archive.ManifestPrefix):
+		// Ends were archived meanwhile: planned anew. What was sent is as
+		// little applied later as after an end.
+		if _, err := controller.archive.Refresh(l.ctx, []string{key}); err != nil {
+			return conflictUnreadable
 		}
-	})
-}
-
-// learnEvery is how often what was observed is stored, in microseconds: one change
-// in twenty seconds.
-const learnEvery = 20_000_000
-
-func (l *leadership) storeStatistics(statistics sched.Statistics) {
-	c := l.controller
-	_, _ = c.store.Txn(l.ctx, wire.Txn{Conditions: []wire.Condition{l.termCondition()}, Mutations: []wire.Mutation{{Put: learnedKey, Value: statistics}}})
-	c.owner.post(func() { l.busyStatistics = false })
-}
-
-func (l *leadership) deleteKeys(keys []string) {
-	c := l.controller
-	err := l.deleteUnderTerm(keys)
-	time.Sleep(time.Second)
-	c.owner.post(func() {
-		l.busyStaleKeys = false
-		if err != nil && !errors.Is(err, kvstore.ErrConflict) {
-			l.staleKeys = append(l.staleKeys, keys...)
-		}
-	})
+	}
+	return conflictRejected
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -76,20 +76,12 @@
 	minCancels = 16
 	// maxArchiveLookups is how many questions to the archive may be open at a time.
 	maxArchiveLookups = 8
-	// minWaiters is how many reports may wait for launches at a time at least.
-	minWaiters = 256
+	// storeAnswerAge: the state service counts as in reach for so long after its last answer.
+	storeAnswerAge = 3 * time.Second
 	// cloudShare is the part of the cloud's requests that this node may use.
 	cloudShare = 0.7
 	// socketsPerIdle: one in so many sockets may be kept for an unused connection to a worker.
 	socketsPerIdle = 16
-
-	// minSendOn is how many workers a second are sent on to another node at least. It serves
-	// minSendOn*workersPerSendOn workers.
-	minSendOn = 40
-	// workersPerSendOn: where more workers report to this node, one in so many is sent on in a second.
-	workersPerSendOn = 12
-	// sendOnBurst is for how many seconds workers may be sent on at once.
-	sendOnBurst = 2
 )
 
 // idleWorkers is how many unused connections to workers are kept. Workers and users that connect
@@ -246,124 +238,13 @@
 	return nil
 }
 
-// handleHeartbeat hands a report to the core if this node is entitled to act: it holds
-// the term as far as it knows, and neither the worker nor a peer has shown a
-// higher token. While the state service is out of reach it goes on renewing
-// leases, since it starts nothing without it.
-func (c *Controller) handleHeartbeat(ctx context.Context, r *wire.Heartbeat) (a wire.HeartbeatResponse, ok bool) {
-	term := c.term.view()
-	if r.FencingToken > term.token {
-		c.observeTerm("", r.FencingToken)
-	}
-	if !term.isLeading() || r.FencingToken > term.leading {
-		return a, false
-	}
-	var fresh chan []wire.Command
-	done := c.owner.call(ctx, func() {
-		if c.owner.leadership == nil || c.owner.leadership.stalledFor > 0 || ctx.Err() != nil {
-			return
-		}
-		a, ok = c.owner.leadership.core.Heartbeat(r, c.now()), true
-		hungry := c.owner.leadership.core.WantsLaunches(r.Host)
-		if hungry {
-			c.owner.requestPass()
-		}
-		c.owner.requestPassIf(c.owner.leadership.core.TakePassNeeded)
-		if hungry && len(c.owner.leadership.waiters) < c.maxWaiters() {
-			fresh = make(chan []wire.Command, 1)
-			c.owner.leadership.waiters = append(c.owner.leadership.waiters, waiter{r.Host, c.owner.leadership.passes, fresh})
-		}
-	})
-	if !ok || !done {
-		return a, false
-	}
-	if fresh != nil {
-		// The machine has room and something waits: the launches that are being
-		// stored right now go with this answer instead of the next one, a
-		// report interval later.
-		t := time.NewTimer(launchWait)
-		defer t.Stop()
-		select {
-		case launches := <-fresh:
-			kept := a.Commands[:0]
-			for _, o := range a.Commands {
-				if o.Op != wire.Launch {
-					kept = append(kept, o)
-				}
-			}
-			a.Commands = append(kept, launches...)
-		case <-t.C:
-		case <-ctx.Done():
-		}
-	}
-	return a, c.term.view().leading == a.FencingToken && c.owner.ranRecently()
-}
-
-// maxWaiters is how many reports may wait for launches at a time: each holds a socket
-// here or at a peer.
-func (c *Controller) maxWaiters() int {
-	return max(minWaiters, c.settings.Deployment.Resources.Sockets/2)
-}
-
-// waiter is a report whose answer waits a moment for launches.
-type waiter struct {
-	host   string
-	passes int
-	fresh  chan<- []wire.Command
-}
-
-const launchWait = 600 * time.Millisecond
-
-// Heartbeat implements api.Service: the leader answers itself, other nodes relay
-// to it, so that no worker has to find it.
-func (c *Controller) Heartbeat(ctx context.Context, r *wire.Heartbeat) (wire.HeartbeatResponse, error) {
-	c.workerContacts.record(r.Host)
-	if a, ok := c.handleHeartbeat(ctx, r); ok {
-		return a, nil
-	}
-	term := c.term.view()
-	if term.isLeading() || term.leader == "" || term.leader == c.settings.Label || r.FencingToken > term.token {
-		return wire.HeartbeatResponse{}, api.ErrUnavailable
-	}
-	p := c.peers[term.leader]
-	if p == nil {
-		return wire.HeartbeatResponse{}, api.ErrUnavailable
-	}
-	a, err := p.Relay(ctx, &peer.RelayRequest{Report: *r})
-	if err != nil {
-		if token, ok := c.mayRenewLease(r); ok {
-			return wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}, nil
-		}
-		if to := c.redirectTarget(term.leader); to != "" {
-			return wire.HeartbeatResponse{}, api.RedirectError{Target: to}
-		}
-		return wire.HeartbeatResponse{}, api.ErrUnavailable
-	}
-	if a.Status != http.StatusOK {
-		return wire.HeartbeatResponse{}, api.ErrNotLeader
-	}
-	return a.Answer, nil
-}
-
-// redirectTarget names a peer that is alive, for a worker whose report the leader did
-// not take. Left to itself the worker tries the nodes in turn and waits 4 s for
-// each that is silent; behind two such nodes its lease runs out. It bounds how many
-// are sent on, since they come back at once while nobody can act: a part of those that
-// report to this node, or a few at a small site.
-func (c *Controller) redirectTarget(but string) string {
-	if !c.workerContacts.mayRedirect() {
-		return ""
-	}
-	return c.peerTable.nextAlive(but, time.Now())
-}
-
 // Ready implements api.Service: requests can be taken while the state service is in
 // reach and the machine types are known, unless the node is about to end.
 func (c *Controller) Ready() error {
 	switch _, ok := c.machineTypes(); {
 	case c.draining.Load():
 		return errors.New("draining: this controller is about to end")
-	case !c.store.Reachable(3 * time.Second):
+	case !c.store.Reachable(storeAnswerAge):
 		return errors.New("the state service is out of reach")
 	case !ok:
 		return errors.New("the machine types are not known yet: the cloud has not answered")
--- a/internal/controller/follower_test.go
+++ b/internal/controller/follower_test.go
@@ -104,7 +104,7 @@
 
 // reignNow is a term of this node that has not loaded anything yet.
 func (w *tended) leadsNow() *leadership {
-	return &leadership{controller: w.Controller, token: w.term, ctx: w.ctx, cancel: func() {}, lease: &lease{}, chunkCounts: map[string]int{}}
+	return newLeadership(w.ctx, w.Controller, w.term, &lease{})
 }
 
 // followed reads the state as a standby does, and lets things happen while it follows.
@@ -161,8 +161,8 @@
 			}
 		}
 		loads += len(a)
-		if fmt.Sprint(cold.staleKeys) != fmt.Sprint(warm.staleKeys) || fmt.Sprint(cold.chunkCounts) != fmt.Sprint(warm.chunkCounts) {
-			t.Fatalf("seed %d: to be tidied up: %v and %v", seed, cold.staleKeys, warm.staleKeys)
+		if fmt.Sprint(cold.staleKeys.keys) != fmt.Sprint(warm.staleKeys.keys) || fmt.Sprint(cold.progress.counts) != fmt.Sprint(warm.progress.counts) {
+			t.Fatalf("seed %d: to be tidied up: %v and %v", seed, cold.staleKeys.keys, warm.staleKeys.keys)
 		}
 	}
 	if loads < 300 {
--- /dev/null
+++ b/internal/controller/heartbeat.go
@@ -0,0 +1,193 @@
+package controller
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"dalefront/internal/api"
+	"dalefront/internal/peer"
+	"dalefront/internal/sched"
+	"dalefront/wire"
+)
+
+const (
+	// minWaiters is how many reports may wait for launches at a time at least.
+	minWaiters = 256
+	// launchWait is how long a report waits for launches.
+	launchWait = 600 * time.Millisecond
+	// maxWaitPasses is for how many scheduling passes it waits.
+	maxWaitPasses = 4
+
+	// minSendOn is how many workers a second are sent on to another node at least. It serves
+	// minSendOn*workersPerSendOn workers.
+	minSendOn = 40
+	// workersPerSendOn: where more workers report to this node, one in so many is sent on in a second.
+	workersPerSendOn = 12
+	// sendOnBurst is for how many seconds workers may be sent on at once.
+	sendOnBurst = 2
+)
+
+// Heartbeat implements api.Service: the leader answers itself, other controllers relay
+// to it, so that no worker has to find it.
+func (c *Controller) Heartbeat(ctx context.Context, report *wire.Heartbeat) (wire.HeartbeatResponse, error) {
+	c.workerContacts.record(report.Host)
+	if response, ok := c.handleHeartbeat(ctx, report); ok {
+		return response, nil
+	}
+	term := c.term.view()
+	if term.isLeading() || term.leader == "" || term.leader == c.settings.Label || report.FencingToken > term.token {
+		return wire.HeartbeatResponse{}, api.ErrUnavailable
+	}
+	leader := c.peers[term.leader]
+	if leader == nil {
+		return wire.HeartbeatResponse{}, api.ErrUnavailable
+	}
+	relayed, err := leader.Relay(ctx, &peer.RelayRequest{Report: *report})
+	switch {
+	case err != nil:
+		return c.answerWithoutLeader(report, term.leader)
+	case relayed.Status != http.StatusOK:
+		return wire.HeartbeatResponse{}, api.ErrNotLeader
+	}
+	return relayed.Answer, nil
+}
+
+// answerWithoutLeader answers a report that the leader did not take: it renews the worker's lease
+// if it may, or sends the worker on.
+func (c *Controller) answerWithoutLeader(report *wire.Heartbeat, leader string) (wire.HeartbeatResponse, error) {
+	if token, ok := c.mayRenewLease(report); ok {
+		return wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}, nil
+	}
+	if target := c.redirectTarget(leader); target != "" {
+		return wire.HeartbeatResponse{}, api.RedirectError{Target: target}
+	}
+	return wire.HeartbeatResponse{}, api.ErrUnavailable
+}
+
+// redirectTarget names a peer that is alive, for a worker whose report the leader did
+// not take. Left to itself the worker tries the controllers in turn and waits 4 s for
+// each that is silent; behind two such controllers its lease runs out. It bounds how many
+// are sent on, since they come back at once while nobody can act: a part of those that
+// report to this controller, or a few at a small site.
+func (c *Controller) redirectTarget(leader string) string {
+	if !c.workerContacts.mayRedirect() {
+		return ""
+	}
+	return c.peerTable.nextAlive(leader, time.Now())
+}
+
+// mayRenewLease says whether this controller may renew the worker's lease by itself: under the
+// leader's permission, which is its token in a heartbeat, while neither the leader nor the state
+// service is in reach. It carries no commands, and nothing is ever freed because time has
+// passed, so a permission that outlives its leader starts nothing twice, and nobody was told of a
+// cancellation whose tasks it keeps alive.
+func (c *Controller) mayRenewLease(report *wire.Heartbeat) (uint64, bool) {
+	if c.store.Reachable(storeAnswerAge) {
+		return 0, false // then another leader can be found
+	}
+	return c.term.mayRenew(report.FencingToken)
+}
+
+// handleHeartbeat hands a report to the core if this controller is entitled to act: it holds
+// the term as far as it knows, and neither the worker nor a peer has shown a
+// higher token. While the state service is out of reach it goes on renewing
+// leases, since it starts nothing without it.
+func (c *Controller) handleHeartbeat(ctx context.Context, report *wire.Heartbeat) (response wire.HeartbeatResponse, ok bool) {
+	term := c.term.view()
+	if report.FencingToken > term.token {
+		c.observeTerm("", report.FencingToken)
+	}
+	if !term.isLeading() || report.FencingToken > term.leading {
+		return response, false
+	}
+	var launches <-chan []wire.Command
+	called := c.owner.call(ctx, func() {
+		if l := c.owner.leadership; l != nil && l.stalledFor == 0 && ctx.Err() == nil {
+			response, launches = l.heartbeat(report)
+			ok = true
+		}
+	})
+	if !ok || !called {
+		return response, false
+	}
+	if launches != nil {
+		awaitLaunches(ctx, launches, &response)
+	}
+	return response, c.term.view().leading == response.FencingToken && c.owner.ranRecently()
+}
+
+// heartbeat hands a report to the core. If the machine has room and something waits, the launches
+// that a pass decides upon are to be waited for. Owner goroutine.
+func (l *leadership) heartbeat(report *wire.Heartbeat) (response wire.HeartbeatResponse, launches <-chan []wire.Command) {
+	owner := l.controller.owner
+	response = l.core.Heartbeat(report, l.controller.now())
+	wantsLaunches := l.core.WantsLaunches(report.Host)
+	if wantsLaunches {
+		owner.requestPass()
+	}
+	owner.requestPassIf(l.core.TakePassNeeded)
+	if wantsLaunches {
+		launches = l.launchWaiters.add(report.Host)
+	}
+	return response, launches
+}
+
+// awaitLaunches waits a moment for launches: those that are being stored right now go with this
+// answer instead of the next one, a report interval later.
+func awaitLaunches(ctx context.Context, launches <-chan []wire.Command, response *wire.HeartbeatResponse) {
+	timeout := time.NewTimer(launchWait)
+	defer timeout.Stop()
+	select {
+	case commands := <-launches:
+		kept := response.Commands[:0]
+		for _, command := range response.Commands {
+			if command.Op != wire.Launch {
+				kept = append(kept, command)
+			}
+		}
+		response.Commands = append(kept, commands...)
+	case <-timeout.C:
+	case <-ctx.Done():
+	}
+}
+
+// launchWaiter is a report whose answer waits a moment for launches.
+type launchWaiter struct {
+	host     string
+	since    int // number of the scheduling pass before it
+	launches chan<- []wire.Command
+}
+
+// launchWaiters are the reports that wait for launches. Owner goroutine.
+type launchWaiters struct {
+	limit   int // how many may wait: each holds a socket here or at a peer
+	passes  int // scheduling passes so far
+	waiting []launchWaiter
+}
+
+// maxLaunchWaiters is how many reports may wait where there are so many sockets.
+func maxLaunchWaiters(sockets int) int { return max(minWaiters, sockets/2) }
+
+// add has a host's report wait; nil means that too many wait.
+func (w *launchWaiters) add(host string) <-chan []wire.Command {
+	if len(w.waiting) >= w.limit {
+		return nil
+	}
+	launches := make(chan []wire.Command, 1)
+	w.waiting = append(w.waiting, launchWaiter{host, w.passes, launches})
+	return launches
+}
+
+// serve answers the reports whose machines a pass has considered and whose launches are stored.
+func (w *launchWaiters) serve(core *sched.Core) {
+	kept := w.waiting[:0]
+	for _, waiter := range w.waiting {
+		if w.passes > waiter.since && !core.HasLaunchInFlight(waiter.host) {
+			waiter.launches <- core.LaunchCommands(waiter.host)
+		} else if w.passes < waiter.since+maxWaitPasses {
+			kept = append(kept, waiter)
+		}
+	}
+	w.waiting = kept
+}
--- a/internal/controller/largesite_test.go
+++ b/internal/controller/largesite_test.go
@@ -74,7 +74,7 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r := &leadership{controller: n, token: 5, ctx: ctx, cancel: cancel}
+	r := newLeadership(ctx, n, 5, &lease{})
 	cat := wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 4, Zones: []string{"x"}}}}
 	r.core = sched.New(n.settings, 5, n.now(), cat, func(string, ...any) {})
 	n.owner.leadership = r
@@ -86,7 +86,15 @@
 		list = append(list, wire.Machine{ID: hosts[i], Addr: "a", Type: "s", Zone: "x", State: wire.MachineRunning})
 	}
 	r.core.MachinesListed(list, n.now())
-	r.cloudRound(hosts, nil, false)
+	r.fleet.startRound(fleetRound{returns: hosts})
+	for deadline := time.After(10 * time.Second); r.fleet.task.running; {
+		select {
+		case f := <-n.owner.queue:
+			f()
+		case <-deadline:
+			t.Fatal("the round has not ended")
+		}
+	}
 	var sizes []int
 	for _, h := range asked {
 		sizes = append(sizes, len(h))
@@ -97,15 +105,9 @@
 	if !slices.Equal(slices.Concat(asked...), hosts) {
 		t.Error("not each machine was given back once")
 	}
-	for len(n.owner.queue) > 0 {
-		(<-n.owner.queue)()
-	}
 	if known, _ := r.core.FleetSize(); r.core.Stats.ScaledIn != len(hosts)-cloud.MaxReturn || known != cloud.MaxReturn {
 		t.Errorf("%d machines are gone and %d are left; only those of the request that was refused should be", r.core.Stats.ScaledIn, known)
 	}
-	if r.busyCloud {
-		t.Error("the round has not ended")
-	}
 }
 
 // Past the socket limit new connections fail, to the state service as well: with all connections
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -176,14 +176,3 @@
 	}
 	return "class"
 }
-
-// logServiceShares logs what each class and team has had, and warns of those that are behind.
-func (l *leadership) logServiceShares() {
-	for _, s := range l.core.ServiceShares(mostServed) {
-		l.controller.log.Info("served", "of", kindOf(&s), "name", s.Name, "submitted", s.Submitted, "begun", s.Started, "done", s.Done, "late", s.Late,
-			"cancelled", s.Cancelled, "waiting", s.Waiting, "share", s.Share)
-		if s.Underserved {
-			l.controller.log.Warn(kindOf(&s)+" starves", "name", s.Name, "share", s.Share, "for_us", s.UnderservedFor, "why", s.WaitReason)
-		}
-	}
-}
--- a/internal/controller/peerheartbeat.go
+++ b/internal/controller/peerheartbeat.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"dalefront/internal/peer"
-	"dalefront/wire"
 )
 
 // heartbeatPeer exchanges what is known about the term with a peer.
@@ -55,18 +54,6 @@
 	}
 }
 
-// mayRenewLease says whether this node may renew the worker's lease by itself: under the
-// leader's grant, which is its token in a hello, while neither the leader nor the state
-// service is in reach. It carries no commands, and nothing is ever freed because time has
-// passed, so a grant that outlives its leader starts nothing twice, and nobody was told of a
-// cancellation whose tasks it keeps alive.
-func (c *Controller) mayRenewLease(r *wire.Heartbeat) (uint64, bool) {
-	if c.store.Reachable(3 * time.Second) {
-		return 0, false // then another leader can be found
-	}
-	return c.term.mayRenew(r.FencingToken)
-}
-
 func (c *Controller) newHeartbeat() *peer.Heartbeat {
 	term := c.term.view()
 	h := &peer.Heartbeat{From: c.settings.Label, Leader: term.leader, Token: term.token, ProcessID: c.processID, Leading: term.isLeading() && term.leading == term.token}
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -154,19 +154,19 @@
 	inForce := c.config.current()
 	core := sched.New(inForce.settings, l.token, now, cat, func(msg string, args ...any) { c.log.Info(msg, args...) })
 	core.Configure(inForce.settings, inForce.cordons, inForce.version, now)
-	l.staleKeys, l.chunkCounts, l.chunkVersions = nil, map[string]int{}, map[string]uint64{}
+	l.staleKeys.keys = nil
+	l.progress.reset()
 	for _, rec := range s.jobs {
 		core.AddJob(rec.Job, rec.SubmittedAt, now)
 		c.setKnown(rec.Job.ID)
 	}
 	for _, chunk := range s.chunks {
 		if _, _, _, known := core.Counts(chunk.id); !known {
-			l.staleKeys = append(l.staleKeys, chunk.key) // left by a job that is over and gone
+			l.staleKeys.add(chunk.key) // left by a job that is over and gone
 			continue
 		}
 		core.SetProgress(chunk.id, chunk.index, chunk.text)
-		l.chunkVersions[chunk.key] = chunk.version
-		l.chunkCounts[chunk.id] = max(l.chunkCounts[chunk.id], chunk.index+1)
+		l.progress.record(chunk.id, chunk.index, chunk.version)
 	}
 	core.RecoverLedger(s.ledger)
 	if s.learned != nil {
@@ -174,7 +174,7 @@
 	}
 	// The machines of a hire whose answer was lost show up in the list and in reports, and
 	// are adopted; the name is never used again.
-	l.staleKeys = append(l.staleKeys, s.hires...)
+	l.staleKeys.add(s.hires...)
 	for _, e := range s.ends {
 		if e.Status == wire.JobDone {
 			c.rememberFinal(e.status(e.id))
--- a/internal/controller/recurring.go
+++ b/internal/controller/recurring.go
@@ -55,13 +55,15 @@
 // submitRecurring decides what is due and has it stored, one batch at a time: as many
 // schedules as a transaction takes, two changes for each that runs. Owner goroutine.
 func (l *leadership) submitRecurring() {
-	if l.recurring == nil || l.busyRecur {
+	if l.recurring == nil || l.recurringRuns.running {
 		return
 	}
 	most := max(1, min(l.controller.settings.Deployment.State.TxnOps/4, 8))
 	if ds := l.recurring.Due(time.Now().UnixMicro(), most, jobs{l}); len(ds) > 0 {
-		l.busyRecur = true
-		go l.storeRuns(ds)
+		l.startTask(&l.recurringRuns, func() func() {
+			l.storeRuns(ds)
+			return nil
+		})
 	}
 }
 
@@ -85,7 +87,6 @@
 	case <-l.ctx.Done():
 	case <-time.After(time.Duration(float64(changes) * 8 / max(c.settings.Deployment.State.WriteRPS, 1) * float64(time.Second))):
 	}
-	c.owner.post(func() { l.busyRecur = false })
 }
 
 // storeDecisions runs one transaction: each schedule's state is what the decision
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -59,8 +59,7 @@
 		return false
 	}
 	c.log.Info("hands the term over", "token", r.token)
-	c.term.resign(r.token)
-	r.stepDown()
+	r.resign()
 	return true
 }
 
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -41,7 +41,7 @@
 			return
 		case <-time.After(rest):
 		}
-		if !c.store.Reachable(3*time.Second) || !c.owner.ranRecently() {
+		if !c.store.Reachable(storeAnswerAge) || !c.owner.ranRecently() {
 			continue
 		}
 		began := time.Now()
@@ -88,7 +88,7 @@
 			return
 		case <-time.After(every):
 		}
-		if !c.store.Reachable(3*time.Second) || !c.owner.ranRecently() {
+		if !c.store.Reachable(storeAnswerAge) || !c.owner.ranRecently() {
 			continue
 		}
 		snap, err := snapshot.Take(ctx, store, copyPrefixes, nothing, c.now)
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -50,7 +50,7 @@
 		}
 		svc.Set(termKey, termRecord{Node: "a", Mark: "a.1"})
 		e, _ := svc.Entry(termKey)
-		r := &leadership{controller: n, token: e.Version, ctx: context.Background()}
+		r := newLeadership(context.Background(), n, e.Version, &lease{})
 		if r.loadCopy() != nil {
 			t.Fatal("there is no copy yet")
 		}
@@ -118,7 +118,7 @@
 	}
 	svc.Set(termKey, termRecord{Node: "a", Mark: "a.1"})
 	e, _ := svc.Entry(termKey)
-	r := &leadership{controller: n, token: e.Version, ctx: kvstore.Urgent(context.Background()), chunkCounts: map[string]int{}}
+	r := newLeadership(context.Background(), n, e.Version, &lease{})
 	if copies {
 		snap, err := snapshot.Take(r.ctx, n.store, copyPrefixes, nothing, n.now)
 		if err == nil {
--- a/internal/controller/stall_test.go
+++ b/internal/controller/stall_test.go
@@ -29,7 +29,8 @@
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		r := &leadership{controller: n, token: 5, ctx: ctx, cancel: cancel, core: sched.New(n.settings, 5, n.now(), wire.Catalog{}, func(string, ...any) {})}
+		r := newLeadership(ctx, n, 5, &lease{})
+		r.core = sched.New(n.settings, 5, n.now(), wire.Catalog{}, func(string, ...any) {})
 		n.owner.leadership = r
 		n.term.observe("", 5)
 		n.term.startLeading(5)
@@ -42,7 +43,7 @@
 		if _, ok := n.handleHeartbeat(ctx, &rep); ok {
 			t.Errorf("%s: a report was answered before the term was read", c.name)
 		}
-		if r.schedule(); r.passes > 0 {
+		if r.schedule(); r.launchWaiters.passes > 0 {
 			t.Errorf("%s: scheduled before the term was read", c.name)
 		}
 		(<-n.owner.queue)() // what reading the term leads to
@@ -67,7 +68,7 @@
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		r := &leadership{controller: n, token: 5, ctx: ctx, cancel: cancel}
+		r := newLeadership(ctx, n, 5, &lease{})
 		n.owner.lastRun.Store(n.now())
 		if got := r.holdsTerm(); got != (code == 200) {
 			t.Errorf("the service answers %d: may return machines %v", code, got)
--- /dev/null
+++ b/internal/controller/statuslog.go
@@ -0,0 +1,44 @@
+package controller
+
+import (
+	"fmt"
+
+	"dalefront/internal/config"
+)
+
+const (
+	// statusLogInterval is how often a leader logs its status.
+	statusLogInterval = 10 * config.Second
+	// waitingJobsLogged is how many of the jobs that wait longest are named.
+	waitingJobsLogged = 3
+)
+
+// logStatus logs what waits, what the machines do and how classes and teams are served. Owner goroutine.
+func (l *leadership) logStatus() {
+	log := l.controller.log
+	jobs, tasks := l.core.Waiting()
+	log.Info("leader", "waiting_jobs", jobs, "waiting_tasks", tasks, "stats", fmt.Sprintf("%+v", l.core.Stats))
+	log.Info("work", l.controller.owner.stats.take()...)
+	classes, types := l.core.Usages()
+	for _, class := range classes {
+		log.Info("class", "name", class.Name, "tasks", class.Tasks)
+	}
+	for _, machines := range types {
+		log.Info("machines", "type", machines.Name, "up", machines.Up, "idle", machines.Idle, "kept", machines.Reserved, "tasks", machines.Tasks, "free_cpus", int(machines.Free))
+	}
+	l.logServiceShares()
+	for _, job := range l.core.WaitingJobs(waitingJobsLogged) {
+		log.Info("waits", "job", job.Job, "class", job.Class, "team", job.Team, "tasks", job.Tasks, "age_us", job.Age, "why", job.Reason, "room", job.Room, "held", job.Reserved)
+	}
+}
+
+// logServiceShares logs what each class and team has had, and warns of those that are underserved.
+func (l *leadership) logServiceShares() {
+	log := l.controller.log
+	for _, s := range l.core.ServiceShares(mostServed) {
+		log.Info("served", "of", kindOf(&s), "name", s.Name, "submitted", s.Submitted, "begun", s.Started, "done", s.Done, "late", s.Late, "cancelled", s.Cancelled, "waiting", s.Waiting, "share", s.Share)
+		if s.Underserved {
+			log.Warn(kindOf(&s)+" starves", "name", s.Name, "share", s.Share, "for_us", s.UnderservedFor, "why", s.WaitReason)
+		}
+	}
+}
