--- a/internal/sched/explain.go
+++ b/internal/sched/explain.go
@@ -80,6 +80,17 @@
 	return w
 }
 
+// Waiting reports how many jobs wait, and tasks of theirs, for logs and metrics.
+func (c *Core) Waiting() (jobs, tasks int) {
+	for _, j := range c.jobs {
+		if n := j.pendingCount(); n > 0 {
+			jobs++
+			tasks += n
+		}
+	}
+	return jobs, tasks
+}
+
 // cordonedOff is a cordon that keeps the job off a machine that it could use, nil for none.
 func (c *Core) cordonedOff(j *job) *dynconfig.Cordon {
 	if len(c.cordons) == 0 {
--- /dev/null
+++ b/internal/sched/fit.go
@@ -0,0 +1,92 @@
+package sched
+
+import (
+	"math"
+	"slices"
+
+	"dalefront/wire"
+)
+
+// maxSlots bounds the tasks of one job that one machine is thought to have room for; a machine
+// never runs more than maxTasksPerMachine.
+const maxSlots = 1000
+
+// allowed says whether the job may run on the machine's type, zone and kind at
+// all, apart from its other tasks.
+func allowed(j *job, m *machine) bool {
+	if m.spot && !j.spec.Spot {
+		return false
+	}
+	if j.spec.Zone != nil && *j.spec.Zone != m.zone {
+		return false
+	}
+	return j.spec.Types == nil || slices.Contains(j.spec.Types, m.machineType.Name)
+}
+
+// hasRoom says whether the machine has room for n more tasks of the job.
+func hasRoom(j *job, m *machine, n int) bool {
+	f := float64(n)
+	return m.usedCPUs+f*j.spec.CPUs <= m.machineType.CPUs+epsilon && m.usedGPUs+f*j.spec.GPUs <= m.machineType.GPUs+epsilon &&
+		m.usedMemoryGB+f*j.spec.MemoryGB <= m.machineType.MemoryGB+epsilon
+}
+
+// slotsFor is how many tasks of the job a machine of the type could take of which so much is used.
+func slotsFor(j *job, t *wire.MachineType, cpus, gpus, mem float64) int {
+	n := math.Inf(1)
+	for _, x := range [...]struct{ asked, left float64 }{{j.spec.CPUs, t.CPUs - cpus}, {j.spec.GPUs, t.GPUs - gpus}, {j.spec.MemoryGB, t.MemoryGB - mem}} {
+		if x.asked > 0 {
+			n = min(n, math.Floor((x.left+epsilon)/x.asked))
+		}
+	}
+	return max(0, int(min(n, maxSlots)))
+}
+
+// tasksByZone counts, for each zone, the job's tasks that may be there.
+func (j *job) tasksByZone() map[string]int {
+	tasks := map[string]int{}
+	for p := range j.placements {
+		tasks[p.machine.zone]++
+	}
+	return tasks
+}
+
+// zoneLimit is how many tasks of a job that is to be spread may be in one zone.
+func (j *job) zoneLimit() int { return (j.spec.Tasks + 1) / 2 }
+
+// satisfiesZones applies OneZone and Spread to one more task of the job in a zone, counting every
+// task that may be placed.
+func satisfiesZones(j *job, tasksByZone map[string]int, zone string) bool {
+	if j.spec.OneZone {
+		for z, n := range tasksByZone {
+			if n > 0 && z != zone {
+				return false
+			}
+		}
+	}
+	return !j.spec.Spread || tasksByZone[zone] < j.zoneLimit()
+}
+
+// atTeamLimit says whether its team's limit keeps the job from starting anything now.
+func (j *job) atTeamLimit() bool {
+	n := 1.0
+	if j.isGang() {
+		n = float64(j.pendingCount())
+	}
+	return !j.team.withinLimit(n*j.spec.CPUs, n*j.spec.GPUs)
+}
+
+// minimumRequest is the least that a task of some jobs asks for: a machine without room for it
+// has none for any of them.
+type minimumRequest struct{ cpus, mem float64 }
+
+func emptyRequest() minimumRequest { return minimumRequest{math.Inf(1), math.Inf(1)} }
+
+// add takes one more job into account.
+func (r *minimumRequest) add(j *job) {
+	r.cpus, r.mem = min(r.cpus, j.spec.CPUs), min(r.mem, j.spec.MemoryGB)
+}
+
+// fits says whether it fits a machine of the type of which so much is used.
+func (r *minimumRequest) fits(t *wire.MachineType, cpus, mem float64) bool {
+	return cpus+r.cpus <= t.CPUs+epsilon && mem+r.mem <= t.MemoryGB+epsilon
+}
--- a/internal/sched/fleet.go
+++ b/internal/sched/fleet.go
@@ -143,9 +143,6 @@
 	// site. What ran on dead machines starts anew only once their return is confirmed, so a zone
 	// that died should be given back within some ten rounds, however large it is.
 	machinesPerReturn = 16
-	// maxSlots bounds the tasks of one job that one machine is thought to have room for; a machine
-	// never runs more than maxOnMachine.
-	maxSlots = 1000
 )
 
 // maxReturns is how many machines a round gives back.
@@ -444,17 +441,6 @@
 	return least
 }
 
-// slotsFor is how many tasks of the job the machine could still take.
-func slotsFor(j *job, t *wire.MachineType, cpus, gpus, mem float64) int {
-	n := math.Inf(1)
-	for _, x := range [][2]float64{{j.spec.CPUs, t.CPUs - cpus}, {j.spec.GPUs, t.GPUs - gpus}, {j.spec.MemoryGB, t.MemoryGB - mem}} {
-		if x[0] > 0 {
-			n = min(n, math.Floor((x[1]+epsilon)/x[0]))
-		}
-	}
-	return max(0, int(min(n, maxSlots)))
-}
-
 // heaviestJob is a job of the class that brings most work in teams with guarantees.
 func (c *Core) heaviestJob(now Micros) *job {
 	var best *job
--- a/internal/sched/gangplacement.go
+++ b/internal/sched/gangplacement.go
@@ -1,144 +1,206 @@
 package sched
 
-import "sort"
+import (
+	"cmp"
+	"slices"
+)
 
 // placeGang places all missing tasks of a gang or none; false says that it lacks
 // room. A waiting attempt that lost a task gets a replacement with the same
 // attempt number; a broken one is cleared away first.
 func (ps *pass) placeGang(j *job) bool {
 	if j.gangBroken || (j.gangStarted && len(j.placements) > 0) {
-		for _, p := range j.sortedPlacements() {
-			if !p.checkpointing {
-				ps.core.stopPlacement(p, false)
-			}
-		}
+		ps.core.stopGang(j)
 		return true
 	}
-	for p := range j.placements {
-		if p.stopping {
-			return true // an old attempt is still leaving
-		}
-	}
-	if j.atTeamLimit() {
+	if j.isLeaving() || j.atTeamLimit() {
 		return true
 	}
-	for _, z := range ps.gangZones(j, j.pendingCount()) {
-		if ps.placeGangIn(j, z) {
+	return slices.ContainsFunc(ps.gangZones(j, j.pendingCount()), func(zone string) bool {
+		return ps.placeGangIn(j, zone)
+	})
+}
+
+// stopGang stops what is left of a gang's attempt, but for tasks that are saving.
+func (c *Core) stopGang(j *job) {
+	for _, p := range j.sortedPlacements() {
+		if !p.checkpointing {
+			c.stopPlacement(p, false)
+		}
+	}
+}
+
+// isLeaving says whether a task of the job was told to stop and may still be on its machine.
+func (j *job) isLeaving() bool {
+	for p := range j.placements {
+		if p.stopping {
 			return true
 		}
 	}
 	return false
 }
 
+// gangAttempt is an attempt to place all missing tasks of a gang.
+type gangAttempt struct {
+	job         *job
+	machines    []*machine // in the order in which they were chosen
+	placed      map[*machine][]*placement
+	tasks       int
+	hostBytes   int  // what naming the machines takes of the batch
+	outOfPlaces bool // not all missing tasks were placed
+}
+
 // placeGangIn places the missing tasks in a zone, or anywhere if it is empty.
 func (ps *pass) placeGangIn(j *job, zone string) bool {
-	b := ps.batch
 	before := j.gangAttempt
-	if j.gangAttempt == 0 {
+	if before == 0 {
 		j.gangAttempt = ps.core.nextAttempt()
 	}
-	got := map[*machine][]*placement{}
-	var order []*machine
-	used := j.tasksByZone()
-	all := ps.candidates(j, used, zone)
-	hosts, n := 0, 0
-	var m *machine
-	for t := int32(0); t < int32(j.spec.Tasks); t++ {
-		if j.placementsByTask[t] > 0 {
+	attempt := ps.placeMissing(j, zone)
+	if ps.reserveBatch(attempt) {
+		for _, m := range attempt.machines {
+			ps.batch.add(attempt.placed[m]...)
+		}
+		return true
+	}
+	for _, m := range attempt.machines {
+		for _, p := range attempt.placed[m] {
+			ps.core.release(p)
+		}
+	}
+	j.gangAttempt = before
+	return false
+}
+
+// placeMissing places the gang's missing tasks, as many as there is room for.
+func (ps *pass) placeMissing(j *job, zone string) *gangAttempt {
+	attempt := &gangAttempt{job: j, placed: map[*machine][]*placement{}}
+	tasksByZone := j.tasksByZone()
+	machines := ps.candidates(j, tasksByZone, zone)
+	var current *machine
+	for task := int32(0); task < int32(j.spec.Tasks); task++ {
+		if j.placementsByTask[task] > 0 {
 			continue
 		}
-		if m == nil || !ps.canTakeTask(j, m, used) {
-			if m = ps.popBest(&all, j, used); m == nil {
+		if current == nil || !ps.canTakeTask(j, current, tasksByZone) {
+			current = ps.popBest(&machines, j, tasksByZone)
+			if current == nil {
 				break
 			}
-			order = append(order, m)
-			hosts += b.cost(m)
-		}
-		n++
-		got[m] = append(got[m], ps.core.addPlacement(j, t, m, j.gangAttempt))
-		used[m.zone]++
-	}
-	fits := m != nil && b.fits(j, hosts, len(order), n)
-	if m != nil && !fits && !b.fitsAlone(hosts, len(order), n) {
-		// It takes several transactions, and a batch of its own.
-		if fits = len(b.placements) == 0; fits {
-			b.large = true
-		} else if ps.core.nextGang == nil {
-			ps.core.nextGang = j
+			attempt.machines = append(attempt.machines, current)
+			attempt.hostBytes += ps.batch.cost(current)
 		}
+		attempt.tasks++
+		attempt.placed[current] = append(attempt.placed[current], ps.core.addPlacement(j, task, current, j.gangAttempt))
+		tasksByZone[current.zone]++
 	}
-	if fits {
-		for _, m := range order {
-			b.add(got[m]...)
-		}
+	attempt.outOfPlaces = current == nil
+	return attempt
+}
+
+// reserveBatch says whether the pass's batch can take a complete attempt. One that doesn't fit
+// even an empty batch's transaction takes several, and a batch of its own: if there is something
+// in this one already, the next pass begins with the gang.
+func (ps *pass) reserveBatch(attempt *gangAttempt) bool {
+	if attempt.outOfPlaces {
+		return false
+	}
+	b, runs := ps.batch, len(attempt.machines)
+	if b.fits(attempt.job, attempt.hostBytes, runs, attempt.tasks) {
 		return true
 	}
-	attempt := j.gangAttempt
-	for _, m := range order {
-		for _, p := range got[m] {
-			ps.core.release(p)
-		}
+	if b.fitsAlone(attempt.hostBytes, runs, attempt.tasks) {
+		return false
+	}
+	if len(b.placements) == 0 {
+		b.large = true
+		return true
 	}
-	if j.gangAttempt = attempt; before == 0 {
-		j.gangAttempt = 0
+	if ps.core.nextGang == nil {
+		ps.core.nextGang = attempt.job
 	}
 	return false
 }
 
+// zoneRoom is how much room a zone has for a gang.
+type zoneRoom struct {
+	zone      string
+	slots     int
+	preferred float64 // slots, those that the tasks would rather not have counting less
+}
+
+// leftover is small for a zone that has little room left beside the gang.
+func (r *zoneRoom) leftover() float64 {
+	return float64(r.slots) * float64(r.slots) / max(r.preferred, 0.01)
+}
+
 // gangZones lists the zones that have room for all missing tasks; a job without a
 // zone rule gets the empty one. The zone that has least room comes first, so that
 // small gangs don't cut up the room that large ones need; where the tasks would
 // rather not be (their image is missing) counts as room that is left.
 func (ps *pass) gangZones(j *job, missing int) []string {
-	used := j.tasksByZone()
-	room, like := map[string]int{}, map[string]float64{}
-	share := map[string]int{} // of a zone, for tasks that are to be spread
+	tasksByZone := j.tasksByZone()
+	var fitting []*zoneRoom
+	for _, room := range ps.roomByZone(j, tasksByZone) {
+		if room.slots >= missing {
+			fitting = append(fitting, room)
+		}
+	}
+	slices.SortFunc(fitting, func(a, b *zoneRoom) int {
+		return cmp.Or(cmp.Compare(a.leftover(), b.leftover()), cmp.Compare(a.zone, b.zone))
+	})
+	if j.spec.Tasks == 1 && len(fitting) > 1 { // a lone task goes where it starts first
+		if m := ps.findMachine(j, tasksByZone); m != nil {
+			return []string{m.zone}
+		}
+	}
+	zones := make([]string, len(fitting))
+	for i, room := range fitting {
+		zones[i] = room.zone
+	}
+	return zones
+}
+
+// roomByZone sums up the room for a gang's tasks, in all under the empty name if it has no zone
+// rule.
+func (ps *pass) roomByZone(j *job, tasksByZone map[string]int) map[string]*zoneRoom {
+	rooms := map[string]*zoneRoom{}
+	spread := map[string]int{} // what counts of a zone, for tasks that are to be spread
 	for _, m := range ps.withRoom {
-		n := ps.slotsOn(j, m, used)
+		slots := ps.slotsOn(j, m, tasksByZone)
 		if j.spec.Spread {
-			n = max(0, min(n, j.zoneLimit()-used[m.zone]-share[m.zone]))
-			share[m.zone] += n
+			slots = max(0, min(slots, j.zoneLimit()-tasksByZone[m.zone]-spread[m.zone]))
+			spread[m.zone] += slots
 		}
-		if n == 0 {
+		if slots == 0 {
 			continue
 		}
-		z := m.zone
-		if !j.spec.OneZone {
-			z = ""
+		zone := j.gangZone(m)
+		if rooms[zone] == nil {
+			rooms[zone] = &zoneRoom{zone: zone}
 		}
-		room[z] += n
-		like[z] += float64(n) / (1 + ps.placementScore(j, m))
+		rooms[zone].slots += slots
+		rooms[zone].preferred += float64(slots) / (1 + ps.placementScore(j, m))
 	}
-	var zs []string
-	for z, n := range room {
-		if n >= missing {
-			zs = append(zs, z)
-		}
-	}
-	sort.Slice(zs, func(a, b int) bool {
-		x, y := zs[a], zs[b]
-		kx, ky := float64(room[x])*float64(room[x])/max(like[x], 0.01), float64(room[y])*float64(room[y])/max(like[y], 0.01)
-		if kx != ky {
-			return kx < ky
-		}
-		return x < y
-	})
-	if j.spec.Tasks == 1 && len(zs) > 1 { // a lone task goes where it starts first
-		if m := ps.findMachine(j, used, ""); m != nil {
-			zs = []string{m.zone}
-		}
+	return rooms
+}
+
+// gangZone is the zone of a machine if all tasks of the gang must be in one, otherwise empty.
+func (j *job) gangZone(m *machine) string {
+	if j.spec.OneZone {
+		return m.zone
 	}
-	return zs
+	return ""
 }
 
 // slotsOn is how many tasks of the job the machine could take now.
-func (ps *pass) slotsOn(j *job, m *machine, used map[string]int) int {
-	if !hasRoom(j, m, 1) || !ps.canTakeTask(j, m, used) || ps.reservedAgainst(j, m) {
+func (ps *pass) slotsOn(j *job, m *machine, tasksByZone map[string]int) int {
+	if !hasRoom(j, m, 1) || !ps.canTakeTask(j, m, tasksByZone) || ps.reservedAgainst(j, m) {
 		return 0
 	}
-	n := min(slotsFor(j, m.machineType, m.usedCPUs, m.usedGPUs, m.usedMemoryGB), maxTasksPerMachine-m.placementCount)
+	slots := min(slotsFor(j, m.machineType, m.usedCPUs, m.usedGPUs, m.usedMemoryGB), maxTasksPerMachine-m.placementCount)
 	if j.spec.Spread {
-		n = min(n, j.zoneLimit()-used[m.zone])
+		slots = min(slots, j.zoneLimit()-tasksByZone[m.zone])
 	}
-	return n
+	return slots
 }
--- a/internal/sched/gangplan.go
+++ b/internal/sched/gangplan.go
@@ -559,7 +559,7 @@
 			left = 3600 * second
 		default:
 			// Later than expected is likely to be a while later still.
-			left = p.job.expectedRunTime() + Micros(ps.core.imageFetchS(p.job, m)*float64(second))
+			left = p.job.expectedRunTime() + Micros(m.imageFetchS(p.job, ps.core.now)*float64(second))
 			if p.runningSince > 0 {
 				left = max(p.job.expectedRunTime()-(ps.core.now-p.runningSince), p.job.expectedRunTime()/4)
 			}
--- a/internal/sched/pass.go
+++ b/internal/sched/pass.go
@@ -1,6 +1,10 @@
 package sched
 
-import "slices"
+import (
+	"slices"
+
+	"dalefront/internal/config"
+)
 
 // pass is what one scheduling pass knows of the machines and of the jobs that wait, and what
 // it decides. A pass is made anew by each call of Schedule. The core keeps the last one: what
@@ -129,6 +133,14 @@
 	ps.withRoom = ps.schedulable
 }
 
+// isSchedulable says whether the machine may get launches now. Only a machine whose
+// worker has confirmed this term's token in its present incarnation is known well
+// enough.
+func (c *Core) isSchedulable(m *machine) bool {
+	return m.confirmed && !m.scalingIn && !m.leaseExpired && !m.failed && !m.quarantined && m.reclaimAt == 0 && m.cordon == nil &&
+		c.now >= m.avoidUntil && c.now-m.lastHeartbeat < 2*config.Micro(c.settings.Deployment.Workers.ReportS)+second
+}
+
 // filterWithRoom leaves out the machines that have no room for even the least that a waiting
 // job asks for: within a pass they only get fuller. When much waits nearly all are full, and
 // each job would look at all of them.
--- /dev/null
+++ b/internal/sched/placetasks.go
@@ -0,0 +1,163 @@
+package sched
+
+import (
+	"container/heap"
+	"math"
+)
+
+// findMachine returns the best machine for a task now, nil for none.
+func (ps *pass) findMachine(j *job, tasksByZone map[string]int) *machine {
+	var best *machine
+	bestScore := math.Inf(1)
+	for _, m := range ps.withRoom { // in the order of their names
+		if !ps.canTakeTask(j, m, tasksByZone) || ps.reservedAgainst(j, m) {
+			continue
+		}
+		if score := ps.preference(j, m); score < bestScore {
+			best, bestScore = m, score
+		}
+	}
+	return best
+}
+
+// canTakeTask says whether a schedulable machine may take another task of the job.
+func (ps *pass) canTakeTask(j *job, m *machine, tasksByZone map[string]int) bool {
+	if j.rank < m.claimedByRank || !hasRoom(j, m, 1) || !allowed(j, m) || m.placementCount >= maxTasksPerMachine {
+		return false
+	}
+	if !satisfiesZones(j, tasksByZone, m.zone) || ps.claimedByGuaranteed(j, m) {
+		return false
+	}
+	return j.spec.GPUs > 0 || m.machineType.GPUs == 0 || ps.core.firstComeFirstServed || ps.mayBlockGPUs(j, m)
+}
+
+// reservedAgainst says whether the machine is reserved for another job. A task that is
+// expected to be gone before that job can use it may run in the meantime.
+func (ps *pass) reservedAgainst(j *job, m *machine) bool {
+	now, holder := ps.core.now, m.reservedFor
+	if holder == nil || holder == j || now >= m.reservedUntil || holder.rank < j.rank || holder.isOver() {
+		return false
+	}
+	if holder.rank == j.rank && holder.withinGuarantee == j.withinGuarantee && j.underserved() && !holder.underserved() {
+		return false
+	}
+	starved := ps.core.starved(j)
+	if (m.reservationStart > now+worthWaiting || starved) && holder.rank > j.rank {
+		return false // it is preempted when the gang's other machines are there
+	}
+	if starved && m.placementCount == 0 && now-m.idleSince > starvationAfter {
+		return false // reserved in vain for so long: that gang may wait for what can't be had
+	}
+	if m.reservationStart == 0 || j.spec.EstimateS == 0 {
+		return true
+	}
+	fetch := Micros(m.imageFetchS(j, now) * float64(second))
+	return now+j.expectedRunTime()*3/2+fetch > m.reservationStart
+}
+
+// candidate is a machine that may take tasks of a job.
+type candidate struct {
+	machine *machine
+	score   float64 // how much the tasks would rather not go there
+	order   int     // of the machines' names
+}
+
+// candidates is a heap, the best first, equal ones in the order of their names.
+type candidates []candidate
+
+// Len is part of heap.Interface.
+func (h candidates) Len() int { return len(h) }
+
+// Swap is part of heap.Interface.
+func (h candidates) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
+
+// Less is part of heap.Interface.
+func (h candidates) Less(a, b int) bool {
+	return h[a].score < h[b].score || (h[a].score == h[b].score && h[a].order < h[b].order)
+}
+
+// Push is part of heap.Interface.
+func (h *candidates) Push(x any) { *h = append(*h, x.(candidate)) }
+
+// Pop is part of heap.Interface.
+func (h *candidates) Pop() any {
+	last := len(*h) - 1
+	x := (*h)[last]
+	*h = (*h)[:last]
+	return x
+}
+
+// candidates weighs all machines, or those of one zone, for a job once. While it is placed its
+// tasks change the score of the machine that they fill alone, and that one is filled until it
+// takes no more.
+func (ps *pass) candidates(j *job, tasksByZone map[string]int, zone string) candidates {
+	var found candidates
+	for i, m := range ps.withRoom {
+		if (zone == "" || m.zone == zone) && ps.canTakeTask(j, m, tasksByZone) && !ps.reservedAgainst(j, m) {
+			found = append(found, candidate{m, ps.preference(j, m), i})
+		}
+	}
+	heap.Init(&found)
+	return found
+}
+
+// popBest takes the best of the candidates that may still take a task, or returns nil. One whose
+// zone has had its share of the job meanwhile may not.
+func (ps *pass) popBest(all *candidates, j *job, tasksByZone map[string]int) *machine {
+	for len(*all) > 0 {
+		if m := heap.Pop(all).(candidate).machine; ps.canTakeTask(j, m, tasksByZone) {
+			return m
+		}
+	}
+	return nil
+}
+
+// placeTasks places tasks of a job that is no gang, and preempts for it if there is no room. It
+// fills machine after machine: the best one for a task is also the best for the job's next one,
+// since it only gets fuller.
+func (ps *pass) placeTasks(j *job) {
+	limit := ps.core.concurrencyLimit(j)
+	if !ps.mayPlaceMore(j, limit) {
+		return
+	}
+	tasksByZone := j.tasksByZone()
+	machines := ps.candidates(j, tasksByZone, "")
+	attempt := uint64(0)
+	for ps.mayPlaceMore(j, limit) {
+		m := ps.popBest(&machines, j, tasksByZone)
+		if m == nil {
+			ps.preemptFor(j)
+			return
+		}
+		if attempt == 0 {
+			attempt = ps.core.nextAttempt()
+		}
+		placed := ps.fillMachine(j, m, attempt, limit, tasksByZone)
+		if len(placed) == 0 {
+			return // the batch is full
+		}
+		ps.batch.add(placed...)
+	}
+}
+
+// mayPlaceMore says whether a task of the job waits and may be placed: its job has fewer than
+// limit on machines, and its team's limit, which counts tasks that can't be seen, leaves room.
+func (ps *pass) mayPlaceMore(j *job, limit int) bool {
+	_, waits := j.nextPendingTask()
+	return waits && len(j.placements) < limit && !j.atTeamLimit()
+}
+
+// fillMachine places as many tasks of the job on the machine as it, the batch, and the limits
+// allow.
+func (ps *pass) fillMachine(j *job, m *machine, attempt uint64, limit int, tasksByZone map[string]int) (placed []*placement) {
+	for len(j.placements) < limit && ps.batch.fits(j, ps.batch.cost(m), 1, len(placed)+1) &&
+		ps.canTakeTask(j, m, tasksByZone) && j.team.withinLimit(j.spec.CPUs, j.spec.GPUs) {
+		task, waits := j.nextPendingTask()
+		if !waits {
+			break
+		}
+		placed = append(placed, ps.core.addPlacement(j, task, m, attempt))
+		tasksByZone[m.zone]++
+	}
+	return placed
+}
--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -4,6 +4,7 @@
 	"sort"
 
 	"dalefront/internal/config"
+	"dalefront/wire"
 )
 
 // victim is a task, or a whole gang, that might make room on a machine.
@@ -292,3 +293,8 @@
 	}
 	return out, len(out) > 0 && tcpus <= cpus+epsilon && tgpus <= gpus+epsilon && j.spec.MemoryGB <= mem+epsilon
 }
+
+// canCheckpoint says whether stopping a task of the job with grace keeps its progress.
+func canCheckpoint(j *job) bool {
+	return j.spec.CheckpointIntervalS > 0 && j.spec.Shape != wire.Service
+}
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -58,7 +58,7 @@
 		for _, j := range queue {
 			zones := j.tasksByZone()
 			for k, ok := j.nextPendingTask(); ok && j.team.withinLimit(j.spec.CPUs, j.spec.GPUs); k, ok = j.nextPendingTask() {
-				m := ps.findMachine(j, zones, "")
+				m := ps.findMachine(j, zones)
 				if m == nil {
 					break
 				}
