--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -13,147 +13,169 @@
 	"dalefront/wire"
 )
 
-// Once a job's end is archived its key is gone, and with it what kept a late
-// submission or withdrawal from being taken. So whatever is conditional on the
-// absence of an end is also conditional on the manifest that the archive was read
-// from: it changes whenever ends of the same shard are archived.
+// Once a job's end is archived its key is deleted, and with it what kept a late submission or
+// cancellation from being stored. So whatever is conditional on the absence of an end is also
+// conditional on the manifest that the archive was read from: it changes whenever ends of the same
+// shard are archived.
 
-// withArchiveGuards adds the manifests that stand for jobs, each once.
-func (c *Controller) withArchiveGuards(conds []wire.Condition, ids ...string) []wire.Condition {
+// withArchiveGuards adds the conditions on the manifests that stand for jobs, each once.
+func (c *Controller) withArchiveGuards(conditions []wire.Condition, ids ...string) []wire.Condition {
 	for _, id := range ids {
-		if g := c.archive.Guard(id); !slices.Contains(conds, g) {
-			conds = append(conds, g)
+		if guard := c.archive.Guard(id); !slices.Contains(conditions, guard) {
+			conditions = append(conditions, guard)
 		}
 	}
-	return conds
+	return conditions
 }
 
-// txnUnlessArchived runs a transaction that must not take effect if the job has an end in
-// the archive; then it returns that end. The transaction's own conditions see to an
-// end that is not archived.
+// archiveRetries is how often a transaction is run again since only its manifest had changed.
+const archiveRetries = 3
+
+// txnUnlessArchived runs a transaction that must not take effect if the job has an end in the
+// archive; then it returns that final status. The transaction's own conditions see to an end that is
+// not archived. Errors are those of the store's Txn, and api.ErrUnavailable if the archive can't be
+// read.
 func (c *Controller) txnUnlessArchived(ctx context.Context, id string, txn wire.Txn) (wire.JobStatus, error) {
 	own := txn.Conditions
-	for tries := 0; ; tries++ {
-		a, err := c.archive.Look(ctx, id)
+	for retries := 0; ; retries++ {
+		answer, err := c.archive.Look(ctx, id)
 		if err != nil {
 			return wire.JobStatus{}, api.ErrUnavailable
 		}
-		if a.Found {
-			return c.rememberArchived(a.Record), nil
+		if answer.Found {
+			return c.statuses.addArchived(answer.Record), nil
 		}
-		txn.Conditions = append(slices.Clone(own), a.Cond)
-		res, err := c.store.Txn(ctx, txn)
-		if !errors.Is(err, kvstore.ErrConflict) || tries == 3 {
+		txn.Conditions = append(slices.Clone(own), answer.Cond)
+		response, err := c.store.Txn(ctx, txn)
+		if !errors.Is(err, kvstore.ErrConflict) || retries == archiveRetries {
 			return wire.JobStatus{}, err
 		}
-		if len(res.FailedKeys) != 1 || res.FailedKeys[0] != a.Cond.Key {
+		if !slices.Equal(response.FailedKeys, []string{answer.Cond.Key}) {
 			return wire.JobStatus{}, err
 		}
-		if _, rerr := c.archive.Refresh(ctx, res.FailedKeys); rerr != nil {
+		if _, err := c.archive.Refresh(ctx, response.FailedKeys); err != nil {
 			return wire.JobStatus{}, api.ErrUnavailable
 		}
 	}
 }
 
-// rememberArchived remembers an answer of the archive.
-func (c *Controller) rememberArchived(rec archive.Record) wire.JobStatus {
-	st := wire.JobStatus{ID: rec.ID, Status: rec.Status, Done: rec.Done}
-	c.rememberFinal(st)
-	return st
-}
-
-// lookUpArchive answers a lookup of which neither the job nor its end was found. The
-// archive only grows: without an answer now it had none when the keys were looked
-// at, and the job was never accepted.
-func (c *Controller) lookUpArchive(ctx context.Context, l lookup, moved bool) lookupResult {
-	select {
-	case c.archiveSlots <- struct{}{}:
-		defer func() { <-c.archiveSlots }()
-	case <-ctx.Done():
-		return lookupResult{err: api.ErrUnavailable}
-	}
-	look := c.archive.Look
-	if moved {
-		look = c.archive.LookFresh
-	}
-	a, err := look(ctx, l.id)
-	switch {
-	case err != nil:
-		return lookupResult{err: err}
-	case a.Found:
-		return lookupResult{accepted: true, ended: true, archived: true, st: c.rememberArchived(a.Record)}
-	case l.known: // it can't be: an accepted job leaves something
-		return lookupResult{err: api.ErrUnavailable}
-	}
-	return lookupResult{}
-}
+// warmRetryPause is the pause between two tries to read the manifests.
+const warmRetryPause = 5 * time.Second
 
 // warmArchive reads the manifests, of which there may be some hundred.
 func (c *Controller) warmArchive(ctx context.Context) {
 	for ctx.Err() == nil && c.archive.Warm(ctx) != nil {
-		select {
-		case <-ctx.Done():
-		case <-time.After(5 * time.Second):
-		}
+		sleepContext(ctx, warmRetryPause)
 	}
 }
 
-// compact moves old ends into the archive while this node holds the term, below a
-// share of what the state service takes.
+const (
+	archiveFirstPause = 5 * time.Second // at most: a takeover comes first
+	archiveIdlePause  = 10 * time.Minute
+	archiveRetryPause = 5 * time.Second
+	archiveSkipPause  = time.Second // while the store is out of reach, or after a stall
+	archiveTimeout    = 20 * time.Second
+	// archiveIdleParts: an idle archiver looks again after this part of the age at which ends are
+	// archived.
+	archiveIdleParts = 4
+	// storeReachableWithin is how recent the store's last answer must be for the archiver to go on.
+	storeReachableWithin = 3 * time.Second
+)
+
+// archiver moves old ends into the archive while this controller leads, within a share of what the
+// key-value store takes.
+type archiver struct {
+	controller *Controller
+	compactor  *archive.Compactor
+	age        time.Duration // of an end that is archived
+	rps        float64       // requests a second that it may use
+	writeRPS   float64       // changes a second that it may use
+	logged     int           // how many ends were dropped when the log said so last
+}
+
+// compact archives old ends until the leadership ends.
 func (l *leadership) compact(ctx context.Context) {
 	c := l.controller
-	after := config.Micro(*c.settings.Operator.ArchiveAfterS)
-	if after <= 0 {
+	age := config.Micro(*c.settings.Operator.ArchiveAfterS)
+	if age <= 0 {
 		return
 	}
-	d := &c.settings.Deployment.State
+	state := &c.settings.Deployment.State
 	share := *c.settings.Operator.ArchiveShare
-	compactor := archive.NewCompactor(c.archive, endSource(l.termCondition, c.now), archive.Limits{Ops: d.TxnOps, Value: int(d.ValueKB * 1024), After: after})
-	told := 0
-	rest := min(5*time.Second, time.Duration(after)*time.Microsecond) // a takeover comes first
+	limits := archive.Limits{Ops: state.TxnOps, Value: int(state.ValueKB * bytesPerKB), After: age}
+	a := archiver{
+		controller: c,
+		compactor:  archive.NewCompactor(c.archive, endSource(l.termCondition, c.now), limits),
+		age:        time.Duration(age) * time.Microsecond,
+		rps:        state.RPS * share,
+		writeRPS:   state.WriteRPS * share,
+	}
+	a.run(ctx, l.ctx.Done())
+}
+
+// run archives until the leadership has ended.
+func (a *archiver) run(ctx context.Context, ended <-chan struct{}) {
+	pause := min(archiveFirstPause, a.age)
 	for {
 		select {
-		case <-l.ctx.Done():
+		case <-ended:
 			return
-		case <-time.After(rest):
+		case <-time.After(pause):
 		}
-		rest = time.Second
-		if !c.store.Reachable(3*time.Second) || !c.ranRecently() {
+		pause = archiveSkipPause
+		if !a.controller.store.Reachable(storeReachableWithin) || !a.controller.ranRecently() {
 			continue
 		}
-		before := compactor.Counts
-		step, cancel := context.WithTimeout(ctx, 20*time.Second)
-		changes, idle, err := compactor.Step(step)
-		cancel()
-		requests := compactor.Counts.Requests - before.Requests
-		rest = max(seconds(float64(changes)/(d.WriteRPS*share)), seconds(float64(requests)/(d.RPS*share)))
-		switch {
-		case errors.Is(err, archive.ErrDeposed):
+		var err error
+		if pause, err = a.step(ctx); errors.Is(err, archive.ErrDeposed) {
 			return
-		case err != nil:
-			c.log.Info("archiving is put off", "err", err)
-			rest = max(rest, 5*time.Second)
-		case idle:
-			if compactor.Counts.Dropped > told {
-				told = compactor.Counts.Dropped
-				jobs, leaves, manifests := c.archive.Size()
-				c.log.Info("archived", "jobs", jobs, "leaves", leaves, "manifests", manifests, "did", compactor.Counts)
-			}
-			rest = max(rest, min(time.Duration(after)*time.Microsecond/4, 10*time.Minute))
 		}
 	}
 }
 
-// endSource tells a compactor about ends as they are stored.
+// step archives some ends, and returns the pause that its requests cost. An error other than
+// archive.ErrDeposed is logged, and the step may be tried again.
+func (a *archiver) step(ctx context.Context) (time.Duration, error) {
+	ctx, cancel := context.WithTimeout(ctx, archiveTimeout)
+	defer cancel()
+	before := a.compactor.Counts
+	changes, idle, err := a.compactor.Step(ctx)
+	requests := a.compactor.Counts.Requests - before.Requests
+	pause := max(seconds(float64(changes)/a.writeRPS), seconds(float64(requests)/a.rps))
+	switch {
+	case errors.Is(err, archive.ErrDeposed):
+		return 0, err
+	case err != nil:
+		a.controller.log.Info("archiving is put off", "err", err)
+		return max(pause, archiveRetryPause), err
+	case idle:
+		a.logProgress()
+		return max(pause, min(a.age/archiveIdleParts, archiveIdlePause)), nil
+	}
+	return pause, nil
+}
+
+// logProgress logs the size of the archive when it has grown.
+func (a *archiver) logProgress() {
+	if a.compactor.Counts.Dropped <= a.logged {
+		return
+	}
+	a.logged = a.compactor.Counts.Dropped
+	jobs, leaves, manifests := a.controller.archive.Size()
+	a.controller.log.Info("archived", "jobs", jobs, "leaves", leaves, "manifests", manifests, "did", a.compactor.Counts)
+}
+
+// endSource has a compactor find and decode ends as they are stored.
 func endSource(term func() wire.Condition, now func() int64) archive.Source {
 	return archive.Source{
 		EndPrefix: endPrefix, JobPrefix: jobPrefix, Term: term, Now: now,
 		Decode: func(id string, value []byte) (archive.End, error) {
-			var e endRecord
-			err := wire.Unmarshal(value, &e)
-			return archive.End{Record: archive.Record{ID: id, Status: e.Status, Done: e.TasksDone}, At: e.EndedAt}, err
+			var end endRecord
+			err := wire.Unmarshal(value, &end)
+			return archive.End{Record: archive.Record{ID: id, Status: end.Status, Done: end.TasksDone}, At: end.EndedAt}, err
 		},
 	}
 }
 
+// seconds converts a number of seconds.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -144,7 +144,7 @@
 					}
 					s.end(0, 20)
 					if knows == "the job" {
-						s.n.setKnown(sceneID(7))
+						s.n.statuses.addAccepted(sceneID(7))
 					}
 					s.count.Store(0)
 					s.before = func(k int64) {
@@ -178,7 +178,7 @@
 				const i = 6
 				s.svc.Set(jobKey(sceneID(i)), jobRecord{Job: *sceneJob(sceneID(i))})
 				if knows {
-					s.n.setKnown(sceneID(i))
+					s.n.statuses.addAccepted(sceneID(i))
 				}
 				lived := false
 				s.before = func(k int64) {
--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -10,38 +10,39 @@
 	"dalefront/wire"
 )
 
-// A user is told that a job is cancelled only once the job's record is gone: the leader deletes
-// it, on condition of its term, after every task was proven gone, and nothing is launched after
-// the end. So nothing that fails later can matter, and nobody has to know of a cancellation in
-// order to renew leases. Until then whoever asks gets what nobody was told otherwise: queued or
-// running. docs/meetings.md.
+// A user learns that a job is cancelled only once the job's record is deleted: the leader deletes it,
+// on condition of its term, after every task has been proven to have stopped, and nothing is launched
+// after the end. So nothing that fails later can matter, and nobody has to know of a cancellation in
+// order to renew leases. Until then the job's status is queued or running for whoever asks, as it is
+// for those who don't know of the cancellation. See docs/meetings.md.
 
-// Between two looks whether a cancelled job's tasks are gone, at first and at most.
+// Pauses between two looks whether a cancelled job's record is deleted: the first one, which doubles,
+// and the longest.
 const (
-	goneEvery  = 100 * time.Millisecond
-	goneAtMost = 400 * time.Millisecond
+	minDeletionPause = 100 * time.Millisecond
+	maxDeletionPause = 400 * time.Millisecond
 )
 
-// Cancel implements api.Service. Done and cancelled share one key that is created once, so the
-// first one is final.
+// Cancel implements api.Service. Being done and being cancelled share one key that is created once,
+// so the first of the two is final.
 func (c *Controller) Cancel(ctx context.Context, id string) (wire.JobStatus, error) {
-	st, err := c.Status(ctx, id)
-	if err != nil || wire.Final(st.Status) {
-		return st, err
+	status, err := c.Status(ctx, id)
+	if err != nil || wire.Final(status.Status) {
+		return status, err
 	}
-	end, err := c.createEnd(ctx, id, wire.JobCancelled, st.Done, nil)
-	switch {
-	case err != nil:
+	end, err := c.createEnd(ctx, id, wire.JobCancelled, status.Done, nil)
+	if err != nil {
 		return wire.JobStatus{}, api.ErrUnavailable
-	case end.Status == wire.JobDone:
+	}
+	if end.Status == wire.JobDone {
 		return end.status(id), nil
 	}
 	return c.awaitRecordDeleted(ctx, id, end)
 }
 
-// awaitRecordDeleted waits until a cancelled job's record is gone. An error means that it is not, or that
-// nobody can tell: the end stays in the state service, its tasks are being stopped, and the
-// user's repeat gets the answer.
+// awaitRecordDeleted waits until a cancelled job's record is deleted. An error means that it is not,
+// or that nobody can tell: the end stays in the store, the job's tasks are being stopped, and the
+// user's repeated request gets the answer.
 func (c *Controller) awaitRecordDeleted(ctx context.Context, id string, end endRecord) (wire.JobStatus, error) {
 	select {
 	case c.cancelSlots <- struct{}{}:
@@ -49,17 +50,17 @@
 	default:
 		return wire.JobStatus{}, api.ErrOverloaded
 	}
-	for pause := goneEvery; ; pause = min(2*pause, goneAtMost) {
-		v := c.lookUpJob(ctx, id, true)
+	for pause := minDeletionPause; ; pause = min(2*pause, maxDeletionPause) {
+		result := c.lookups.lookUp(ctx, id, true)
 		switch {
-		case v.err != nil:
+		case result.err != nil:
 			return wire.JobStatus{}, api.ErrUnavailable
-		case v.archived:
-			return v.st, nil
-		case v.ended && !v.accepted:
-			st := end.status(id)
-			c.rememberFinal(st)
-			return st, nil
+		case result.archived:
+			return result.status, nil
+		case result.hasEnd && !result.hasRecord:
+			status := end.status(id)
+			c.statuses.addFinal(status)
+			return status, nil
 		}
 		select {
 		case <-ctx.Done():
@@ -69,14 +70,14 @@
 	}
 }
 
-// deleteCancelled deletes the records of cancelled jobs whose tasks are gone, apart from the
-// other tidying, since their users wait for it. Without an answer it is done again: under one
-// term it comes to the same.
+// deleteCancelled deletes the records of cancelled jobs whose tasks have stopped, apart from other
+// stale keys, since their users wait for it. Without an answer it is done again: under one term a
+// repeated deletion has no further effect.
 func (l *leadership) deleteCancelled(keys []string) {
 	c := l.controller
 	err := l.deleteUnderTerm(keys)
 	if err != nil {
-		sleepContext(l.ctx, goneEvery)
+		sleepContext(l.ctx, minDeletionPause)
 	}
 	c.postToOwner(func() {
 		l.busyCancelled = false
@@ -97,8 +98,8 @@
 // deleteUnderTerm deletes keys on condition of the term.
 func (l *leadership) deleteUnderTerm(keys []string) error {
 	txn := wire.Txn{Conditions: []wire.Condition{l.termCondition()}}
-	for _, k := range keys {
-		txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: k})
+	for _, key := range keys {
+		txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: key})
 	}
 	_, err := l.controller.store.Txn(l.ctx, txn)
 	return err
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -151,7 +151,7 @@
 	for i, id := range ids {
 		if together == nil {
 			ends[i] = endRecord{Status: wire.JobDone, TasksDone: done[i]}
-			c.rememberFinal(ends[i].status(id))
+			c.statuses.addFinal(ends[i].status(id))
 			continue
 		}
 		if errs[i] = together; errors.Is(together, kvstore.ErrConflict) || errors.Is(together, kvstore.ErrUnknown) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -8,7 +8,6 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -43,9 +42,9 @@
 	ownerQueue  chan func()   // run by the owner
 	submitSlots chan struct{} // bounds the submissions that are being stored
 	cancelSlots chan struct{} // bounds the users that wait for their jobs' tasks to be gone
-	lookupQueue chan lookup   // questions of users that wait for the next read
 
-	archiveSlots chan struct{} // bounds the questions to the archive
+	statuses *statusCache
+	lookups  *lookupBatcher
 
 	// Owned by the owner goroutine.
 	leadership  *leadership
@@ -66,11 +65,7 @@
 	draining atomic.Bool
 	drained  chan struct{} // closed when this node is to end
 
-	mu            sync.Mutex
-	finalStatuses map[string]wire.JobStatus
-	finalOrder    []string
-	knownJobs     map[string]struct{} // jobs known to be accepted
-	processID     uint64              // names this process
+	processID uint64 // names this process
 }
 
 const (
@@ -81,8 +76,6 @@
 	minSubmits = 8
 	// minCancels is how many users may wait for their jobs' tasks to be gone at least.
 	minCancels = 16
-	// maxArchiveLookups is how many questions to the archive may be open at a time.
-	maxArchiveLookups = 8
 	// minWaiters is how many reports may wait for launches at a time at least.
 	minWaiters = 256
 	// cloudShare is the part of the cloud's requests that this node may use.
@@ -119,13 +112,13 @@
 		// once, since they could not be told in time.
 		submitSlots: make(chan struct{}, max(minSubmits, int(2*d.State.WriteRPS))),
 		cancelSlots: make(chan struct{}, max(minCancels, d.Resources.Sockets/4)),
-		lookupQueue: make(chan lookup, maxLookups), archiveSlots: make(chan struct{}, maxArchiveLookups),
-		finalStatuses: map[string]wire.JobStatus{}, knownJobs: map[string]struct{}{},
-		drained: make(chan struct{}), processID: newProcessID(), peerTable: newPeerTable(set.Label),
+		statuses:    newStatusCache(),
+		drained:     make(chan struct{}), processID: newProcessID(), peerTable: newPeerTable(set.Label),
 		workerContacts: newWorkerContacts(time.Duration(config.Micro(d.Workers.LeaseS)) * time.Microsecond),
 	}
 	n.term.self = set.Label
 	n.archive = archive.NewReader(n.store)
+	n.lookups = newLookupBatcher(set, n.store, n.archive, n.statuses, n.taskCounts)
 	n.follower = newFollower(n)
 	n.config = newConfiguration(n)
 	if file := set.Operator.Calendar; file != "" {
@@ -182,10 +175,7 @@
 	go c.config.follow(ctx)
 	go c.follower.watchLeader(ctx)
 	go c.warmArchive(ctx)
-	pace := c.lookupPace()
-	for i := 0; i < lookupWorkers; i++ {
-		go c.lookupLoop(ctx, pace)
-	}
+	go c.lookups.run(ctx)
 	for label, p := range c.peers {
 		go c.heartbeatPeer(ctx, label, p)
 	}
--- /dev/null
+++ b/internal/controller/joblist.go
@@ -0,0 +1,77 @@
+package controller
+
+import (
+	"context"
+	"strings"
+
+	"dalefront/internal/api"
+	"dalefront/internal/kvstore"
+	"dalefront/wire"
+)
+
+// jobsPage is how many jobs one answer looks at: some 200 bytes each, well below the limit of an
+// answer.
+const jobsPage = 150
+
+// Jobs implements api.JobLister from the stored jobs. Any controller can: what it lists was accepted
+// and had not ended when it was read. Counts of tasks are the leader's; without it jobs count as
+// queued.
+func (c *Controller) Jobs(ctx context.Context, after string, filter wire.JobFilter) (wire.JobList, error) {
+	list := wire.JobList{Jobs: []wire.JobSummary{}}
+	if after != "" {
+		after = jobKey(after)
+	}
+	page, err := c.store.Page(ctx, jobPrefix, after, jobsPage)
+	if err != nil {
+		return list, api.ErrUnavailable
+	}
+	ids := make([]string, len(page.Items))
+	for i, entry := range page.Items {
+		ids[i] = strings.TrimPrefix(entry.Key, jobPrefix)
+	}
+	ended, err := c.endedJobs(ctx, ids)
+	if err != nil {
+		return list, api.ErrUnavailable
+	}
+	counts := c.taskCounts(ctx, ids)
+	for i, entry := range page.Items {
+		var record jobRecord
+		if ended[ids[i]] || wire.Unmarshal(entry.Value, &record) != nil {
+			continue
+		}
+		if summary := record.summary(counts); filter.Matches(&summary) {
+			list.Jobs = append(list.Jobs, summary)
+		}
+	}
+	if page.More && len(ids) > 0 {
+		list.More, list.After = true, ids[len(ids)-1]
+	}
+	return list, nil
+}
+
+// summary is what a list shows of a job that has not ended.
+func (r *jobRecord) summary(counts map[string]wire.JobStatus) wire.JobSummary {
+	job := &r.Job
+	summary := wire.JobSummary{
+		ID: job.ID, Class: job.Class, Team: job.Team, Shape: job.Shape, Priority: job.Priority, Tasks: job.Tasks,
+		Status: wire.JobQueued, Submitted: r.SubmittedAt,
+	}
+	if status, ok := counts[job.ID]; ok && !wire.Final(status.Status) {
+		summary.Status, summary.Done, summary.Running = status.Status, status.Done, status.Running
+	}
+	return summary
+}
+
+// endedJobs says which of some jobs have an end that is not archived.
+func (c *Controller) endedJobs(ctx context.Context, ids []string) (map[string]bool, error) {
+	keys := make([]string, len(ids))
+	for i, id := range ids {
+		keys[i] = endKey(id)
+	}
+	existing, err := kvstore.Existing(ctx, c.store, keys, c.settings.Deployment.State.TxnOps)
+	ended := make(map[string]bool, len(existing))
+	for key := range existing {
+		ended[strings.TrimPrefix(key, endPrefix)] = true
+	}
+	return ended, err
+}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -263,8 +263,8 @@
 		if wire.Unmarshal(value, &rec) != nil {
 			return
 		}
-		if _, over := c.rememberedFinal(id); !over { // else its record is gone, or its core knows it
-			c.setKnown(id)
+		if _, over := c.statuses.final(id); !over { // else its record is gone, or its core knows it
+			c.statuses.addAccepted(id)
 			l.core.AddJob(rec.Job, rec.SubmittedAt, c.now())
 		}
 	} else if id, ok := strings.CutPrefix(key, endPrefix); ok {
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -157,7 +157,7 @@
 	l.staleKeys, l.chunkCounts, l.chunkVersions = nil, map[string]int{}, map[string]uint64{}
 	for _, rec := range s.jobs {
 		core.AddJob(rec.Job, rec.SubmittedAt, now)
-		c.setKnown(rec.Job.ID)
+		c.statuses.addAccepted(rec.Job.ID)
 	}
 	for _, chunk := range s.chunks {
 		if _, _, _, known := core.Counts(chunk.id); !known {
@@ -177,7 +177,7 @@
 	l.staleKeys = append(l.staleKeys, s.hires...)
 	for _, e := range s.ends {
 		if e.Status == wire.JobDone {
-			c.rememberFinal(e.status(e.id))
+			c.statuses.addFinal(e.status(e.id))
 		}
 		core.JobEnded(e.id, e.Status, c.now())
 	}
--- a/internal/controller/recurring.go
+++ b/internal/controller/recurring.go
@@ -13,11 +13,6 @@
 	"dalefront/wire"
 )
 
-// schedulePrefix is where the state of recurring jobs is kept, one key a schedule.
-const schedulePrefix = "s/"
-
-func scheduleKey(name string) string { return schedulePrefix + name }
-
 // loadSchedules makes the engine of a term from the calendar and what is stored.
 func (l *leadership) loadSchedules(entries []wire.KeyValue) error {
 	c := l.controller
@@ -133,7 +128,7 @@
 	for _, d := range ds {
 		l.recurring.Stored(d, version)
 		for _, j := range d.Jobs {
-			c.setKnown(j.ID)
+			c.statuses.addAccepted(j.ID)
 			l.core.AddJob(j, c.now(), c.now())
 			c.log.Info("scheduled run", "schedule", d.Name, "job", j.ID)
 			c.passPending = true
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -68,10 +68,7 @@
 		cancel()
 		loops.Wait()
 	})
-	pace := n.lookupPace()
-	for range lookupWorkers {
-		loops.Go(func() { n.lookupLoop(ctx, pace) })
-	}
+	loops.Go(func() { n.lookups.run(ctx) })
 	return n
 }
 
@@ -118,7 +115,7 @@
 			}
 		})
 	}
-	for int(reads.Load()) < lookupWorkers || len(n.lookupQueue) < users-lookupWorkers*24 {
+	for int(reads.Load()) < lookupWorkers || len(n.lookups.queue) < users-lookupWorkers*24 {
 		runtime.Gosched()
 	}
 	close(release)
@@ -133,12 +130,12 @@
 func TestEndDuringQuery(t *testing.T) {
 	var n *Controller
 	n = testNode(t, func(w http.ResponseWriter, r *http.Request) {
-		n.rememberFinal(wire.JobStatus{ID: "j-1", Status: wire.JobDone, Done: 3})
+		n.statuses.addFinal(wire.JobStatus{ID: "j-1", Status: wire.JobDone, Done: 3})
 		w.WriteHeader(http.StatusNotFound)
 		b, _ := wire.Marshal(map[string]int{"Epoch": 5})
 		_, _ = w.Write(b)
 	})
-	n.setKnown("j-1")
+	n.statuses.addAccepted("j-1")
 	st, err := n.Status(context.Background(), "j-1")
 	if err != nil || st.Status != wire.JobDone {
 		t.Fatalf("got %+v, %v; want done", st, err)
