--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -444,9 +444,11 @@
 	}
 }
 
-// ordered returns a gang's tasks by their numbers: a run can be played again.
+// ordered returns a gang's tasks by their numbers, then their machines: a run can be played again.
 func (g *gang) ordered() []*task {
-	return slices.SortedFunc(maps.Keys(g.members), func(a, b *task) int { return cmp.Compare(a.index, b.index) })
+	return slices.SortedFunc(maps.Keys(g.members), func(a, b *task) int {
+		return cmp.Or(cmp.Compare(a.index, b.index), cmp.Compare(a.m.id, b.m.id))
+	})
 }
 
 // progress is how far a gang is; a halted one gets no further.
--- a/internal/emulator/waiting.go
+++ b/internal/emulator/waiting.go
@@ -1,6 +1,8 @@
 package emulator
 
 import (
+	"slices"
+
 	"dalefront/internal/config"
 	"dalefront/wire"
 )
@@ -32,9 +34,11 @@
 				active = append(active, id)
 			}
 		}
+		slices.Sort(active)
 	}
 	begun, uses := map[*job]bool{}, map[string]Use{}
-	for _, m := range f.machines {
+	for _, host := range f.ids { // in order: sums are rounded alike each time
+		m := f.machines[host]
 		for _, t := range m.tasks {
 			if !m.dead && t.state != wire.TaskExited {
 				begun[t.job] = true
--- a/internal/sched/batch.go
+++ b/internal/sched/batch.go
@@ -297,8 +297,10 @@
 			return x.machine.host < y.machine.host
 		case x.job.id != y.job.id:
 			return x.job.id < y.job.id
+		case x.taskIndex != y.taskIndex:
+			return x.taskIndex < y.taskIndex
 		}
-		return x.taskIndex < y.taskIndex
+		return x.attempt < y.attempt
 	})
 	first, size := 0, 0
 	for i, p := range ps {
--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -21,12 +21,15 @@
 func transferTime(gb, bw float64) Micros { return Micros(gb / max(bw, 0.001) * float64(second)) }
 
 // weighVictim is what a task's eviction takes with it and costs, if no save is ahead of its.
+// The task itself comes first, then the rest of its gang in no order.
 func (c *Core) weighVictim(p *placement) victim {
 	j := p.job
 	v := victim{tasks: []*placement{p}, size: 1, here: 1}
 	if j.isGang() { // gangs go whole
-		v.tasks, v.here = nil, 0
 		for q := range j.placements {
+			if q == p {
+				continue
+			}
 			v.tasks = append(v.tasks, q)
 			if q.machine == p.machine {
 				v.here++
