--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -103,13 +103,6 @@
 	return nil, nil
 }
 
-// standbyRank is this node's place among those that stand by, -1 if it is none.
-func (n *Controller) standbyRank() int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.standbyView.Rank(n.settings.Label)
-}
-
 // follow keeps a copy of the stored state while this node stands by.
 func (w *follower) follow(ctx context.Context) {
 	n := w.n
@@ -118,8 +111,7 @@
 	store := paced{n.store, seconds(standbys / (0.1 * n.settings.Deployment.State.RPS))}
 	audit := time.Now()
 	for ctx.Err() == nil {
-		_, _, leading := n.termView()
-		if n.standbyRank() < 0 || leading != 0 || *n.settings.Operator.Standbys == 0 {
+		if n.peerTable.standbyRank() < 0 || n.term.view().isLeading() || *n.settings.Operator.Standbys == 0 {
 			w.mu.Lock()
 			w.copy = nil
 			w.mu.Unlock()
@@ -290,7 +282,7 @@
 	sample := c.Sample([]string{jobPrefix, ledgerPrefix}, rand.New(rand.NewPCG(rand.Uint64(), token)))
 	w.mu.Unlock()
 	compared := w.compare(ctx, c, sample)
-	_, highest, _ := n.termView()
+	highest := n.term.view().token
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f := standby.Facts{Token: token, Highest: highest, Revision: c.Revision(), Doubt: c.Doubt(), Compared: compared, Keys: sample.Keys,
@@ -303,61 +295,26 @@
 }
 
 // publishStandbys chooses who stands by, once a second. Owner goroutine.
-func (r *leadership) publishStandbys() {
-	n := r.controller
-	count := *n.settings.Operator.Standbys
-	now := n.now()
-	members := make([]standby.Member, 0, len(n.settings.Members))
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	clock := time.Now()
-	ago := func(at time.Time) standby.Micros {
-		if at.IsZero() {
-			return 0
-		}
-		return max(1, now-time.Since(at).Microseconds())
-	}
-	for _, m := range n.settings.Members {
-		x := standby.Member{Label: m.Label, Zone: m.Zone, Heard: ago(n.peerSeenAt[m.Label]), Unfit: ago(n.peerUnfitAt[m.Label])}
-		if s := n.peerProcesses[m.Label]; s != nil {
-			x.Ends = s.recentRestarts(clock)
-		}
-		members = append(members, x)
-	}
-	old := n.standbyView
-	if old.Token != r.token {
-		old = standby.View{Token: r.token, Number: old.Number, Standbys: old.Standbys}
-	}
-	how := standby.Choosing{Zone: n.settings.Zone, Count: count, Silent: 5_000_000, Rest: 30_000_000}
-	next, changed := how.Choose(old, members, now)
-	n.standbyView = next
+func (l *leadership) publishStandbys() {
+	c := l.controller
+	choosing := standby.Choosing{Zone: c.settings.Zone, Count: *c.settings.Operator.Standbys, Silent: 5_000_000, Rest: 30_000_000}
+	next, changed := c.peerTable.chooseStandbys(&choosing, l.token, c.settings.Members, c.now())
 	if changed {
-		n.log.Info("who stands by", "standbys", fmt.Sprint(next.Standbys), "number", next.Number)
+		c.log.Info("who stands by", "standbys", fmt.Sprint(next.Standbys), "number", next.Number)
 	}
 }
 
-// acceptStandbyView takes a view that a hello brought. The lock is held.
-func (n *Controller) acceptStandbyView(h *peer.Heartbeat) {
-	if h.StandbyView != nil && n.leadingToken == 0 && len(h.StandbyView.Standbys) <= len(n.settings.Members)+1 && h.StandbyView.Newer(&n.standbyView) {
-		n.standbyView = *h.StandbyView
+// acceptStandbyView takes a view that a peer's heartbeat brought.
+func (c *Controller) acceptStandbyView(h *peer.Heartbeat) {
+	if h.StandbyView != nil && !c.term.view().isLeading() && len(h.StandbyView.Standbys) <= len(c.settings.Members)+1 {
+		c.peerTable.acceptStandbyView(h.StandbyView)
 	}
 }
 
 // candidateDelay is how long this node lets those go first that stand by warm, or before it.
-func (n *Controller) candidateDelay() time.Duration {
+func (c *Controller) candidateDelay() time.Duration {
 	const each = 60 * time.Millisecond
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	before := 0
-	for _, label := range n.standbyView.Standbys {
-		if label == n.settings.Label {
-			break
-		}
-		if time.Since(n.peerSeenAt[label]) < 2*time.Second {
-			before++
-		}
-	}
-	return time.Duration(before) * each
+	return time.Duration(c.peerTable.aliveBefore(time.Now())) * each
 }
 
 // watchLeader notices the end of the leader's process, while this node stands by, and
@@ -371,20 +328,16 @@
 	was := ""
 	connected := false
 	for ; ctx.Err() == nil; time.Sleep(look) {
-		leader, token, leading := n.termView()
+		term := n.term.view()
+		leader, token := term.leader, term.token
 		p := n.peers[leader]
-		if leading != 0 || p == nil || n.standbyRank() < 0 {
+		if term.isLeading() || p == nil || n.peerTable.standbyRank() < 0 {
 			was, connected = "", false
 			continue
 		}
-		n.mu.Lock()
-		born := uint64(0)
-		if s := n.peerProcesses[leader]; s != nil {
-			born = s.id
-		}
-		heard := time.Since(n.peerSeenAt[leader])
-		acts := n.leaderProcess
-		n.mu.Unlock()
+		born := n.peerTable.process(leader)
+		heard := time.Since(n.peerTable.lastSeen(leader))
+		acts := n.term.leaderProcess()
 		w.mu.Lock()
 		if acts.token == token && acts.process != 0 && born == acts.process && heard < time.Second {
 			w.suspicion.Leader(token, born)
@@ -426,7 +379,7 @@
 		return false
 	}
 	for began := time.Now(); time.Since(began) < limit && ctx.Err() == nil; time.Sleep(30 * time.Millisecond) {
-		if _, now, _ := n.termView(); now != token || !n.ranRecently() {
+		if n.term.view().token != token || !n.ranRecently() {
 			return false
 		}
 		p.ResetBackoff()
@@ -483,16 +436,16 @@
 }
 
 // reachesProcess answers whether this node reaches a process of another one.
-func (n *Controller) reachesProcess(ctx context.Context, label string, born uint64) bool {
-	if label == n.settings.Label {
-		return n.processID == born
+func (c *Controller) reachesProcess(ctx context.Context, label string, born uint64) bool {
+	if label == c.settings.Label {
+		return c.processID == born
 	}
-	p := n.peers[label]
+	p := c.peers[label]
 	if p == nil {
 		return false
 	}
 	p.ResetBackoff()
-	a, err := p.Probe(ctx, n.newHeartbeat())
+	a, err := p.Probe(ctx, c.newHeartbeat())
 	return err == nil && a.ProcessID == born
 }
 
--- a/internal/sched/preemption_test.go
+++ b/internal/sched/preemption_test.go
@@ -21,8 +21,9 @@
 	b.addPlacement(b.jobs["j-1"], 0, here, 1)
 	b.addPlacement(b.jobs["j-2"], 0, here, 2)
 	b.addPlacement(b.jobs["j-1"], 1, there, 3)
+	ps := b.newPass()
 	for range 100 {
-		victims, ok := b.victims(b.jobs["j-3"], here)
+		victims, ok := ps.victims(b.jobs["j-3"], here)
 		if !ok || len(victims) != 1 {
 			t.Fatalf("%d victims, enough: %v", len(victims), ok)
 		}
