--- a/internal/sched/gangplacement.go
+++ b/internal/sched/gangplacement.go
@@ -35,7 +35,7 @@
 	b := ps.batch
 	before := j.gangAttempt
 	if j.gangAttempt == 0 {
-		j.gangAttempt = ps.core.nextAttempt()
+		j.gangAttempt = ps.core.sequence.nextAttempt()
 	}
 	got := map[*machine][]*placement{}
 	var order []*machine
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -422,7 +422,7 @@
 			return
 		}
 		if attempt == 0 {
-			attempt = ps.core.nextAttempt()
+			attempt = ps.core.sequence.nextAttempt()
 		}
 		var got []*placement
 		for len(j.placements) < tries && b.fits(j, b.cost(m), 1, len(got)+1) && ps.canTakeTask(j, m, zones) && j.team.withinLimit(j.spec.CPUs, j.spec.GPUs) {
--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -286,7 +286,7 @@
 		cpus += float64(v.here) * s.CPUs
 		gpus += float64(v.here) * s.GPUs
 		mem += float64(v.here) * s.MemoryGB
-		byTask(v.tasks)
+		sortByTask(v.tasks)
 		ps.chooseCheckpoint(&v, v.tasks[0], queue)
 		if v.checkpoint {
 			queue += max(v.dump, config.Micro(s.CheckpointDurationS))
