--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -123,7 +123,7 @@
 		case <-time.After(pause):
 		}
 		pause = archiveSkipPause
-		if !a.controller.store.Reachable(storeReachableWithin) || !a.controller.ranRecently() {
+		if !a.controller.store.Reachable(storeReachableWithin) || !a.controller.owner.ranRecently() {
 			continue
 		}
 		var err error
