--- a/internal/sched/gangplacement.go
+++ b/internal/sched/gangplacement.go
@@ -54,7 +54,7 @@
 func (ps *pass) placeGangIn(j *job, zone string) bool {
 	before := j.gangAttempt
 	if before == 0 {
-		j.gangAttempt = ps.core.nextAttempt()
+		j.gangAttempt = ps.core.sequence.nextAttempt()
 	}
 	attempt := ps.placeMissing(j, zone)
 	if ps.reserveBatch(attempt) {
--- a/internal/sched/pass.go
+++ b/internal/sched/pass.go
@@ -54,20 +54,19 @@
 func (c *Core) Schedule(now Micros) *Commit {
 	c.now = now
 	c.reconcile()
-	if c.inFlight != nil {
+	if c.ledger.isStoring() {
 		return nil
 	}
-	if c.staged != nil {
-		c.inFlight, c.staged = c.staged, nil
-		return c.inFlight
+	if commit := c.ledger.beginStaged(); commit != nil {
+		return commit
 	}
 	ps := c.newPass()
 	ps.batch = c.newBatch()
 	queue := c.takeNextGang(c.queue())
 	ps.prepare(queue)
 	ps.planGangs(ps.placeAll(queue))
-	c.compactLedger(ps.batch)
-	return c.finishBatch(ps.batch)
+	c.ledger.compact(ps.batch, now, c.maxLedger())
+	return c.commitBatch(ps.batch)
 }
 
 // takeNextGang moves the gang that needs a batch for itself, if there is one, to the queue's front.
--- a/internal/sched/placetasks.go
+++ b/internal/sched/placetasks.go
@@ -130,7 +130,7 @@
 			return
 		}
 		if attempt == 0 {
-			attempt = ps.core.nextAttempt()
+			attempt = ps.core.sequence.nextAttempt()
 		}
 		placed := ps.fillMachine(j, m, attempt, limit, tasksByZone)
 		if len(placed) == 0 {
