--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -8,7 +8,6 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -42,9 +41,9 @@
 
 	submitSlots chan struct{} // bounds the submissions that are being stored
 	cancelSlots chan struct{} // bounds the users that wait for their jobs' tasks to be gone
-	lookupQueue chan lookup   // questions of users that wait for the next read
 
-	archiveSlots chan struct{} // bounds the questions to the archive
+	statuses *statusCache
+	lookups  *lookupBatcher
 
 	owner    *ownerLoop
 	follower *follower
@@ -59,11 +58,7 @@
 	draining atomic.Bool
 	drained  chan struct{} // closed when this node is to end
 
-	mu            sync.Mutex
-	finalStatuses map[string]wire.JobStatus
-	finalOrder    []string
-	knownJobs     map[string]struct{} // jobs known to be accepted
-	processID     uint64              // names this process
+	processID uint64 // names this process
 }
 
 const (
@@ -74,10 +69,6 @@
 	minSubmits = 8
 	// minCancels is how many users may wait for their jobs' tasks to be gone at least.
 	minCancels = 16
-	// maxArchiveLookups is how many questions to the archive may be open at a time.
-	maxArchiveLookups = 8
-	// storeAnswerAge: the state service counts as in reach for so long after its last answer.
-	storeAnswerAge = 3 * time.Second
 	// cloudShare is the part of the cloud's requests that this node may use.
 	cloudShare = 0.7
 	// socketsPerIdle: one in so many sockets may be kept for an unused connection to a worker.
@@ -103,14 +94,14 @@
 		// once, since they could not be told in time.
 		submitSlots: make(chan struct{}, max(minSubmits, int(2*d.State.WriteRPS))),
 		cancelSlots: make(chan struct{}, max(minCancels, d.Resources.Sockets/4)),
-		lookupQueue: make(chan lookup, maxLookups), archiveSlots: make(chan struct{}, maxArchiveLookups),
-		finalStatuses: map[string]wire.JobStatus{}, knownJobs: map[string]struct{}{},
-		drained: make(chan struct{}), processID: newProcessID(), peerTable: newPeerTable(set.Label),
+		statuses:    newStatusCache(),
+		drained:     make(chan struct{}), processID: newProcessID(), peerTable: newPeerTable(set.Label),
 		workerContacts: newWorkerContacts(time.Duration(config.Micro(d.Workers.LeaseS)) * time.Microsecond),
 	}
 	n.owner = newOwnerLoop(n.now, max(minEvents, d.Resources.Sockets))
 	n.term.self = set.Label
 	n.archive = archive.NewReader(n.store)
+	n.lookups = newLookupBatcher(set, n.store, n.archive, n.statuses, n.taskCounts)
 	n.follower = newFollower(n)
 	n.config = newConfiguration(n)
 	if file := set.Operator.Calendar; file != "" {
@@ -167,10 +158,7 @@
 	go c.config.follow(ctx)
 	go c.follower.watchLeader(ctx)
 	go c.warmArchive(ctx)
-	pace := c.lookupPace()
-	for i := 0; i < lookupWorkers; i++ {
-		go c.lookupLoop(ctx, pace)
-	}
+	go c.lookups.run(ctx)
 	for label, p := range c.peers {
 		go c.heartbeatPeer(ctx, label, p)
 	}
@@ -244,7 +232,7 @@
 	switch _, ok := c.machineTypes(); {
 	case c.draining.Load():
 		return errors.New("draining: this controller is about to end")
-	case !c.store.Reachable(storeAnswerAge):
+	case !c.store.Reachable(storeReachableWithin):
 		return errors.New("the state service is out of reach")
 	case !ok:
 		return errors.New("the machine types are not known yet: the cloud has not answered")
--- a/internal/controller/endwriter.go
+++ b/internal/controller/endwriter.go
@@ -100,7 +100,7 @@
 			continue
 		}
 		end := endRecord{Status: wire.JobDone, TasksDone: job.tasksDone}
-		controller.rememberFinal(end.status(job.id))
+		controller.statuses.addFinal(end.status(job.id))
 		results[i] = storedEndResult{id: job.id, end: end}
 	}
 	return results, err
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -83,7 +83,7 @@
 // passed, so a permission that outlives its leader starts nothing twice, and nobody was told of a
 // cancellation whose tasks it keeps alive.
 func (c *Controller) mayRenewLease(report *wire.Heartbeat) (uint64, bool) {
-	if c.store.Reachable(storeAnswerAge) {
+	if c.store.Reachable(storeReachableWithin) {
 		return 0, false // then another leader can be found
 	}
 	return c.term.mayRenew(report.FencingToken)
--- a/internal/controller/keydeleter.go
+++ b/internal/controller/keydeleter.go
@@ -46,8 +46,8 @@
 }
 
 // cancelledRecordDeleter deletes the records of cancelled jobs whose tasks are gone, apart from the
-// other keys, since their users wait for it. Without an answer it is done again: under one
-// term it comes to the same.
+// other keys, since their users wait for it. Without an answer it is done again: under one term a
+// repeated deletion has no further effect.
 type cancelledRecordDeleter struct {
 	leadership *leadership
 	task       backgroundTask
@@ -61,7 +61,7 @@
 // is out of reach. Owner goroutine.
 func (d *cancelledRecordDeleter) start() {
 	controller := d.leadership.controller
-	if d.task.running || len(d.keys) == 0 || !controller.store.Reachable(storeAnswerAge) {
+	if d.task.running || len(d.keys) == 0 || !controller.store.Reachable(storeReachableWithin) {
 		return
 	}
 	var batch []string
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -181,7 +181,7 @@
 	if l.stalledFor > 0 {
 		return
 	}
-	if !l.commits.task.running && c.store.Reachable(storeAnswerAge) {
+	if !l.commits.task.running && c.store.Reachable(storeReachableWithin) {
 		l.launchWaiters.passes++
 		if batch := l.core.Schedule(c.now()); batch != nil {
 			l.commits.start(batch)
@@ -215,7 +215,7 @@
 		return
 	}
 	l.schedule()
-	reachable := c.store.Reachable(storeAnswerAge)
+	reachable := c.store.Reachable(storeReachableWithin)
 	if reachable {
 		l.progress.start()
 		l.staleKeys.start()
--- a/internal/controller/queuewatch.go
+++ b/internal/controller/queuewatch.go
@@ -71,8 +71,8 @@
 	if wire.Unmarshal(value, &record) != nil {
 		return
 	}
-	if _, over := c.rememberedFinal(id); !over {
-		c.setKnown(id)
+	if _, over := c.statuses.final(id); !over {
+		c.statuses.addAccepted(id)
 		l.core.AddJob(record.Job, record.SubmittedAt, c.now())
 	}
 }
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -63,7 +63,7 @@
 	now := controller.now()
 	l.core.DetectFailures(now, controller.peersForDetector())
 	var round fleetRound
-	if controller.store.Reachable(storeAnswerAge) {
+	if controller.store.Reachable(storeReachableWithin) {
 		round.returns, round.requests = l.core.ScaleIn(now, blind), l.core.ScaleOut(now)
 	}
 	for i := range round.requests {
--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -4,6 +4,7 @@
 	"sort"
 
 	"dalefront/internal/config"
+	"dalefront/wire"
 )
 
 // victim is a task, or a whole gang, that might make room on a machine.
@@ -21,12 +22,15 @@
 func transferTime(gb, bw float64) Micros { return Micros(gb / max(bw, 0.001) * float64(second)) }
 
 // weighVictim is what a task's eviction takes with it and costs, if no save is ahead of its.
+// The task itself comes first, then the rest of its gang in no order.
 func (ps *pass) weighVictim(p *placement) victim {
 	j := p.job
 	v := victim{tasks: []*placement{p}, size: 1, here: 1}
 	if j.isGang() { // gangs go whole
-		v.tasks, v.here = nil, 0
 		for q := range j.placements {
+			if q == p {
+				continue
+			}
 			v.tasks = append(v.tasks, q)
 			if q.machine == p.machine {
 				v.here++
@@ -292,3 +296,8 @@
 	}
 	return out, len(out) > 0 && tcpus <= cpus+epsilon && tgpus <= gpus+epsilon && j.spec.MemoryGB <= mem+epsilon
 }
+
+// canCheckpoint says whether stopping a task of the job with grace keeps its progress.
+func canCheckpoint(j *job) bool {
+	return j.spec.CheckpointIntervalS > 0 && j.spec.Shape != wire.Service
+}
