--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,5 +1,7 @@
-// Package controller wires the scheduler's core to the outside. One goroutine owns
-// the core and all decisions; what handlers read sits behind a short lock.
+// Package controller is one of a site's controllers: it serves users and workers, stands for election,
+// and while it is the leader connects the scheduler's core with the state service, the cloud and the
+// workers. One goroutine owns the core and makes all decisions; what request handlers read of them is
+// behind short locks.
 package controller
 
 import (
@@ -7,7 +9,6 @@
 	"errors"
 	"log/slog"
 	"net"
-	"net/http"
 	"sync/atomic"
 	"time"
 
@@ -20,119 +21,155 @@
 	"dalefront/internal/peer"
 	"dalefront/internal/snapshot"
 	"dalefront/internal/workerclient"
-	"dalefront/wire"
 )
 
-// Controller is one controller.
-type Controller struct {
-	settings *config.Settings
-	log      *slog.Logger
-	store    *kvstore.Client
-	cloud    *cloud.Client
-	worker   *workerclient.Client
-	peers    map[string]*peer.Client
-	calendar *calendar.Calendar // recurring jobs, nil if none are configured
-	// Final answers of old jobs. It is asked whether or not this node's settings
-	// have ends archived: another leader may have done so.
-	archive         *archive.Reader
-	snapshotKey     []byte // of the snapshots written to disk, nil for none
-	startedAt       time.Time
-	startWallMicros int64
-
-	submitSlots chan struct{} // bounds the submissions that are being stored
-	cancelSlots chan struct{} // bounds the users that wait for their jobs' tasks to be gone
+const (
+	// minEvents is for how many events the queue of the owner goroutine has room at least. A report
+	// that finds it full is not answered.
+	minEvents = 1024
+	// minSubmits is how many submissions may be stored at a time at least.
+	minSubmits = 8
+	// minCancels is how many users may wait for their jobs' tasks to be gone at least.
+	minCancels = 16
+	// cloudShare is the part of the cloud's requests that this controller may use.
+	cloudShare = 0.7
+	// socketsPerIdle: one in so many sockets may be kept for an unused connection to a worker.
+	socketsPerIdle = 16
+)
 
-	statuses *statusCache
-	lookups  *lookupBatcher
+// Why a controller is not ready.
+var (
+	errDraining         = errors.New("draining: this controller is about to end")
+	errStoreUnreachable = errors.New("the state service is out of reach")
+	errNoMachineTypes   = errors.New("the machine types are not known yet: the cloud has not answered")
+)
 
-	owner    *ownerLoop
-	follower *follower
-	config   *configuration
+// Controller is one controller. Run starts it. It implements api.Service, which users and workers
+// call, and peer.Server, which the other controllers and commands call.
+type Controller struct {
+	settings    *config.Settings
+	log         *slog.Logger
+	clock       clock
+	processID   uint64             // names this process to the peers
+	calendar    *calendar.Calendar // recurring jobs, nil if none are configured
+	snapshotKey []byte             // of the snapshots written to disk, nil for none
+
+	// Clients.
+	store  *kvstore.Client
+	cloud  *cloud.Client
+	worker *workerclient.Client
+	peers  map[string]*peer.Client // by label
+	// Final statuses of old jobs. It is asked whether or not this controller's settings
+	// have ends archived: another leader may have done so.
+	archive *archive.Reader
 
+	// State, each with its own lock or owner.
+	owner          *ownerLoop
 	term           termTracker
 	peerTable      *peerTable
 	workerContacts *workerContacts
+	follower       *follower
+	config         *configuration
 	catalog        machineCatalog
 	gauges         atomic.Pointer[gauges] // of the core, nil on controllers that don't lead
+	statuses       *statusCache
+	lookups        *lookupBatcher
+
+	submitSlots chan struct{} // bounds the submissions that are being stored
+	cancelSlots chan struct{} // bounds the users that wait for their jobs' tasks to be gone
 
 	draining atomic.Bool
-	drained  chan struct{} // closed when this node is to end
+	drained  chan struct{} // closed when this controller is to end
+}
 
-	processID uint64 // names this process
+// clock is the time of day at the start plus steady time since: intervals are
+// steady, and times stored by other controllers can be compared within the bound.
+type clock struct {
+	startedAt  time.Time
+	wallMicros config.Micros // time of day at the start
 }
 
-const (
-	// minEvents is for how many events the queue of the owner goroutine has room at least. A report
-	// that finds it full is not answered.
-	minEvents = 1024
-	// minSubmits is how many submissions may be stored at a time at least.
-	minSubmits = 8
-	// minCancels is how many users may wait for their jobs' tasks to be gone at least.
-	minCancels = 16
-	// cloudShare is the part of the cloud's requests that this node may use.
-	cloudShare = 0.7
-	// socketsPerIdle: one in so many sockets may be kept for an unused connection to a worker.
-	socketsPerIdle = 16
-)
+func newClock() clock {
+	now := time.Now()
+	return clock{now, now.UnixMicro()}
+}
+
+// now is the time in microseconds.
+func (c *clock) now() config.Micros { return c.wallMicros + c.age().Microseconds() }
+
+// age is the time since the start.
+func (c *clock) age() time.Duration { return time.Since(c.startedAt) }
 
 // idleWorkers is how many unused connections to workers are kept. Workers and users that connect
 // get the sockets that are left: past the limit this controller could reach nobody.
 func idleWorkers(sockets int) int { return sockets / socketsPerIdle }
 
-// New returns a node; Run starts it.
+// New returns a controller; Run starts it.
 func New(set *config.Settings, log *slog.Logger) (*Controller, error) {
-	d := &set.Deployment
-	now := time.Now()
-	n := &Controller{
-		settings: set, log: log,
-		store:     kvstore.New(set.Endpoints.State, d.State.RPS, d.State.WriteRPS, len(set.Members)+1),
-		cloud:     cloud.New(set.Endpoints.Cloud, d.Cloud.RPS, cloudShare),
-		worker:    workerclient.New(idleWorkers(d.Resources.Sockets)),
-		peers:     map[string]*peer.Client{},
-		startedAt: now, startWallMicros: now.UnixMicro(),
+	deployment := &set.Deployment
+	sockets := deployment.Resources.Sockets
+	c := &Controller{
+		settings: set, log: log, clock: newClock(), processID: newProcessID(),
+		store:          kvstore.New(set.Endpoints.State, deployment.State.RPS, deployment.State.WriteRPS, len(set.Members)+1),
+		cloud:          cloud.New(set.Endpoints.Cloud, deployment.Cloud.RPS, cloudShare),
+		worker:         workerclient.New(idleWorkers(sockets)),
+		peers:          map[string]*peer.Client{},
+		term:           termTracker{self: set.Label},
+		peerTable:      newPeerTable(set.Label),
+		workerContacts: newWorkerContacts(time.Duration(config.Micro(deployment.Workers.LeaseS)) * time.Microsecond),
+		statuses:       newStatusCache(),
 		// What the state service takes in two seconds; more are sent away at
-		// once, since they could not be told in time.
-		submitSlots: make(chan struct{}, max(minSubmits, int(2*d.State.WriteRPS))),
-		cancelSlots: make(chan struct{}, max(minCancels, d.Resources.Sockets/4)),
-		statuses:    newStatusCache(),
-		drained:     make(chan struct{}), processID: newProcessID(), peerTable: newPeerTable(set.Label),
-		workerContacts: newWorkerContacts(time.Duration(config.Micro(d.Workers.LeaseS)) * time.Microsecond),
+		// once, since they could not be answered in time.
+		submitSlots: make(chan struct{}, max(minSubmits, int(2*deployment.State.WriteRPS))),
+		cancelSlots: make(chan struct{}, max(minCancels, sockets/4)),
+		drained:     make(chan struct{}),
+	}
+	c.owner = newOwnerLoop(c.now, max(minEvents, sockets))
+	c.archive = archive.NewReader(c.store)
+	c.lookups = newLookupBatcher(set, c.store, c.archive, c.statuses, c.taskCounts)
+	c.follower = newFollower(c)
+	c.config = newConfiguration(c)
+	if err := c.readFiles(); err != nil {
+		return nil, err
 	}
-	n.owner = newOwnerLoop(n.now, max(minEvents, d.Resources.Sockets))
-	n.term.self = set.Label
-	n.archive = archive.NewReader(n.store)
-	n.lookups = newLookupBatcher(set, n.store, n.archive, n.statuses, n.taskCounts)
-	n.follower = newFollower(n)
-	n.config = newConfiguration(n)
-	if file := set.Operator.Calendar; file != "" {
-		var err error
-		if n.calendar, err = calendar.Load(file); err != nil {
-			return nil, err
+	if err := c.dialPeers(); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// readFiles reads the files that the settings name.
+func (c *Controller) readFiles() (err error) {
+	if file := c.settings.Operator.Calendar; file != "" {
+		if c.calendar, err = calendar.Load(file); err != nil {
+			return err
 		}
 	}
-	if file := set.Operator.SnapshotKey; file != "" {
-		var err error
-		if n.snapshotKey, err = snapshot.KeyFile(file); err != nil {
-			return nil, err
+	if file := c.settings.Operator.SnapshotKey; file != "" {
+		if c.snapshotKey, err = snapshot.KeyFile(file); err != nil {
+			return err
 		}
 	}
-	for _, m := range set.Members {
-		c, err := peer.Dial(m.Addr)
+	return nil
+}
+
+// dialPeers makes the clients of the other controllers.
+func (c *Controller) dialPeers() error {
+	for _, member := range c.settings.Members {
+		client, err := peer.Dial(member.Addr)
 		if err != nil {
-			return nil, err
+			return err
 		}
-		n.peers[m.Label] = c
+		c.peers[member.Label] = client
 	}
-	return n, nil
+	return nil
 }
 
-// now is the time of day at the start plus steady time since: intervals are
-// steady, and arrivals stored by other nodes can be compared within the bound.
-func (c *Controller) now() config.Micros {
-	return c.startWallMicros + time.Since(c.startedAt).Microseconds()
-}
+// now is the time in microseconds, as it is stored.
+func (c *Controller) now() config.Micros { return c.clock.now() }
 
-// Run serves until the context ends or a listener fails.
+// Run serves until the context ends, Drain is called or a listener fails. The goroutines that it starts
+// end with it.
 func (c *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -145,40 +182,51 @@
 		return err
 	}
 	sockets := c.settings.Deployment.Resources.Sockets
-	srv := api.NewServer(api.Handler(c, c.metrics()), sockets-idleWorkers(sockets))
-	rpc := peer.NewServer(c, sockets)
+	httpServer := api.NewServer(api.Handler(c, c.metrics()), sockets-idleWorkers(sockets))
+	rpcServer := peer.NewServer(c, sockets)
 	failed := make(chan error, 2)
-	go func() { failed <- srv.Serve(users) }()
-	go func() { failed <- rpc.Serve(mesh) }()
-	go c.owner.run(ctx)
-	go c.refreshCatalog(ctx)
-	go c.electionLoop(ctx)
-	go c.probeStore(ctx)
-	go c.follower.follow(ctx)
-	go c.config.follow(ctx)
-	go c.follower.watchLeader(ctx)
-	go c.warmArchive(ctx)
-	go c.lookups.run(ctx)
-	for label, p := range c.peers {
-		go c.heartbeatPeer(ctx, label, p)
-	}
+	go func() { failed <- httpServer.Serve(users) }()
+	go func() { failed <- rpcServer.Serve(mesh) }()
+	c.startLoops(ctx)
 	c.log.Info("serving", "node", c.settings.Label, "users", c.settings.ServeOn, "mesh", c.settings.MeshAddr)
 	select {
 	case <-ctx.Done():
-		_ = srv.Close()
-		rpc.Stop()
+		_ = httpServer.Close()
+		rpcServer.Stop()
 		return nil
 	case <-c.drained:
-		c.shutDown(ctx, srv)
-		rpc.Stop()
+		c.shutDown(ctx, httpServer)
+		rpcServer.Stop()
 		return nil
 	case err := <-failed:
 		return err
 	}
 }
 
+// startLoops starts the goroutines that go on as long as the controller: all end with the context.
+func (c *Controller) startLoops(ctx context.Context) {
+	election := newElection(c)
+	loops := []func(context.Context){
+		c.owner.run,
+		c.refreshCatalog,
+		election.run,
+		election.probeStore,
+		c.follower.follow,
+		c.config.follow,
+		c.follower.watchLeader,
+		c.warmArchive,
+		c.lookups.run,
+	}
+	for label, client := range c.peers {
+		loops = append(loops, func(ctx context.Context) { c.heartbeatPeer(ctx, label, client) })
+	}
+	for _, loop := range loops {
+		go loop(ctx)
+	}
+}
+
 // observeTerm takes what somebody says about the term. A higher token always wins:
-// if this node acted under a lower one, it steps down.
+// if this controller acted under a lower one, it steps down.
 func (c *Controller) observeTerm(leader string, token uint64) {
 	if !c.term.observe(leader, token) {
 		return
@@ -191,51 +239,16 @@
 	})
 }
 
-// PeerRelay implements peer.Server.
-func (c *Controller) PeerRelay(ctx context.Context, r *peer.RelayRequest) (*peer.RelayResponse, error) {
-	a, ok := c.handleHeartbeat(ctx, &r.Report)
-	if !ok {
-		return &peer.RelayResponse{Status: http.StatusMisdirectedRequest}, nil
-	}
-	return &peer.RelayResponse{Status: http.StatusOK, Answer: a}, nil
-}
-
-// PeerCounts implements peer.Server.
-func (c *Controller) PeerCounts(ctx context.Context, request *peer.CountsRequest) (*peer.CountsResponse, error) {
-	return &peer.CountsResponse{Jobs: c.localCounts(ctx, request.JobIDs)}, nil
-}
-
-// localCounts reads jobs' display counts from the core, if this node has it.
-func (c *Controller) localCounts(ctx context.Context, ids []string) (sts []wire.JobStatus) {
-	var out []wire.JobStatus
-	if !c.term.view().isLeading() {
-		return nil
-	}
-	if c.owner.call(ctx, func() {
-		if c.owner.leadership == nil {
-			return
-		}
-		for _, id := range ids {
-			if s, done, running, ok := c.owner.leadership.core.Counts(id); ok {
-				out = append(out, wire.JobStatus{ID: id, Status: s, Done: done, Running: running})
-			}
-		}
-	}) {
-		return out
-	}
-	return nil
-}
-
 // Ready implements api.Service: requests can be taken while the state service is in
-// reach and the machine types are known, unless the node is about to end.
+// reach and the machine types are known, unless the controller is about to end.
 func (c *Controller) Ready() error {
-	switch _, ok := c.machineTypes(); {
+	switch _, known := c.machineTypes(); {
 	case c.draining.Load():
-		return errors.New("draining: this controller is about to end")
+		return errDraining
 	case !c.store.Reachable(storeReachableWithin):
-		return errors.New("the state service is out of reach")
-	case !ok:
-		return errors.New("the machine types are not known yet: the cloud has not answered")
+		return errStoreUnreachable
+	case !known:
+		return errNoMachineTypes
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/controller/counts.go
@@ -0,0 +1,41 @@
+package controller
+
+import (
+	"context"
+
+	"dalefront/internal/peer"
+	"dalefront/wire"
+)
+
+// PeerCounts implements peer.Server: a peer asks the leader for the statuses of jobs.
+func (c *Controller) PeerCounts(ctx context.Context, request *peer.CountsRequest) (*peer.CountsResponse, error) {
+	return &peer.CountsResponse{Jobs: c.localCounts(ctx, request.JobIDs)}, nil
+}
+
+// localCounts reads jobs' statuses and counts of tasks from the core; it returns none if this
+// controller does not lead or is too busy.
+func (c *Controller) localCounts(ctx context.Context, ids []string) []wire.JobStatus {
+	if !c.term.view().isLeading() {
+		return nil
+	}
+	var statuses []wire.JobStatus
+	called := c.owner.call(ctx, func() {
+		if l := c.owner.leadership; l != nil {
+			statuses = l.counts(ids)
+		}
+	})
+	if !called {
+		return nil
+	}
+	return statuses
+}
+
+// counts returns the statuses of those jobs that the core knows. Owner goroutine.
+func (l *leadership) counts(ids []string) (statuses []wire.JobStatus) {
+	for _, id := range ids {
+		if status, done, running, known := l.core.Counts(id); known {
+			statuses = append(statuses, wire.JobStatus{ID: id, Status: status, Done: done, Running: running})
+		}
+	}
+	return statuses
+}
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -89,6 +89,15 @@
 	return c.term.mayRenew(report.FencingToken)
 }
 
+// PeerRelay implements peer.Server: a peer sends on the report of a worker.
+func (c *Controller) PeerRelay(ctx context.Context, request *peer.RelayRequest) (*peer.RelayResponse, error) {
+	response, ok := c.handleHeartbeat(ctx, &request.Report)
+	if !ok {
+		return &peer.RelayResponse{Status: http.StatusMisdirectedRequest}, nil
+	}
+	return &peer.RelayResponse{Status: http.StatusOK, Answer: response}, nil
+}
+
 // handleHeartbeat hands a report to the core if this controller is entitled to act: it holds
 // the term as far as it knows, and neither the worker nor a peer has shown a
 // higher token. While the state service is out of reach it goes on renewing
--- a/internal/controller/instability_test.go
+++ b/internal/controller/instability_test.go
@@ -124,7 +124,7 @@
 		n.catalog.set(wire.Catalog{})
 		ctx, cancel := context.WithCancel(context.Background())
 		go n.owner.run(ctx)
-		go n.electionLoop(ctx)
+		go newElection(n).run(ctx)
 		var got termRecord
 		var version uint64
 		most := 500
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -68,16 +68,16 @@
 }
 
 // lead loads the stored state and acts as leader until the term is lost.
-func (c *Controller) lead(ctx context.Context, token uint64, termLease *lease) {
+func (c *Controller) lead(ctx context.Context, term *heldTerm) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	l := newLeadership(ctx, c, token, termLease)
+	l := newLeadership(ctx, c, term.token, term.lease)
 	defer l.cancel()
-	c.observeTerm(c.settings.Label, token)
+	c.observeTerm(c.settings.Label, term.token)
 	if !l.loadUntilLost() || !l.install() {
 		return
 	}
-	c.log.Info("acting as leader", "token", token)
+	c.log.Info("acting as leader", "token", term.token)
 	for _, client := range c.peers {
 		go func() { _, _ = client.Heartbeat(l.ctx, c.newHeartbeat()) }()
 	}
--- a/internal/controller/peerheartbeat.go
+++ b/internal/controller/peerheartbeat.go
@@ -7,75 +7,83 @@
 	"dalefront/internal/peer"
 )
 
-// heartbeatPeer exchanges what is known about the term with a peer.
-func (c *Controller) heartbeatPeer(ctx context.Context, label string, p *peer.Client) {
-	for {
-		a, err := p.Heartbeat(ctx, c.newHeartbeat())
-		if err == nil {
-			c.peerTable.recordSeen(label, time.Now())
-			c.handlePeerHeartbeat(label, a)
-			c.peerTable.recordOwnRestarts(a.RecentRestarts, time.Now())
-			// At second hand: a controller that was started within an outage has the permission
-			// from those that live on.
-			c.term.allowRenewal(a.RenewalToken)
-		}
-		select {
-		case <-ctx.Done():
-			return
-		case <-time.After(time.Second):
+// peerHeartbeatInterval is the pause between two heartbeats to a peer.
+const peerHeartbeatInterval = time.Second
+
+// heartbeatPeer exchanges what is known about the term with a peer, until the context ends.
+func (c *Controller) heartbeatPeer(ctx context.Context, label string, client *peer.Client) {
+	for ctx.Err() == nil {
+		if answer, err := client.Heartbeat(ctx, c.newHeartbeat()); err == nil {
+			c.handleHeartbeatAnswer(label, answer)
 		}
+		sleepContext(ctx, peerHeartbeatInterval)
 	}
 }
 
-// handlePeerHeartbeat takes a hello of a peer, or the answer to one, and is how often that peer was
-// started anew lately.
-func (c *Controller) handlePeerHeartbeat(label string, h *peer.Heartbeat) int {
-	c.recordTermOf(h)
-	c.config.recordPeerConfig(label, h)
-	c.follower.leaderIsAlive(label, h.ProcessID)
-	return c.recordPeerProcess(label, h.ProcessID, time.Now())
+// handleHeartbeatAnswer takes a peer's answer to a heartbeat.
+func (c *Controller) handleHeartbeatAnswer(label string, answer *peer.Heartbeat) {
+	now := time.Now()
+	c.peerTable.recordSeen(label, now)
+	c.handlePeerHeartbeat(label, answer)
+	c.peerTable.recordOwnRestarts(answer.RecentRestarts, now)
+	// At second hand: a controller that was started within an outage has the permission
+	// from those that live on.
+	c.term.allowRenewal(answer.RenewalToken)
+}
+
+// handlePeerHeartbeat takes a heartbeat of a peer, or the answer to one, and returns how often that
+// peer was restarted lately.
+func (c *Controller) handlePeerHeartbeat(label string, heartbeat *peer.Heartbeat) int {
+	c.recordTermOf(heartbeat)
+	c.config.recordPeerConfig(label, heartbeat)
+	c.follower.leaderIsAlive(label, heartbeat.ProcessID)
+	return c.recordPeerProcess(label, heartbeat.ProcessID, time.Now())
 }
 
-// recordTermOf takes what a peer's hello says of the term and of others.
-func (c *Controller) recordTermOf(h *peer.Heartbeat) {
-	if h.Token == 0 {
+// recordTermOf takes what a peer's heartbeat says of the term and of others.
+func (c *Controller) recordTermOf(heartbeat *peer.Heartbeat) {
+	if heartbeat.Token == 0 {
 		return
 	}
-	c.observeTerm(h.Leader, h.Token)
-	if h.From == h.Leader {
-		c.term.allowRenewal(h.Token)
-	}
-	if h.Leading && h.From == h.Leader {
-		c.term.recordLeaderProcess(termProcess{h.Token, h.ProcessID})
+	c.observeTerm(heartbeat.Leader, heartbeat.Token)
+	if heartbeat.From == heartbeat.Leader {
+		c.term.allowRenewal(heartbeat.Token)
+		if heartbeat.Leading {
+			c.term.recordLeaderProcess(termProcess{heartbeat.Token, heartbeat.ProcessID})
+		}
 	}
-	c.acceptStandbyView(h)
-	if h.CannotFollow && c.peers[h.From] != nil {
-		c.peerTable.recordUnfit(h.From, time.Now())
+	c.acceptStandbyView(heartbeat)
+	if heartbeat.CannotFollow && c.peers[heartbeat.From] != nil {
+		c.peerTable.recordUnfit(heartbeat.From, time.Now())
 	}
 }
 
+// newHeartbeat says what this controller knows.
 func (c *Controller) newHeartbeat() *peer.Heartbeat {
 	term := c.term.view()
-	h := &peer.Heartbeat{From: c.settings.Label, Leader: term.leader, Token: term.token, ProcessID: c.processID, Leading: term.isLeading() && term.leading == term.token}
-	h.CannotFollow = c.follower.unfit()
-	h.SupportsConfig, h.Generation = true, c.config.current().number
+	heartbeat := &peer.Heartbeat{
+		From: c.settings.Label, ProcessID: c.processID,
+		Leader: term.leader, Token: term.token, Leading: term.isLeading() && term.leading == term.token,
+		CannotFollow:   c.follower.unfit(),
+		SupportsConfig: true, Generation: c.config.current().number,
+		RenewalToken: c.term.renewalToken(),
+	}
 	if view := c.peerTable.standbyView(); view.Token > 0 {
-		h.StandbyView = &view
+		heartbeat.StandbyView = &view
 	}
-	h.RenewalToken = c.term.renewalToken()
-	return h
+	return heartbeat
 }
 
 // PeerHeartbeat implements peer.Server.
-func (c *Controller) PeerHeartbeat(ctx context.Context, h *peer.Heartbeat) (*peer.Heartbeat, error) {
-	ends := c.handlePeerHeartbeat(h.From, h)
-	a := c.newHeartbeat()
-	a.RecentRestarts = ends
-	if h.Probe != "" {
-		a.Probe, a.Reached = h.Probe, c.reachesProcess(ctx, h.Probe, h.ProbeProcessID)
+func (c *Controller) PeerHeartbeat(ctx context.Context, heartbeat *peer.Heartbeat) (*peer.Heartbeat, error) {
+	restarts := c.handlePeerHeartbeat(heartbeat.From, heartbeat)
+	answer := c.newHeartbeat()
+	answer.RecentRestarts = restarts
+	if heartbeat.Probe != "" {
+		answer.Probe, answer.Reached = heartbeat.Probe, c.reachesProcess(ctx, heartbeat.Probe, heartbeat.ProbeProcessID)
 	}
-	if h.WantContacts {
-		a.Contacts = c.workerContacts.recent()
+	if heartbeat.WantContacts {
+		answer.Contacts = c.workerContacts.recent()
 	}
-	return a, nil
+	return answer, nil
 }
