--- a/internal/simulation/controller_test.go
+++ b/internal/simulation/controller_test.go
@@ -74,7 +74,6 @@
 		}
 		set.Label, set.ServeOn, set.MeshAddr = fmt.Sprint("node-", i), c.addrs[i], mesh[i]
 		set.Endpoints.State, set.Endpoints.Cloud = addr, addr
-		c.svc.Limits = set.TxnLimits()
 		set.Deployment.State.RPS, set.Deployment.State.WriteRPS = 1000, 1000
 		for k := range mesh {
 			if k != i {
@@ -83,6 +82,9 @@
 		}
 		change(set)
 		c.sets, c.nodes, c.stop = append(c.sets, set), append(c.nodes, nil), append(c.stop, nil)
+	}
+	c.svc.Limits = c.sets[0].TxnLimits() // all have the same; before the first one asks
+	for i := range c.sets {
 		c.start(i)
 	}
 	return c
@@ -184,7 +186,7 @@
 	return string(b)
 }
 
-func (c *cluster) submission(id string, tasks int) map[string]any {
+func (*cluster) submission(id string, tasks int) map[string]any {
 	return map[string]any{"Id": id, "Jobclass": "c", "Owner": "red", "Shape": "sweep", "Urgency": "low", "Pieces": tasks,
 		"Cores": 1.0, "Gpus": 0.0, "RamGb": 1.0, "Bundle": "i", "SizeGb": 1.0, "SamePlace": false,
 		"Spread": false, "Loaners": true, "ExpectedS": 1.0, "SnapshotEveryS": 0.0, "SnapshotS": 0.0}
