--- a/internal/archive/reader.go
+++ b/internal/archive/reader.go
@@ -94,16 +94,16 @@
 
 // Refresh reads the manifests again whose conditions failed, and says whether there
 // were any among the keys.
-func (r *Reader) Refresh(ctx context.Context, failed []string) (any bool, err error) {
+func (r *Reader) Refresh(ctx context.Context, failed []string) (found bool, err error) {
 	for _, k := range failed {
 		if shard, ok := shardOf(k); ok {
-			any = true
+			found = true
 			if err := r.refresh(ctx, shard); err != nil {
-				return any, err
+				return found, err
 			}
 		}
 	}
-	return any, nil
+	return found, nil
 }
 
 // Answer is what the archive says about a job. Without a record it rests on Cond: as
--- a/internal/archive/store_test.go
+++ b/internal/archive/store_test.go
@@ -68,7 +68,7 @@
 		for k := range m.keys {
 			m.sorted = append(m.sorted, k)
 		}
-		sort.Strings(m.sorted)
+		slices.Sort(m.sorted)
 	}
 	out := wire.KeyValuePage{Revision: m.rev}
 	size := 0
--- a/internal/calendar/file.go
+++ b/internal/calendar/file.go
@@ -3,11 +3,11 @@
 import (
 	"crypto/sha256"
 	"encoding/hex"
+	"errors"
 	"fmt"
 	"os"
 	"regexp"
 	"slices"
-	"sort"
 	"strings"
 	"time"
 
@@ -136,7 +136,7 @@
 			}
 		}
 	}
-	sort.Slice(r.out.Schedules, func(a, b int) bool { return r.out.Schedules[a].Name < r.out.Schedules[b].Name })
+	slices.SortFunc(r.out.Schedules, func(a, b *Schedule) int { return strings.Compare(a.Name, b.Name) })
 	return &r.out, nil
 }
 
@@ -318,7 +318,7 @@
 		}
 	}
 	if ways != 1 {
-		return nil, fmt.Errorf("one of cron, sun and finish_by is needed")
+		return nil, errors.New("one of cron, sun and finish_by is needed")
 	}
 	switch {
 	case x.Cron != "":
@@ -329,7 +329,7 @@
 			return nil, fmt.Errorf("there is no event %q of the sun", u.Event)
 		}
 		if !(u.Latitude >= -90 && u.Latitude <= 90 && u.Longitude >= -180 && u.Longitude <= 180 && u.OffsetS >= -43200 && u.OffsetS <= 43200) {
-			return nil, fmt.Errorf("latitude is from -90 to 90, longitude from -180 to 180, offset_s from -43200 to 43200")
+			return nil, errors.New("latitude is from -90 to 90, longitude from -180 to 180, offset_s from -43200 to 43200")
 		}
 		return &sunRule{u.Event, u.Latitude, u.Longitude, seconds(u.OffsetS), loc}, nil
 	}
@@ -338,7 +338,7 @@
 		return nil, fmt.Errorf("at %q is not HH:MM", x.FinishBy.At)
 	}
 	if run := x.FinishBy.RunS; !(run >= 0 && run <= 86400) {
-		return nil, fmt.Errorf("run_s must be from 0 to 86400")
+		return nil, errors.New("run_s must be from 0 to 86400")
 	}
 	return &finishRule{time.Duration(by.Hour())*time.Hour + time.Duration(by.Minute())*time.Minute, seconds(x.FinishBy.RunS), loc}, nil
 }
--- a/internal/calendar/rule.go
+++ b/internal/calendar/rule.go
@@ -39,7 +39,7 @@
 // next walks the expression's wall times, which the library finds in UTC, where no
 // clock is ever changed. The instants of rising wall times never fall, so the first
 // that is later than after is the least.
-func (r *cronRule) next(after time.Time) (time.Time, time.Time) {
+func (r *cronRule) next(after time.Time) (at, date time.Time) {
 	for wall := r.spec.Next(wallOf(after, r.loc)); !wall.IsZero() && wall.Year() <= lastYear; wall = r.spec.Next(wall) {
 		if at, exists := resolve(wall, r.loc); at.After(after) && (exists || !r.skipGap) {
 			return at, wall
@@ -59,7 +59,7 @@
 // mostDays is how far ahead a rule looks for a day on which it occurs.
 const mostDays = 400
 
-func (r *sunRule) next(after time.Time) (time.Time, time.Time) {
+func (r *sunRule) next(after time.Time) (at, date time.Time) {
 	day := wallOf(after.Add(-r.offset), r.loc)
 	for i := -1; i < mostDays; i++ {
 		d := time.Date(day.Year(), day.Month(), day.Day()+i, 0, 0, 0, 0, time.UTC)
@@ -79,7 +79,7 @@
 	loc *time.Location
 }
 
-func (r *finishRule) next(after time.Time) (time.Time, time.Time) {
+func (r *finishRule) next(after time.Time) (at, date time.Time) {
 	day := wallOf(after.Add(r.run), r.loc)
 	for i := -1; i < 4; i++ {
 		d := time.Date(day.Year(), day.Month(), day.Day()+i, 0, 0, 0, 0, time.UTC)
--- a/internal/calendar/schedule.go
+++ b/internal/calendar/schedule.go
@@ -104,9 +104,9 @@
 	return ""
 }
 
-// Delay is by how much the run of an occurrence is put off, so that schedules which
+// Delay is by how much the run of each occurrence is put off, so that schedules which
 // fall on one second do not run in it. It is the same whoever asks.
-func (s *Schedule) Delay(at time.Time) time.Duration {
+func (s *Schedule) Delay() time.Duration {
 	if s.Jitter <= 0 {
 		return 0
 	}
--- a/internal/controller/schedules.go
+++ b/internal/controller/schedules.go
@@ -37,7 +37,7 @@
 				break
 			}
 			if after = o.At; o.Skip == "" {
-				out.Next = o.At.Add(s.Delay(o.At)).UnixMicro()
+				out.Next = o.At.Add(s.Delay()).UnixMicro()
 				break
 			}
 		}
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -5,6 +5,7 @@
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
 	"maps"
 	"math"
@@ -505,7 +506,7 @@
 			}
 		}
 		if len(with) == 0 {
-			return "", fmt.Errorf("no machine with tasks")
+			return "", errors.New("no machine with tasks")
 		}
 		id = with[f.rnd.IntN(len(with))]
 	}
--- a/internal/emulator/front.go
+++ b/internal/emulator/front.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"errors"
 	"fmt"
 	"net/http"
 	"slices"
@@ -54,6 +55,16 @@
 // MachineFaults are those of them that concern machines only.
 var MachineFaults = []string{"die", "hang", "slow", "recall", "wave", "restart"}
 
+// inTrouble notes that a fault may show until then.
+func (s *Site) inTrouble(until time.Time) {
+	for {
+		was := s.troubled.Load()
+		if until.UnixNano() <= was || s.troubled.CompareAndSwap(was, until.UnixNano()) {
+			return
+		}
+	}
+}
+
 // Fault does something bad to a running site: "kill" or "freeze" a controller (the
 // leader, unless one is named), an "outage" of the state service, a "cut" of a zone
 // from all others, the state service, the cloud and the users, a machine that is to
@@ -63,9 +74,7 @@
 // killed controller starts again after the time; what can end ends after it. It
 // returns what it was done to.
 func (s *Site) Fault(kind, name string, d time.Duration) (string, error) {
-	until := time.Now().Add(d).UnixNano()
-	for was := s.troubled.Load(); until > was && !s.troubled.CompareAndSwap(was, until); was = s.troubled.Load() {
-	}
+	s.inTrouble(time.Now().Add(d))
 	switch kind {
 	case "outage":
 		s.Services.SetDown(true)
@@ -79,7 +88,7 @@
 			}
 		}
 		if i < 0 || name != "" && s.controllers[i].label != name {
-			return "", fmt.Errorf("there is no such controller, and no leader now")
+			return "", errors.New("there is no such controller, and no leader now")
 		}
 		if kind == "freeze" {
 			time.AfterFunc(d, func() { _ = s.Signal(i, syscall.SIGCONT) })
--- a/internal/emulator/services.go
+++ b/internal/emulator/services.go
@@ -4,7 +4,6 @@
 	"io"
 	"net/http"
 	"slices"
-	"sort"
 	"strconv"
 	"strings"
 	"sync"
@@ -356,7 +355,7 @@
 				out.Items = append(out.Items, e)
 			}
 		}
-		sort.Slice(out.Items, func(a, b int) bool { return out.Items[a].Key < out.Items[b].Key })
+		slices.SortFunc(out.Items, func(a, b wire.KeyValue) int { return strings.Compare(a.Key, b.Key) })
 		most, _ := strconv.Atoi(r.URL.Query().Get("Page"))
 		size := 0
 		for i, e := range out.Items {
--- a/internal/emulator/waiting_test.go
+++ b/internal/emulator/waiting_test.go
@@ -14,7 +14,7 @@
 		want []string
 	}{
 		"left waiting": {func(*stage, int) {}, []string{"left waiting"}},
-		"begun":        {func(s *stage, second int) { s.order(0, wire.Launch, "j-1/0", 1, 0) }, nil},
+		"begun":        {func(s *stage, _ int) { s.order(0, wire.Launch, "j-1/0", 1, 0) }, nil},
 		"no room": {func(s *stage, second int) {
 			if second == 50 {
 				s.machines[s.ids[0]].hung = s.now + 5_000_000
--- a/internal/experiment/live.go
+++ b/internal/experiment/live.go
@@ -153,13 +153,7 @@
 	for {
 		code, wait, err := l.ask(ctx, http.MethodPost, wire.PathJobs, body, nil)
 		if err == nil && code/100 == 2 {
-			now := time.Now()
-			l.mu.Lock()
-			defer l.mu.Unlock()
-			_ = l.latency.RecordValue(now.Sub(first).Microseconds()) // below its bound: a minute and five seconds
-			l.res.Submit.Accepted++
-			l.last = now
-			l.open[a.job.ID] = a
+			l.accepted(a, first, time.Now())
 			return
 		}
 		if err == nil && code/100 == 4 && code != http.StatusTooManyRequests || time.Since(first) > giveUp || !pause(ctx, wait) {
@@ -170,6 +164,16 @@
 	}
 }
 
+// accepted counts a submission that was begun and accepted at these times.
+func (l *live) accepted(a *arrival, begun, now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	_ = l.latency.RecordValue(now.Sub(begun).Microseconds()) // below its bound: a minute and five seconds
+	l.res.Submit.Accepted++
+	l.last = now
+	l.open[a.job.ID] = a
+}
+
 func (l *live) count(f func(*Submissions)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/failuredomain/detector_test.go
+++ b/internal/failuredomain/detector_test.go
@@ -103,7 +103,7 @@
 func TestZoneComesBack(t *testing.T) {
 	now := began + 500*second
 	d := New(params())
-	cut := func(z string, i int) Micros {
+	cut := func(z string, _ int) Micros {
 		if z == "b" {
 			return 30 * second
 		}
--- a/internal/recurring/recur.go
+++ b/internal/recurring/recur.go
@@ -138,7 +138,7 @@
 
 // due is when an occurrence runs.
 func (x *entry) due(o calendar.Occurrence) Micros {
-	return ceil(o.At) + Micros(x.s.Delay(o.At)/time.Microsecond)
+	return ceil(o.At) + Micros(x.s.Delay()/time.Microsecond)
 }
 
 // ceil is an instant in whole microseconds, never before it.
@@ -152,8 +152,10 @@
 
 // Jobs is what the engine asks about jobs.
 type Jobs interface {
-	Running(id string) bool  // it has not ended, as far as known
-	Admit(j *wire.Job) error // why it can never run
+	// Running says whether a job has not ended, as far as known.
+	Running(id string) bool
+	// Admit says why a job can never run; nil if it can.
+	Admit(j *wire.Job) error
 }
 
 // Due decides about up to most schedules that are due by now. Each decision has to be
--- a/internal/recurring/recur_test.go
+++ b/internal/recurring/recur_test.go
@@ -41,7 +41,7 @@
 type fakeJobs func(id string) bool
 
 func (f fakeJobs) Running(id string) bool { return f != nil && f(id) }
-func (f fakeJobs) Admit(*wire.Job) error  { return nil }
+func (fakeJobs) Admit(*wire.Job) error    { return nil }
 
 // store is what the state service holds, and all that ever happened to it.
 type store struct {
@@ -58,7 +58,7 @@
 }
 
 // apply runs a decision's transaction. taken says that a job's id is somebody's.
-func (s *store) apply(t testing.TB, d Decision) (ok, taken bool) {
+func (s *store) apply(d Decision) (ok, taken bool) {
 	if s.version[d.Name] != d.Version {
 		return false, false
 	}
@@ -132,7 +132,7 @@
 			case x < 10:
 				stale, e = e, s.engine(c)
 			case x < 16 && len(late) > 0:
-				s.apply(t, late[0])
+				s.apply(late[0])
 				late = late[1:]
 			}
 		}
@@ -143,7 +143,7 @@
 				continue
 			}
 			if troubles && r.IntN(12) == 0 {
-				s.apply(t, d) // applied, but the answer is lost
+				s.apply(d) // applied, but the answer is lost
 				e.Again(d, s.state[d.Name], s.version[d.Name], false, clock+second)
 				continue
 			}
@@ -151,7 +151,7 @@
 				e = s.engine(c) // taken over before it was stored
 				break
 			}
-			if ok, taken := s.apply(t, d); ok {
+			if ok, taken := s.apply(d); ok {
 				e.Stored(d, s.version[d.Name])
 			} else {
 				e.Again(d, s.state[d.Name], s.version[d.Name], taken, clock+second)
@@ -159,7 +159,7 @@
 		}
 		if stale != nil && r.IntN(50) == 0 {
 			for _, d := range stale.Due(clock, 4, running) {
-				s.apply(t, d) // refused by the version, if anything was decided since
+				s.apply(d) // refused by the version, if anything was decided since
 			}
 			stale = nil
 		}
@@ -227,7 +227,7 @@
 	step := func() {
 		for range 8 {
 			for _, d := range e.Due(now, 4, fakeJobs(func(id string) bool { return running && s.running[id] })) {
-				if ok, taken := s.apply(t, d); ok {
+				if ok, taken := s.apply(d); ok {
 					e.Stored(d, s.version[d.Name])
 				} else {
 					e.Again(d, s.state[d.Name], s.version[d.Name], taken, now)
@@ -302,7 +302,7 @@
 		for range hours * 4 {
 			now += 900 * second
 			for _, d := range e.Due(now, 9, fakeJobs(nil)) {
-				if ok, _ := s.apply(t, d); ok {
+				if ok, _ := s.apply(d); ok {
 					e.Stored(d, s.version[d.Name])
 				}
 			}
@@ -359,7 +359,7 @@
 	for range 400 {
 		at += 30 * second
 		for _, d := range e.Due(at, 1, fakeJobs(nil)) {
-			if ok, taken := s.apply(t, d); ok {
+			if ok, taken := s.apply(d); ok {
 				e.Stored(d, s.version[d.Name])
 			} else {
 				e.Again(d, s.state[d.Name], s.version[d.Name], taken, at)
@@ -381,7 +381,7 @@
 	now := time.Date(2026, 1, 6, 0, 0, 30, 0, time.UTC).UnixMicro()
 	e := s.engine(c)
 	for _, d := range e.Due(now, 20_000, fakeJobs(nil)) {
-		s.apply(b, d)
+		s.apply(d)
 		e.Stored(d, s.version[d.Name])
 	}
 	b.ResetTimer()
--- a/internal/scaletest/generator.go
+++ b/internal/scaletest/generator.go
@@ -182,9 +182,9 @@
 	}
 }
 
-// plan submits what make returns at each multiple of the interval, whether or not earlier
+// plan submits what next returns at each multiple of the interval, whether or not earlier
 // submissions have been answered, until the context ends.
-func (g *generator) plan(ctx context.Context, every time.Duration, make func() wire.Job) {
+func (g *generator) plan(ctx context.Context, every time.Duration, next func() wire.Job) {
 	begun := time.Now()
 	for i := 0; ; i++ {
 		due := begun.Add(time.Duration(i) * every)
@@ -196,7 +196,7 @@
 		case <-ctx.Done():
 			return
 		}
-		job := make()
+		job := next()
 		g.record(timeLate, time.Since(due))
 		go func() {
 			defer func() { <-g.turns }()
--- a/internal/scaletest/process.go
+++ b/internal/scaletest/process.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -107,7 +108,7 @@
 			return kb / 1024, err
 		}
 	}
-	return 0, fmt.Errorf("/proc/meminfo: no MemTotal")
+	return 0, errors.New("/proc/meminfo: no MemTotal")
 }
 
 // processorTicks is how many ticks all processors have had, and how many of them idle.
--- a/internal/simulation/answers_test.go
+++ b/internal/simulation/answers_test.go
@@ -115,7 +115,7 @@
 
 // works runs the worker until the test ends; its tasks end as done once their jobs are
 // among those that are to.
-func (c *cluster) works(t *testing.T, finish *sync.Map) (stop func()) {
+func (c *cluster) works(finish *sync.Map) (stop func()) {
 	done, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
@@ -154,7 +154,7 @@
 				})
 			}
 			var finish sync.Map
-			stop := u.works(t, &finish)
+			stop := u.works(&finish)
 			var all sync.WaitGroup
 			for client := range 6 {
 				all.Go(func() {
@@ -456,7 +456,7 @@
 	u := newUsers(c)
 	c.until("a leader", func() bool { return c.report(0) == 200 })
 	var finish sync.Map
-	stop := c.works(t, &finish)
+	stop := c.works(&finish)
 	const jobs = 48
 	before := c.svc.AskedChanges()
 	var all sync.WaitGroup
--- a/internal/simulation/trouble_test.go
+++ b/internal/simulation/trouble_test.go
@@ -56,7 +56,7 @@
 			w.Takeover()
 		}
 	}},
-	{"old reports reach the next leader as it begins", func(w *World) { w.Copies = 6 }, nil, func(w *World, step int) {
+	{"old reports reach the next leader as it begins", func(w *World) { w.Copies = 6 }, nil, func(w *World, _ int) {
 		if w.often(60) {
 			w.Takeover()
 		}
@@ -75,7 +75,7 @@
 			w.Takeover()
 		}
 	}},
-	{"machines reach no controller, commands reach them", nil, nil, func(w *World, step int) {
+	{"machines reach no controller, commands reach them", nil, nil, func(w *World, _ int) {
 		if w.often(120) {
 			w.Silence(4, int64(w.Rng.IntN(int(40*second))))
 		}
@@ -86,7 +86,7 @@
 			w.Takeover()
 		}
 	}},
-	{"machines hear nothing", nil, nil, func(w *World, step int) {
+	{"machines hear nothing", nil, nil, func(w *World, _ int) {
 		if w.often(120) {
 			w.Deafen(4, int64(w.Rng.IntN(int(40*second))))
 		}
@@ -115,7 +115,7 @@
 			w.Takeover()
 		}
 	}},
-	{"more work than room, urgent and not, over slow links", func(w *World) { w.Link = 3 * second }, nil, func(w *World, step int) {
+	{"more work than room, urgent and not, over slow links", func(w *World) { w.Link = 3 * second }, nil, func(w *World, _ int) {
 		if w.often(12) {
 			w.submitOne(nil)
 		}
@@ -134,7 +134,7 @@
 	{"only answers are lost, the leader ends before they come", func(w *World) {
 		w.Lag = 4 * second
 		w.Lose = func() bool { return w.often(3) }
-	}, nil, func(w *World, step int) {
+	}, nil, func(w *World, _ int) {
 		if w.often(100) {
 			w.Takeover()
 		}
@@ -145,7 +145,7 @@
 	{"all of these", func(w *World) {
 		w.Lag, w.Link, w.Copies = 3*second, second, 10
 		w.Lose = func() bool { return w.often(3) }
-	}, nil, func(w *World, step int) {
+	}, nil, func(w *World, _ int) {
 		switch w.Rng.IntN(400) {
 		case 0, 1:
 			w.Takeover()
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -5,9 +5,10 @@
 package simulation
 
 import (
+	"cmp"
 	"fmt"
 	"math/rand/v2"
-	"sort"
+	"slices"
 
 	"dalefront/internal/config"
 	"dalefront/internal/controller"
@@ -213,7 +214,7 @@
 	for k := range m {
 		out = append(out, k)
 	}
-	sort.Strings(out)
+	slices.Sort(out)
 	return out
 }
 
@@ -252,7 +253,9 @@
 }
 
 // Boot adds a machine.
-func (w *World) Boot(typ, zone string, spot bool) *worker {
+func (w *World) Boot(typ, zone string, spot bool) { w.boot(typ, zone, spot) }
+
+func (w *World) boot(typ, zone string, spot bool) *worker {
 	k := &worker{Machine: w.fleet.Boot(typ, zone, spot), nextAt: w.Now + int64(w.Rng.IntN(int(second)))}
 	w.workers[k.View().Host] = k
 	return k
@@ -383,7 +386,7 @@
 
 // deliver hands due reports to the leader and its answers to the workers.
 func (w *World) deliver() {
-	sort.SliceStable(w.net, func(a, b int) bool { return w.net[a].at < w.net[b].at })
+	slices.SortStableFunc(w.net, func(a, b message) int { return cmp.Compare(a.at, b.at) })
 	for len(w.net) > 0 && w.net[0].at <= w.Now {
 		m := w.net[0]
 		w.net = w.net[1:]
@@ -492,7 +495,7 @@
 		for _, h := range c.ScaleOut(w.Now) {
 			var hosts []string
 			for i := 0; i < h.Count && w.has(h.Type, h.Zone) < w.Most/2; i++ {
-				k := w.Boot(h.Type, h.Zone, h.Spot)
+				k := w.boot(h.Type, h.Zone, h.Spot)
 				hosts = append(hosts, k.View().Host)
 				if w.Rng.IntN(8) == 0 {
 					k.NeverUp()
