--- /dev/null
+++ b/internal/sched/checkpoint.go
@@ -0,0 +1,82 @@
+package sched
+
+import (
+	"dalefront/internal/config"
+	"dalefront/wire"
+)
+
+// The paper's rule (J. Li et al., "Improving Preemptive Scheduling with Application-Transparent
+// Checkpointing in Shared Clusters", Middleware '15, §4.1): a victim that has made more progress
+// than it takes to write its checkpoint, to read it back, and to wait for the checkpoints that
+// are written before it, is checkpointed; any other is killed and starts again.
+
+const (
+	// slowestGBPerS bounds the bandwidth of checkpoints from below.
+	slowestGBPerS = 0.001
+	// preemptedBefore is what each earlier preemption of its job adds to a victim's cost. In a burst
+	// fresh tasks would be killed over and over otherwise, since they look cheapest.
+	preemptedBefore = 5 * second
+)
+
+// stopPlan is how a victim is stopped.
+type stopPlan struct {
+	write      Micros // to write its checkpoint
+	overhead   Micros // to write and to read it, behind the machine's queue
+	progress   Micros // what a checkpoint would keep
+	checkpoint bool   // it is checkpointed, otherwise killed
+	cost       Micros
+}
+
+// planStop applies the paper's rule to a victim of so many tasks, by the progress of one of them.
+// queue is how long the checkpoints take that the machine writes before.
+func (c *Core) planStop(p *placement, tasks int, queue Micros) stopPlan {
+	j := p.job
+	running := Micros(0)
+	if p.runningSince > 0 {
+		running = c.now - p.runningSince
+	}
+	plan := stopPlan{write: transferTime(j.spec.MemoryGB, c.writeGBPerS), progress: j.checkpointedRunTime + running}
+	plan.overhead = plan.write + transferTime(j.spec.MemoryGB, c.readGBPerS) + queue
+	plan.checkpoint = c.checkpoints(j, &plan)
+	switch {
+	case plan.checkpoint:
+		plan.cost = plan.overhead
+	case j.spec.CheckpointIntervalS > 0: // it saves by itself
+		plan.cost = min(running, config.Micro(j.spec.CheckpointIntervalS))
+	default:
+		plan.cost = running
+	}
+	plan.cost *= Micros(tasks)
+	plan.cost += Micros(j.preemptions) * preemptedBefore
+	return plan
+}
+
+// checkpoints says whether a task of the job is checkpointed rather than killed. The operators may
+// have set that one or the other is always done.
+func (c *Core) checkpoints(j *job, plan *stopPlan) bool {
+	switch {
+	case !canCheckpoint(j) || c.preemptionPolicy == config.EvictKill:
+		return false
+	case c.preemptionPolicy == config.EvictCheckpoint:
+		return true
+	}
+	return plan.progress > plan.overhead
+}
+
+// queueTime is how long the victim's checkpoint keeps those behind it waiting.
+func (plan *stopPlan) queueTime(j *job) Micros {
+	if !plan.checkpoint {
+		return 0
+	}
+	return max(plan.write, config.Micro(j.spec.CheckpointDurationS))
+}
+
+// canCheckpoint says whether stopping a task of the job with grace keeps its progress.
+func canCheckpoint(j *job) bool {
+	return j.spec.CheckpointIntervalS > 0 && j.spec.Shape != wire.Service
+}
+
+// transferTime is how long it takes to move so much at a bandwidth.
+func transferTime(gb, gbPerS float64) Micros {
+	return Micros(gb / max(gbPerS, slowestGBPerS) * float64(second))
+}
--- a/internal/sched/explain.go
+++ b/internal/sched/explain.go
@@ -97,7 +97,7 @@
 		return nil
 	}
 	for _, m := range c.machinesByName {
-		if m.cordon != nil && allowed(j, m) && slotsFor(j, m.machineType, m.usedCPUs, m.usedGPUs, m.usedMemoryGB) > 0 {
+		if m.cordon != nil && allowed(j, m) && slotsFor(j, m.machineType, m.used()) > 0 {
 			return m.cordon
 		}
 	}
--- a/internal/sched/failures.go
+++ b/internal/sched/failures.go
@@ -109,7 +109,7 @@
 	if !ok {
 		for _, o := range c.lastPass.schedulable {
 			if allowed(j, o) && (o.reservedFor == nil || o.reservedFor == j) {
-				n += slotsFor(j, o.machineType, o.usedCPUs, o.usedGPUs, o.usedMemoryGB)
+				n += slotsFor(j, o.machineType, o.used())
 			}
 		}
 		for _, o := range c.jobs {
--- a/internal/sched/fit.go
+++ b/internal/sched/fit.go
@@ -31,9 +31,13 @@
 }
 
 // slotsFor is how many tasks of the job a machine of the type could take of which so much is used.
-func slotsFor(j *job, t *wire.MachineType, cpus, gpus, mem float64) int {
+func slotsFor(j *job, t *wire.MachineType, used resourceUse) int {
 	n := math.Inf(1)
-	for _, x := range [...]struct{ asked, left float64 }{{j.spec.CPUs, t.CPUs - cpus}, {j.spec.GPUs, t.GPUs - gpus}, {j.spec.MemoryGB, t.MemoryGB - mem}} {
+	for _, x := range [...]struct{ asked, left float64 }{
+		{j.spec.CPUs, t.CPUs - used.cpus},
+		{j.spec.GPUs, t.GPUs - used.gpus},
+		{j.spec.MemoryGB, t.MemoryGB - used.mem},
+	} {
 		if x.asked > 0 {
 			n = min(n, math.Floor((x.left+epsilon)/x.asked))
 		}
@@ -41,6 +45,30 @@
 	return max(0, int(min(n, maxSlots)))
 }
 
+// slotsOnEmpty is how many tasks of the job an empty machine of the type could take.
+func slotsOnEmpty(j *job, t *wire.MachineType) int { return slotsFor(j, t, resourceUse{}) }
+
+// used is what is taken of the machine.
+func (m *machine) used() resourceUse { return resourceUse{m.usedCPUs, m.usedGPUs, m.usedMemoryGB} }
+
+// free is what is left of the machine.
+func (m *machine) free() resourceUse {
+	t := m.machineType
+	return resourceUse{t.CPUs - m.usedCPUs, t.GPUs - m.usedGPUs, t.MemoryGB - m.usedMemoryGB}
+}
+
+// usedFrom is what is taken by jobs of the rank and higher ones.
+func (m *machine) usedFrom(rank int) resourceUse {
+	used := m.used()
+	used.subtract(m.usedBelow(rank))
+	return used
+}
+
+// fitsIn says whether there is room for it in what is free.
+func (u resourceUse) fitsIn(free resourceUse) bool {
+	return u.cpus <= free.cpus+epsilon && u.gpus <= free.gpus+epsilon && u.mem <= free.mem+epsilon
+}
+
 // tasksByZone counts, for each zone, the job's tasks that may be there.
 func (j *job) tasksByZone() map[string]int {
 	tasks := map[string]int{}
@@ -90,3 +118,9 @@
 func (r *minimumRequest) fits(t *wire.MachineType, cpus, mem float64) bool {
 	return cpus+r.cpus <= t.CPUs+epsilon && mem+r.mem <= t.MemoryGB+epsilon
 }
+
+// fitsEmpty says whether a task of the job fits the machine when nothing else is on it.
+func fitsEmpty(j *job, m *machine) bool {
+	t := m.machineType
+	return j.taskResources().fitsIn(resourceUse{t.CPUs, t.GPUs, t.MemoryGB})
+}
--- a/internal/sched/fleet.go
+++ b/internal/sched/fleet.go
@@ -289,7 +289,7 @@
 		if j == nil || !fitsType(&j.spec, t) || (t.GPUs > 0) != (j.spec.GPUs > 0) {
 			continue
 		}
-		if n := slotsFor(j, t, 0, 0, 0); n > 0 {
+		if n := slotsOnEmpty(j, t); n > 0 {
 			tasks := cl.arrivalRate(c.now) * (t.BootS + 10)
 			machines += (max(0, tasks-c.completionsWithin(cl, config.Micro(t.BootS))) + math.Sqrt(tasks*max(1, cl.meanTasks))) / float64(n)
 		}
@@ -392,7 +392,7 @@
 // canClear says whether evicting lower priorities would make room on the
 // machine for a task of the job.
 func (c *Core) canClear(j *job, m *machine) bool {
-	if !allowed(j, m) || slotsFor(j, m.machineType, 0, 0, 0) == 0 {
+	if !allowed(j, m) || slotsOnEmpty(j, m.machineType) == 0 {
 		return false
 	}
 	cpus, gpus, mem, any := m.usedCPUs, m.usedGPUs, m.usedMemoryGB, false
@@ -404,7 +404,7 @@
 			mem -= p.job.spec.MemoryGB
 		}
 	})
-	return any && slotsFor(j, m.machineType, cpus, gpus, mem) > 0
+	return any && slotsFor(j, m.machineType, resourceUse{cpus, gpus, mem}) > 0
 }
 
 // standbyDemand is the room in CPUs that the guarantees call for while there is work:
@@ -430,7 +430,7 @@
 		if j == nil || (spot && !j.spec.Spot) || !fitsType(&j.spec, t) || (j.spec.Zone != nil && *j.spec.Zone != zone) {
 			continue
 		}
-		if x := float64(slotsFor(j, t, 0, 0, 0)) * j.spec.CPUs; least == 0 || x < least {
+		if x := float64(slotsOnEmpty(j, t)) * j.spec.CPUs; least == 0 || x < least {
 			least = x
 		}
 	}
@@ -463,7 +463,7 @@
 		if d.slots <= 0 || !allowed(d.job, m) {
 			continue
 		}
-		if n := slotsFor(d.job, m.machineType, 0, 0, 0); n > 0 {
+		if n := slotsOnEmpty(d.job, m.machineType); n > 0 {
 			d.slots -= n
 			keep = true
 		}
--- a/internal/sched/gangplacement.go
+++ b/internal/sched/gangplacement.go
@@ -198,7 +198,7 @@
 	if !hasRoom(j, m, 1) || !ps.canTakeTask(j, m, tasksByZone) || ps.reservedAgainst(j, m) {
 		return 0
 	}
-	slots := min(slotsFor(j, m.machineType, m.usedCPUs, m.usedGPUs, m.usedMemoryGB), maxTasksPerMachine-m.placementCount)
+	slots := min(slotsFor(j, m.machineType, m.used()), maxTasksPerMachine-m.placementCount)
 	if j.spec.Spread {
 		slots = min(slots, j.zoneLimit()-tasksByZone[m.zone])
 	}
--- a/internal/sched/gangplan_test.go
+++ b/internal/sched/gangplan_test.go
@@ -135,24 +135,24 @@
 // What follows is how plans were made before, as a reference.
 
 func (ps *pass) plainHoldBack(gangs []*job) {
-	cleared := map[shape][]int{} // places on each open machine once it is cleared
+	cleared := map[gangShape][]int{} // places on each open machine once it is cleared
 	for _, j := range gangs[:min(len(gangs), ps.candidateLimit())] {
-		if j.startableSince > 0 && ps.core.now-j.startableSince > 2*holdFor {
+		if j.startableSince > 0 && ps.core.now-j.startableSince > 2*claimDuration {
 			j.startableSince = 0
 		}
-		if j.startableSince > 0 && ps.core.now-j.startableSince > holdFor {
+		if j.startableSince > 0 && ps.core.now-j.startableSince > claimDuration {
 			continue
 		}
-		places := cleared[j.shape()]
+		places := cleared[j.gangShape()]
 		if places == nil {
 			places = make([]int, len(ps.schedulable))
 			for i, m := range ps.schedulable {
 				if allowed(j, m) {
 					u := m.usedBelow(j.rank)
-					places[i] = slotsFor(j, m.machineType, m.usedCPUs-u.cpus, m.usedGPUs-u.gpus, m.usedMemoryGB-u.mem)
+					places[i] = slotsFor(j, m.machineType, resourceUse{m.usedCPUs - u.cpus, m.usedGPUs - u.gpus, m.usedMemoryGB - u.mem})
 				}
 			}
-			cleared[j.shape()] = places
+			cleared[j.gangShape()] = places
 		}
 		used := j.tasksByZone()
 		free := func(i int) int {
@@ -208,7 +208,7 @@
 }
 
 func (ps *pass) plainPlan(gangs []*job) {
-	if ps.core.now-ps.core.gangsPlannedAt < planEvery {
+	if ps.core.now-ps.core.gangsPlannedAt < gangPlanInterval {
 		return
 	}
 	ps.core.gangsPlannedAt = ps.core.now
@@ -248,7 +248,7 @@
 		if r := m.reservedFor; r != nil && r != j && ps.core.now < m.reservedUntil && r.rank >= j.rank && !ps.isReservedForWait(m) {
 			continue
 		}
-		if !allowed(j, m) || !satisfiesZones(j, used, m.zone) || slotsFor(j, m.machineType, 0, 0, 0) == 0 {
+		if !allowed(j, m) || !satisfiesZones(j, used, m.zone) || slotsOnEmpty(j, m.machineType) == 0 {
 			continue
 		}
 		if w, ok := ps.plainWayOn(j, m, may); ok {
@@ -328,7 +328,7 @@
 }
 
 func (ps *pass) plainWayOn(j *job, m *machine, may bool) (plainWay, bool) {
-	w := plainWay{m: m, slots: slotsFor(j, m.machineType, m.usedCPUs, m.usedGPUs, m.usedMemoryGB)}
+	w := plainWay{m: m, slots: slotsFor(j, m.machineType, m.used())}
 	like := Micros(ps.placementScore(j, m) * float64(second))
 	if m.reservedFor == j && m.reservationStart == 0 {
 		like = 0 // cleared for it
@@ -363,7 +363,7 @@
 	cpus, gpus, mem := m.usedCPUs, m.usedGPUs, m.usedMemoryGB
 	for _, e := range ends {
 		cpus, gpus, mem = cpus-e.j.spec.CPUs, gpus-e.j.spec.GPUs, mem-e.j.spec.MemoryGB
-		if w.slots = slotsFor(j, m.machineType, cpus, gpus, mem); w.slots > 0 {
+		if w.slots = slotsFor(j, m.machineType, resourceUse{cpus, gpus, mem}); w.slots > 0 {
 			w.after = e.at
 			break
 		}
--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -1,99 +1,26 @@
 package sched
 
-import (
-	"sort"
+import "dalefront/internal/config"
 
-	"dalefront/internal/config"
-	"dalefront/wire"
-)
-
-// victim is a task, or a whole gang, that might make room on a machine.
-type victim struct {
-	tasks      []*placement // all that stop
-	size       int          // how many these are
-	here       int          // how many of them are on the machine
-	dump       Micros       // size over write bandwidth
-	overhead   Micros       // dump, restore and wait behind the machine's queue
-	progress   Micros
-	checkpoint bool
-	cost       Micros
-}
-
-func transferTime(gb, bw float64) Micros { return Micros(gb / max(bw, 0.001) * float64(second)) }
-
-// weighVictim is what a task's eviction takes with it and costs, if no save is ahead of its.
-// The task itself comes first, then the rest of its gang in no order.
-func (ps *pass) weighVictim(p *placement) victim {
-	j := p.job
-	v := victim{tasks: []*placement{p}, size: 1, here: 1}
-	if j.isGang() { // gangs go whole
-		for q := range j.placements {
-			if q == p {
-				continue
-			}
-			v.tasks = append(v.tasks, q)
-			if q.machine == p.machine {
-				v.here++
-			}
-		}
-		v.size = len(v.tasks)
-	}
-	ps.chooseCheckpoint(&v, p, 0)
-	return v
-}
-
-// chooseCheckpoint applies the paper's rule, by the progress of one of the victim's tasks: if it
-// exceeds dump, restore and queue time the victim is checkpointed, otherwise killed.
-func (ps *pass) chooseCheckpoint(v *victim, p *placement, queue Micros) {
-	j := p.job
-	v.dump = transferTime(j.spec.MemoryGB, ps.core.writeGBPerS)
-	v.overhead = v.dump + transferTime(j.spec.MemoryGB, ps.core.readGBPerS) + queue
-	v.progress = j.checkpointedRunTime
-	lost := Micros(0)
-	if p.runningSince > 0 {
-		v.progress += ps.core.now - p.runningSince
-		lost = ps.core.now - p.runningSince
-	}
-	v.checkpoint = canCheckpoint(j) && (v.progress > v.overhead || ps.core.preemptionPolicy == config.EvictCheckpoint) && ps.core.preemptionPolicy != config.EvictKill
-	if v.checkpoint {
-		v.cost = v.overhead
-	} else {
-		v.cost = lost
-		if j.spec.CheckpointIntervalS > 0 {
-			v.cost = min(lost, config.Micro(j.spec.CheckpointIntervalS))
-		}
-	}
-	v.cost *= Micros(v.size)
-	// Soft point: in a burst fresh tasks would be killed over and over, since
-	// they look cheapest. Each eviction makes the job's tasks dearer.
-	v.cost += Micros(j.preemptions) * 5 * second
-}
+const (
+	// maxCandidateLooks bounds how many machines are looked at for victims, or for gangs, in a
+	// pass.
+	maxCandidateLooks = 200_000
+	// minClearings is how many jobs may have room cleared for them in a pass at any size of site.
+	minClearings = 4
 
-// isPreemptible applies the protocol's "Preemption": lower priority, or work beyond
-// its team's guarantee for a job within its own. Which of a team's jobs are
-// beyond is decided by their arrival, as the aim counts it, and not by what runs
-// at the moment: then jobs within are never evicted for that and jobs beyond
-// never evict, and two teams can't go on stopping each other's work.
-func (ps *pass) isPreemptible(p *placement, j *job) bool {
-	v := p.job
-	if p.stopping || v == j || v.isOver() {
-		return false
-	}
-	return v.rank < j.rank || (v.team != j.team && v.team.exceedsGuarantee() && !v.withinGuarantee && ps.core.reclaimsGuarantee(j))
-}
+	// preemptionBackoff is how long a job for which nothing could be cleared is not tried again.
+	preemptionBackoff = second
+	// clearedReservation is how long a machine is reserved once the checkpoints of its victims are
+	// written.
+	clearedReservation = 10 * second
+)
 
-// reclaimsGuarantee says whether the job may have work of other teams stopped that they run
-// beyond their guarantees.
-func (c *Core) reclaimsGuarantee(j *job) bool {
-	n := 1.0
-	if j.isGang() {
-		n = float64(j.pendingCount())
-	}
-	return j.withinGuarantee && j.team.withinGuarantee(n*j.spec.CPUs, n*j.spec.GPUs)
+// maxClearings is how many jobs may each look at all machines for victims in a pass.
+func (ps *pass) maxClearings() int {
+	return max(minClearings, maxCandidateLooks/max(1, len(ps.schedulable)))
 }
 
-const maxEvictions = 3
-
 // isFleetSettled says whether nearly all machines that are up have confirmed the term, or have
 // had the time to. Before, a job seems to have no room only because the machines that
 // have some have not reported yet, and what made way for it would have done so in vain:
@@ -102,202 +29,129 @@
 	if c.now-c.termStart > config.Micro(1.25*c.settings.Deployment.Workers.ReportS)+second {
 		return true
 	}
-	up, heard := 0, 0
+	up, confirmed := 0, 0
 	for _, m := range c.machinesByName {
 		if m.registered && !m.leaseExpired && !m.failed && !m.scalingIn {
 			up++
 			if m.confirmed {
-				heard++
+				confirmed++
 			}
 		}
 	}
-	return heard*10 >= up*9
+	return confirmed*10 >= up*9
 }
 
 // mayPreempt says whether the job has waited long enough and whether anything that
-// it may evict can be running at all.
+// it may preempt can be running at all.
 func (ps *pass) mayPreempt(j *job) bool {
-	if !ps.fleetSettled || ps.core.preemptionPolicy == config.EvictNone || ps.core.firstComeFirstServed || j.isSuspect() || j.waitingSince == 0 || ps.core.now-j.waitingSince < ps.core.preemptAfter || ps.core.now < j.preemptionBackoffUntil {
+	c := ps.core
+	if !ps.fleetSettled || c.preemptionPolicy == config.EvictNone || c.firstComeFirstServed || j.isSuspect() {
 		return false
 	}
-	lower := 0
-	for r := 0; r < j.rank; r++ {
-		lower += ps.core.placementsByRank[r]
-	}
-	if lower > 0 {
-		return true
-	}
-	if !ps.core.reclaimsGuarantee(j) {
+	if j.waitingSince == 0 || c.now-j.waitingSince < c.preemptAfter || c.now < j.preemptionBackoffUntil {
 		return false
 	}
-	for _, t := range ps.core.teams {
-		if t != j.team && t.exceedsGuarantee() && (t.usedCPUs > epsilon || t.usedGPUs > epsilon) {
+	for rank := range j.rank {
+		if c.placementsByRank[rank] > 0 {
 			return true
 		}
 	}
-	return false
+	return j.reclaimsGuarantee() && c.othersExceedGuarantee(j.team)
 }
 
-const (
-	// maxCandidateLooks bounds how many machines are looked at for victims, or for gangs, in a
-	// pass.
-	maxCandidateLooks = 200_000
-	// minClearings is how many jobs may have room cleared for them in a pass at any size of site.
-	minClearings = 4
-)
-
-// maxClearings is how many jobs may each look at all machines for victims in a pass.
-func (ps *pass) maxClearings() int {
-	return max(minClearings, maxCandidateLooks/max(1, len(ps.schedulable)))
+// othersExceedGuarantee says whether another team runs anything beyond its guarantee.
+func (c *Core) othersExceedGuarantee(team *team) bool {
+	for _, t := range c.teams {
+		if t != team && t.exceedsGuarantee() && (t.usedCPUs > epsilon || t.usedGPUs > epsilon) {
+			return true
+		}
+	}
+	return false
 }
 
-// noRoom is how long a job for which nothing could be cleared is not tried again.
-const noRoom = second
-
-// preemptFor evicts for the job's next task, if it has waited long enough and may
-// evict at all: victims from the one machine with the least total cost.
+// preemptFor preempts for the job's next task, if it has waited long enough and may preempt
+// at all: victims from the one machine with the least total cost. Each search goes over all
+// machines; jobs that don't get one have it in a later pass.
 func (ps *pass) preemptFor(j *job) {
-	// Each look goes over all machines; those who don't get one have it in a later pass.
 	if !ps.mayPreempt(j) || ps.preemptionSearches > ps.maxClearings() {
 		return
 	}
 	ps.preemptionSearches++
-	reserved := 0
-	usable := 0
+	if !ps.mayClearMore(j) {
+		return
+	}
+	m := ps.cheapestToClear(j)
+	if m == nil {
+		j.preemptionBackoffUntil = ps.core.now + preemptionBackoff
+		return
+	}
+	victims, _ := ps.victims(j, m)
+	ps.preempt(j, m, victims)
+}
+
+// mayClearMore says whether another machine may be cleared for the job: a quarter of the machines
+// at most at a time, and each only once its last victims have gone.
+//
+// Soft point: a guest's huge job would preempt almost everything.
+func (ps *pass) mayClearMore(j *job) bool {
+	cleared := 0
 	for _, m := range ps.schedulable {
 		if m.reservedFor == j {
-			reserved++
+			cleared++
 		}
-		usable++
-	}
-	// Soft point: a guest's huge job would evict almost everything. A job may
-	// clear at most a quarter of the machines at a time, and each only once its
-	// last victims have gone.
-	if reserved >= max(1, usable/4) || reserved >= j.pendingCount() {
-		return
 	}
-	zones, claims := j.tasksByZone(), ps.core.reclaimsGuarantee(j)
-	var bestM *machine
+	return cleared < max(1, len(ps.schedulable)/4) && cleared < j.pendingCount()
+}
+
+// cheapestToClear returns the machine on which room for a task of the job costs least, nil for
+// none.
+func (ps *pass) cheapestToClear(j *job) (best *machine) {
 	var bestCost Micros
+	tasksByZone, reclaims := j.tasksByZone(), j.reclaimsGuarantee()
 	for _, m := range ps.schedulable {
-		if !allowed(j, m) || m.reservedFor != nil || !satisfiesZones(j, zones, m.zone) ||
-			j.spec.CPUs > m.machineType.CPUs+epsilon || j.spec.GPUs > m.machineType.GPUs+epsilon || j.spec.MemoryGB > m.machineType.MemoryGB+epsilon {
+		if !allowed(j, m) || m.reservedFor != nil || !satisfiesZones(j, tasksByZone, m.zone) || !fitsEmpty(j, m) {
 			continue
 		}
-		if u := m.usedBelow(j.rank); !claims && slotsFor(j, m.machineType, m.usedCPUs-u.cpus, m.usedGPUs-u.gpus, m.usedMemoryGB-u.mem) == 0 {
-			continue // not with all of them gone
+		if !reclaims && slotsFor(j, m.machineType, m.usedFrom(j.rank)) == 0 {
+			continue // not with all of lower rank gone
 		}
-		evictions, ok := ps.preemptionCost(j, m)
+		cost, ok := ps.preemptionCost(j, m)
 		if !ok {
 			continue
 		}
-		cost := Micros(ps.placementScore(j, m)*float64(second)) + evictions
-		if bestM == nil || cost < bestCost || (cost == bestCost && m.host < bestM.host) {
-			bestM, bestCost = m, cost
+		cost += Micros(ps.placementScore(j, m) * float64(second))
+		if best == nil || cost < bestCost || (cost == bestCost && m.host < best.host) {
+			best, bestCost = m, cost
 		}
 	}
-	if bestM == nil {
-		j.preemptionBackoffUntil = ps.core.now + noRoom
-		return
-	}
-	best, _ := ps.victims(j, bestM)
-	ps.preempt(j, bestM, best)
+	return best
 }
 
-// preempt carries out a choice of victims and keeps the machine for the job.
-func (ps *pass) preempt(j *job, m *machine, best []victim) {
-	longest := Micros(0)
+// preempt carries out a choice of victims and reserves the machine for the job.
+func (ps *pass) preempt(j *job, m *machine, victims []victim) {
+	c := ps.core
 	queue := Micros(0)
-	for _, v := range best {
+	for i := range victims {
+		v := &victims[i]
+		preempted := v.tasks[0].job
 		if v.tasks[0].stopping {
 			continue // it goes already, for another machine of the same choice
 		}
-		ps.core.Stats.Preemptions += len(v.tasks)
+		c.Stats.Preemptions += len(v.tasks)
 		if v.checkpoint {
-			ps.core.Stats.Checkpoints++
-			queue += max(v.dump, config.Micro(v.tasks[0].job.spec.CheckpointDurationS))
-			longest = queue
+			c.Stats.Checkpoints++
 		} else {
-			ps.core.Stats.Kills++
+			c.Stats.Kills++
 		}
-		v.tasks[0].job.preemptions++
-		ps.core.log("evict", "for", j.id, "job", v.tasks[0].job.id, "tasks", len(v.tasks), "host", m.host,
+		queue += v.queueTime(preempted)
+		preempted.preemptions++
+		c.log("evict", "for", j.id, "job", preempted.id, "tasks", len(v.tasks), "host", m.host,
 			"checkpoint", v.checkpoint, "progress_us", v.progress, "overhead_us", v.overhead)
 		for _, p := range v.tasks {
 			p.preempted = true
-			ps.core.stopPlacement(p, v.checkpoint)
+			c.stopPlacement(p, v.checkpoint)
 		}
 	}
 	m.reservedFor, m.reservationStart = j, 0
-	m.reservedUntil = ps.core.now + longest + 10*second
-}
-
-// mayBeVictim says whether the task may make way for the job, and its job was not evicted too often.
-func (ps *pass) mayBeVictim(p *placement, j *job) bool {
-	return ps.isPreemptible(p, j) && p.job.preemptions < maxEvictions*max(1, len(p.job.placements))
-}
-
-// victims picks the cheapest victims on the machine, by checkpoint time, that
-// make room for one task of the job.
-func (ps *pass) victims(j *job, m *machine) ([]victim, bool) {
-	var cand []victim
-	seen := map[*job]bool{}
-	queue := Micros(0)
-	cpus, gpus, mem := m.machineType.CPUs-m.usedCPUs, m.machineType.GPUs-m.usedGPUs, m.machineType.MemoryGB-m.usedMemoryGB
-	tcpus, tgpus := j.spec.CPUs, j.spec.GPUs
-	m.eachPlacement(func(p *placement) {
-		if p.stopping {
-			// already leaving: its room counts, its save is ahead in the queue
-			cpus += p.job.spec.CPUs
-			gpus += p.job.spec.GPUs
-			mem += p.job.spec.MemoryGB
-			if p.checkpointing {
-				queue += config.Micro(p.job.spec.CheckpointDurationS)
-			}
-			return
-		}
-		if seen[p.job] && p.job.isGang() || !ps.mayBeVictim(p, j) {
-			return
-		}
-		seen[p.job] = true
-		cand = append(cand, ps.weighVictim(p))
-	})
-	sort.Slice(cand, func(a, b int) bool {
-		x, y := cand[a], cand[b]
-		if x.tasks[0].job.rank != y.tasks[0].job.rank {
-			return x.tasks[0].job.rank < y.tasks[0].job.rank
-		}
-		if x.dump != y.dump {
-			return x.dump < y.dump
-		}
-		if x.cost != y.cost {
-			return x.cost < y.cost
-		}
-		if x.tasks[0].attempt != y.tasks[0].attempt {
-			return x.tasks[0].attempt < y.tasks[0].attempt
-		}
-		return x.tasks[0].taskIndex < y.tasks[0].taskIndex // of one job: the same each time
-	})
-	var out []victim
-	for _, v := range cand {
-		if tcpus <= cpus+epsilon && tgpus <= gpus+epsilon && j.spec.MemoryGB <= mem+epsilon {
-			break
-		}
-		s := v.tasks[0].job.spec
-		cpus += float64(v.here) * s.CPUs
-		gpus += float64(v.here) * s.GPUs
-		mem += float64(v.here) * s.MemoryGB
-		sortByTask(v.tasks)
-		ps.chooseCheckpoint(&v, v.tasks[0], queue)
-		if v.checkpoint {
-			queue += max(v.dump, config.Micro(s.CheckpointDurationS))
-		}
-		out = append(out, v)
-	}
-	return out, len(out) > 0 && tcpus <= cpus+epsilon && tgpus <= gpus+epsilon && j.spec.MemoryGB <= mem+epsilon
-}
-
-// canCheckpoint says whether stopping a task of the job with grace keeps its progress.
-func canCheckpoint(j *job) bool {
-	return j.spec.CheckpointIntervalS > 0 && j.spec.Shape != wire.Service
+	m.reservedUntil = c.now + queue + clearedReservation
 }
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -126,7 +126,7 @@
 	}
 	cl.capacity, cl.capacityAt = 0, c.now
 	for _, m := range c.lastPass.schedulable {
-		if !allowed(j, m) || slotsFor(j, m.machineType, 0, 0, 0) == 0 || (m.machineType.GPUs > 0 && j.spec.GPUs == 0) {
+		if !allowed(j, m) || slotsOnEmpty(j, m.machineType) == 0 || (m.machineType.GPUs > 0 && j.spec.GPUs == 0) {
 			continue
 		}
 		cl.capacity += m.machineType.CPUs
--- a/internal/sched/scaleout.go
+++ b/internal/sched/scaleout.go
@@ -128,7 +128,7 @@
 			if b.kind.GPUs > 0 && j.spec.GPUs == 0 && b.fresh {
 				return
 			}
-			k := min(left, slotsFor(j, b.kind, b.cpus, b.gpus, b.me))
+			k := min(left, slotsFor(j, b.kind, resourceUse{b.cpus, b.gpus, b.me}))
 			if j.spec.Spread {
 				k = min(k, j.zoneLimit()-used[b.zone])
 			}
@@ -144,7 +144,7 @@
 			in := map[string]int{}
 			for _, b := range bins {
 				if !b.away && (!b.spot || j.spec.Spot) && fitsType(&j.spec, b.kind) && !(b.kind.GPUs > 0 && j.spec.GPUs == 0 && b.fresh) {
-					in[b.zone] += min(left, slotsFor(j, b.kind, b.cpus, b.gpus, b.me))
+					in[b.zone] += min(left, slotsFor(j, b.kind, resourceUse{b.cpus, b.gpus, b.me}))
 				}
 			}
 			most := -1
@@ -290,7 +290,7 @@
 	bestPrice := math.Inf(1)
 	cheapest := math.Inf(1)
 	for _, t := range c.machineTypes {
-		if n := slotsFor(j, t, 0, 0, 0); n > 0 && fitsType(&j.spec, t) && t.Price > 0 {
+		if n := slotsOnEmpty(j, t); n > 0 && fitsType(&j.spec, t) && t.Price > 0 {
 			cheapest = min(cheapest, t.Price/float64(n))
 		}
 	}
@@ -304,7 +304,7 @@
 		if !fitsType(&j.spec, t) {
 			continue
 		}
-		k := min(left, slotsFor(j, t, 0, 0, 0))
+		k := min(left, slotsOnEmpty(j, t))
 		if k == 0 {
 			continue
 		}
@@ -316,7 +316,7 @@
 				if (s && !j.spec.Spot) || c.now <= c.outOfCapacity[spotKey(n, z, s)] || hourlyRate(t, s) <= 0 {
 					continue
 				}
-				if per := hourlyRate(t, false) / float64(slotsFor(j, t, 0, 0, 0)); len(j.class.waitObjectives) == 0 && per > dearest*cheapest {
+				if per := hourlyRate(t, false) / float64(slotsOnEmpty(j, t)); len(j.class.waitObjectives) == 0 && per > dearest*cheapest {
 					continue
 				}
 				price := hourlyRate(t, s) / float64(k) * (1 + 0.01*float64(inZone[z]))
--- /dev/null
+++ b/internal/sched/victims.go
@@ -0,0 +1,212 @@
+package sched
+
+import (
+	"cmp"
+	"slices"
+
+	"dalefront/internal/config"
+)
+
+// maxEvictions is how often a job may be preempted, for each of its tasks.
+const maxEvictions = 3
+
+// victim is a task, or a whole gang, that might make room on a machine.
+type victim struct {
+	stopPlan
+	tasks []*placement // all that stop
+	here  int          // how many of them are on the machine
+}
+
+// newVictim is what a task's preemption takes with it. Gangs go whole: the task itself comes first,
+// then the rest of its gang in no order.
+func newVictim(p *placement) victim {
+	v := victim{tasks: []*placement{p}, here: 1}
+	if !p.job.isGang() {
+		return v
+	}
+	for other := range p.job.placements {
+		if other == p {
+			continue
+		}
+		v.tasks = append(v.tasks, other)
+		if other.machine == p.machine {
+			v.here++
+		}
+	}
+	return v
+}
+
+// machineShare is the part of the machine that one of the victim's tasks takes. A gang's task makes
+// many small ones go.
+func (v *victim) machineShare(m *machine) float64 {
+	spec := &v.tasks[0].job.spec
+	share := spec.CPUs / max(m.machineType.CPUs, epsilon)
+	if m.machineType.GPUs > 0 {
+		share = max(share, spec.GPUs/m.machineType.GPUs)
+	}
+	return share
+}
+
+// isPreemptible applies the protocol's "Preemption": lower priority, or work beyond
+// its team's guarantee for a job within its own. Which of a team's jobs are
+// beyond is decided by their arrival, as the aim counts it, and not by what runs
+// at the moment: then jobs within are never preempted for that and jobs beyond
+// never preempt, and two teams can't go on stopping each other's work.
+func isPreemptible(p *placement, by *job) bool {
+	j := p.job
+	if p.stopping || j == by || j.isOver() {
+		return false
+	}
+	return j.rank < by.rank || (j.team != by.team && j.team.exceedsGuarantee() && !j.withinGuarantee && by.reclaimsGuarantee())
+}
+
+// mayBeVictim says whether the task may make way for the job, and its own job was not preempted too
+// often.
+func mayBeVictim(p *placement, by *job) bool {
+	return isPreemptible(p, by) && p.job.preemptions < maxEvictions*max(1, len(p.job.placements))
+}
+
+// reclaimsGuarantee says whether the job may have work of other teams stopped that they run
+// beyond their guarantees.
+func (j *job) reclaimsGuarantee() bool {
+	n := 1.0
+	if j.isGang() {
+		n = float64(j.pendingCount())
+	}
+	return j.withinGuarantee && j.team.withinGuarantee(n*j.spec.CPUs, n*j.spec.GPUs)
+}
+
+// clearedRoom is what a machine has free once tasks have left it.
+type clearedRoom struct {
+	free  resourceUse
+	queue Micros // that checkpoints take which the machine writes until then
+}
+
+// addStopping counts the room of a task that is told to stop already.
+func (r *clearedRoom) addStopping(p *placement) {
+	r.free.add(p.job.taskResources())
+	if p.checkpointing {
+		r.queue += config.Micro(p.job.spec.CheckpointDurationS)
+	}
+}
+
+// addVictim counts the room that so many tasks of a victim give.
+func (r *clearedRoom) addVictim(j *job, tasks int, plan *stopPlan) {
+	use := j.taskResources()
+	n := float64(tasks)
+	r.free.add(resourceUse{n * use.cpus, n * use.gpus, n * use.mem})
+	r.queue += plan.queueTime(j)
+}
+
+// victims picks the cheapest victims on the machine, by checkpoint time, that
+// make room for one task of the job. It says whether there are any.
+func (ps *pass) victims(j *job, m *machine) ([]victim, bool) {
+	room := clearedRoom{free: m.free()}
+	var candidates []victim
+	seen := map[*job]bool{}
+	m.eachPlacement(func(p *placement) {
+		switch {
+		case p.stopping:
+			room.addStopping(p)
+		case seen[p.job] && p.job.isGang() || !mayBeVictim(p, j):
+		default:
+			seen[p.job] = true
+			v := newVictim(p)
+			v.stopPlan = ps.core.planStop(p, len(v.tasks), 0)
+			candidates = append(candidates, v)
+		}
+	})
+	slices.SortFunc(candidates, compareVictims)
+	asked := j.taskResources()
+	var picked []victim
+	for _, v := range candidates {
+		if asked.fitsIn(room.free) {
+			break
+		}
+		sortByTask(v.tasks)
+		v.stopPlan = ps.core.planStop(v.tasks[0], len(v.tasks), room.queue)
+		room.addVictim(v.tasks[0].job, v.here, &v.stopPlan)
+		picked = append(picked, v)
+	}
+	return picked, len(picked) > 0 && asked.fitsIn(room.free)
+}
+
+// compareVictims orders the victims on a machine.
+func compareVictims(a, b victim) int {
+	return compareVictimTasks(a.tasks[0], &a.stopPlan, b.tasks[0], &b.stopPlan)
+}
+
+// compareVictimTasks orders victims by one of their tasks. Those of one job have the same order each
+// time.
+func compareVictimTasks(a *placement, planA *stopPlan, b *placement, planB *stopPlan) int {
+	return cmp.Or(
+		cmp.Compare(a.job.rank, b.job.rank),
+		cmp.Compare(planA.write, planB.write),
+		cmp.Compare(planA.cost, planB.cost),
+		cmp.Compare(a.attempt, b.attempt),
+		cmp.Compare(a.taskIndex, b.taskIndex),
+	)
+}
+
+// victimCandidate is a task that might make way.
+type victimCandidate struct {
+	placement *placement
+	plan      stopPlan
+	taken     bool
+}
+
+// preemptionCost is what the victims that victims would pick on the machine cost together, and
+// whether they make room. At a full site every task that waits asks this of all machines, and
+// mostly one victim is enough: nothing is sorted or allocated here.
+func (ps *pass) preemptionCost(j *job, m *machine) (total Micros, ok bool) {
+	room := clearedRoom{free: m.free()}
+	candidates := ps.victimCandidates[:0]
+	for _, p := range m.placements {
+		switch {
+		case !p.isHeld():
+		case p.stopping:
+			room.addStopping(p)
+		case !mayBeVictim(p, j):
+		case p.job.isGang():
+			return ps.victimCostSum(j, m) // they go whole, from other machines too
+		default:
+			candidates = append(candidates, victimCandidate{placement: p, plan: ps.core.planStop(p, 1, 0)})
+		}
+	}
+	ps.victimCandidates = candidates
+	asked := j.taskResources()
+	for !asked.fitsIn(room.free) {
+		next := cheapestCandidate(candidates)
+		if next == nil {
+			return 0, false
+		}
+		next.taken, ok = true, true
+		plan := ps.core.planStop(next.placement, 1, room.queue)
+		room.addVictim(next.placement.job, 1, &plan)
+		total += plan.cost
+	}
+	return total, ok
+}
+
+// cheapestCandidate is the first of those not taken yet, nil for none.
+func cheapestCandidate(candidates []victimCandidate) (first *victimCandidate) {
+	for i := range candidates {
+		x := &candidates[i]
+		if !x.taken && (first == nil || compareVictimTasks(x.placement, &x.plan, first.placement, &first.plan) < 0) {
+			first = x
+		}
+	}
+	return first
+}
+
+// victimCostSum is the same from the victims themselves.
+func (ps *pass) victimCostSum(j *job, m *machine) (total Micros, ok bool) {
+	victims, ok := ps.victims(j, m)
+	if !ok {
+		return 0, false
+	}
+	for i := range victims {
+		total += victims[i].cost
+	}
+	return total, true
+}
