--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -45,9 +45,10 @@
 	statuses *statusCache
 	lookups  *lookupBatcher
 
-	owner    *ownerLoop
-	follower *follower
-	config   *configuration
+	owner       *ownerLoop
+	follower    *follower
+	leaderWatch *leaderWatch
+	config      *configuration
 
 	term           termTracker
 	peerTable      *peerTable
@@ -112,7 +113,8 @@
 	n.term.self = set.Label
 	n.archive = archive.NewReader(n.store)
 	n.lookups = newLookupBatcher(set, n.store, n.archive, n.statuses, n.taskCounts)
-	n.follower = newFollower(n)
+	n.follower = &follower{controller: n}
+	n.leaderWatch = newLeaderWatch(n)
 	n.config = newConfiguration(n)
 	if file := set.Operator.Calendar; file != "" {
 		var err error
@@ -164,9 +166,9 @@
 	go c.refreshCatalog(ctx)
 	go c.electionLoop(ctx)
 	go c.probeStore(ctx)
-	go c.follower.follow(ctx)
+	go c.follower.run(ctx)
 	go c.config.follow(ctx)
-	go c.follower.watchLeader(ctx)
+	go c.leaderWatch.run(ctx)
 	go c.warmArchive(ctx)
 	go c.lookups.run(ctx)
 	for label, p := range c.peers {
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -172,7 +172,7 @@
 		select {
 		case <-changed:
 			return false
-		case v := <-c.follower.replace:
+		case v := <-c.leaderWatch.replaceable:
 			if v == version {
 				return true
 			}
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -74,9 +74,7 @@
 		return one(c.follower.ready())
 	}))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "wrong_suspicions", Help: "Leaders whose term this node replaced though their process had not ended."}, func() float64 {
-		c.follower.mu.Lock()
-		defer c.follower.mu.Unlock()
-		return float64(c.follower.suspicion.WrongOnes())
+		return float64(c.leaderWatch.wrongSuspicions())
 	}))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "cancellations_waiting",
 		Help: "Users that wait here until the tasks of a job that they cancelled are gone."}, func() float64 { return float64(len(c.cancelSlots)) }))
--- a/internal/controller/peerheartbeat.go
+++ b/internal/controller/peerheartbeat.go
@@ -33,7 +33,7 @@
 func (c *Controller) handlePeerHeartbeat(label string, h *peer.Heartbeat) int {
 	c.recordTermOf(h)
 	c.config.recordPeerConfig(label, h)
-	c.follower.leaderIsAlive(label, h.ProcessID)
+	c.leaderWatch.recordAlive(label, h.ProcessID)
 	return c.recordPeerProcess(label, h.ProcessID, time.Now())
 }
 
--- /dev/null
+++ b/internal/controller/standbys.go
@@ -0,0 +1,43 @@
+package controller
+
+import (
+	"fmt"
+	"time"
+
+	"dalefront/internal/peer"
+	"dalefront/internal/standby"
+)
+
+const (
+	// standbySilence is how long a controller may be silent and still be chosen as standby, and
+	// standbyRest how long one that could not follow is not, in microseconds.
+	standbySilence = int64(5 * time.Second / time.Microsecond)
+	standbyRest    = int64(30 * time.Second / time.Microsecond)
+
+	// candidateStep is how long a candidate waits for each standby that ranks before it.
+	candidateStep = 60 * time.Millisecond
+)
+
+// publishStandbys chooses who stands by, once a second. Owner goroutine.
+func (l *leadership) publishStandbys() {
+	c := l.controller
+	choosing := standby.Choosing{Zone: c.settings.Zone, Count: *c.settings.Operator.Standbys, Silent: standbySilence, Rest: standbyRest}
+	next, changed := c.peerTable.chooseStandbys(&choosing, l.token, c.settings.Members, c.now())
+	if changed {
+		c.log.Info("who stands by", "standbys", fmt.Sprint(next.Standbys), "number", next.Number)
+	}
+}
+
+// acceptStandbyView takes the leader's choice as a peer's heartbeat brought it.
+func (c *Controller) acceptStandbyView(heartbeat *peer.Heartbeat) {
+	view := heartbeat.StandbyView
+	if view != nil && !c.term.view().isLeading() && len(view.Standbys) <= len(c.settings.Members)+1 {
+		c.peerTable.acceptStandbyView(view)
+	}
+}
+
+// candidateDelay is how long this controller lets standbys go first in an election: all of them, or
+// those that rank before it.
+func (c *Controller) candidateDelay() time.Duration {
+	return time.Duration(c.peerTable.aliveBefore(time.Now())) * candidateStep
+}
