--- a/internal/sched/admit.go
+++ b/internal/sched/admit.go
@@ -1,7 +1,6 @@
 package sched
 
 import (
-	"cmp"
 	"fmt"
 	"maps"
 	"slices"
@@ -84,14 +83,10 @@
 // AddJob takes an accepted job. arrival is when its user submitted it.
 func (c *Core) AddJob(spec wire.Job, arrival, now Micros) {
 	c.now = now
-	if c.jobs[spec.ID] != nil {
+	if c.jobs.find(spec.ID) != nil {
 		return
 	}
-	tm := c.teams[spec.Team]
-	if tm == nil { // accepted under other settings; it has no guarantee
-		tm = &team{Team: config.Team{Name: spec.Team}}
-		c.teams[spec.Team] = tm
-	}
+	tm := c.teams.findOrAdd(spec.Team)
 	cl := c.classOf(spec.Class)
 	words := (spec.Tasks + 63) / 64
 	j := &job{
@@ -106,7 +101,7 @@
 	if spec.DeadlineS != nil {
 		j.dueAt = j.arrival + config.Micro(*spec.DeadlineS)
 	}
-	c.jobs[spec.ID] = j
+	c.jobs.add(j)
 	j.isLarge = j.class.recentSizes.addIsLarge(j.spec.Tasks)
 	j.eachService(func(s *serviceShare) { s.submitted++ })
 	c.passNeeded = true
@@ -119,7 +114,7 @@
 
 // SetProgress takes a stored chunk of a job's completed tasks.
 func (c *Core) SetProgress(id string, chunk int, text string) {
-	j := c.jobs[id]
+	j := c.jobs.find(id)
 	if j == nil {
 		return
 	}
@@ -169,7 +164,7 @@
 
 // RetryEnd asks for the end of a job again, after its storing failed.
 func (c *Core) RetryEnd(id string) {
-	if j := c.jobs[id]; j != nil && j.completing && j.finalStatus == "" {
+	if j := c.jobs.find(id); j != nil && j.completing && j.finalStatus == "" {
 		c.pendingEnds = append(c.pendingEnds, id)
 	}
 }
@@ -177,7 +172,7 @@
 // JobEnded takes a stored end: done or cancelled, final from then on.
 func (c *Core) JobEnded(id, status string, now Micros) {
 	c.now = now
-	j := c.jobs[id]
+	j := c.jobs.find(id)
 	if j == nil || j.finalStatus != "" {
 		return
 	}
@@ -252,8 +247,8 @@
 // forgetIfGone drops an ended job once nothing of it can be on any machine. Its
 // records may then be deleted: its end stays.
 func (c *Core) forgetIfGone(j *job) {
-	if j.finalStatus != "" && len(j.placements) == 0 && c.jobs[j.id] == j {
-		delete(c.jobs, j.id)
+	if j.finalStatus != "" && len(j.placements) == 0 && c.jobs.find(j.id) == j {
+		c.jobs.remove(j)
 		c.forgotten = append(c.forgotten, ForgottenJob{j.id, j.finalStatus})
 		if j.class.sampleJob == j {
 			// keep the shape, not the task state
@@ -282,12 +277,8 @@
 // ProgressToStore returns up to limit chunks that are not stored yet.
 func (c *Core) ProgressToStore(limit int) []ProgressChunk {
 	var out []ProgressChunk
-	// In turn: with a fixed order the first jobs would keep the last ones from ever being
-	// stored.
-	js := c.jobsByID(func(j *job) bool { return !j.isOver() && len(j.dirtyChunks) > 0 })
-	at, _ := slices.BinarySearchFunc(js, c.lastProgressJob+"\x00", func(j *job, id string) int { return cmp.Compare(j.id, id) })
-	for _, j := range append(js[at:len(js):len(js)], js[:at]...) {
-		c.lastProgressJob = j.id
+	for _, j := range c.jobs.nextDirty() {
+		c.jobs.lastProgress = j.id
 		for _, i := range slices.Sorted(maps.Keys(j.dirtyChunks)) {
 			if len(out) == limit {
 				return out
@@ -300,7 +291,7 @@
 
 // ProgressStored says that a chunk is durable, so its tasks may be cleared.
 func (c *Core) ProgressStored(ch ProgressChunk) {
-	j := c.jobs[ch.Job]
+	j := c.jobs.find(ch.Job)
 	if j == nil {
 		return
 	}
@@ -316,13 +307,13 @@
 
 // IsActive says whether the core knows a job that has not ended.
 func (c *Core) IsActive(id string) bool {
-	j := c.jobs[id]
+	j := c.jobs.find(id)
 	return j != nil && j.finalStatus == ""
 }
 
 // Counts returns a job's display counts and whether the core knows the job.
 func (c *Core) Counts(id string) (status string, done, running int, ok bool) {
-	j := c.jobs[id]
+	j := c.jobs.find(id)
 	if j == nil {
 		return "", 0, 0, false
 	}
--- a/internal/sched/bootestimate.go
+++ b/internal/sched/bootestimate.go
@@ -103,7 +103,7 @@
 func (c *Core) bootCurves() map[string]survivalCurve {
 	ages := map[string][]float64{}
 	late := map[string]bool{}
-	for _, m := range c.machinesByName {
+	for _, m := range c.machines.all() {
 		if m.booting && !m.registered && !m.failed && m.machineType.BootS > 0 {
 			age := float64(c.now-m.rentedAt) / float64(config.Micro(m.machineType.BootS))
 			ages[m.machineType.Name] = append(ages[m.machineType.Name], age)
--- a/internal/sched/bootestimate_test.go
+++ b/internal/sched/bootestimate_test.go
@@ -36,7 +36,7 @@
 		b.now += second
 		for i := range next {
 			h := fmt.Sprintf("n-%06d", i+1)
-			m := b.machines[h]
+			m := b.machines.find(h)
 			if m == nil {
 				continue
 			}
@@ -48,7 +48,7 @@
 		}
 		var back, idle []string
 		for _, h := range b.ScaleIn(b.now, false) {
-			if b.machines[h].registered {
+			if b.machines.find(h).registered {
 				idle = append(idle, h) // that is no matter here
 			} else {
 				back = append(back, h)
--- a/internal/sched/churn_bench_test.go
+++ b/internal/sched/churn_bench_test.go
@@ -49,7 +49,7 @@
 		if _, waiting := b.Waiting(); waiting == 0 {
 			break
 		}
-		for _, m := range b.machinesByName {
+		for _, m := range b.machines.all() {
 			m.lastHeartbeat = b.now
 		}
 	}
@@ -61,7 +61,7 @@
 			b.AddJob(job(id, id, "batch", wire.Normal, starts, 5), b.now, b.now)
 		}
 		for i := range machines / 15 { // reports
-			m := b.machinesByName[(n*machines/15+i)%machines]
+			m := b.machines.all()[(n*machines/15+i)%machines]
 			at := state[m.host]
 			if at == nil {
 				at = map[*placement]Micros{}
--- a/internal/sched/commit.go
+++ b/internal/sched/commit.go
@@ -84,10 +84,7 @@
 func (c *Core) CommitStored(commit *Commit, now Micros) {
 	c.now = now
 	c.passNeeded = true
-	stored := c.ledger.commitStored(commit, func(host string) bool {
-		_, returned := c.returnedMachines[host]
-		return returned
-	})
+	stored := c.ledger.commitStored(commit, c.machines.isReturned)
 	if commit.next == nil {
 		for _, p := range commit.placements {
 			c.launchStored(p)
@@ -132,7 +129,7 @@
 )
 
 // maxLedger is how many entries the ledger holds before small ones are merged.
-func (c *Core) maxLedger() int { return max(maxEntries, len(c.machinesByName)/machinesPerEntry) }
+func (c *Core) maxLedger() int { return max(maxEntries, c.machines.count()/machinesPerEntry) }
 
 // HasLaunchInFlight says whether launches for the machine are being stored.
 func (c *Core) HasLaunchInFlight(host string) bool {
--- a/internal/sched/configure.go
+++ b/internal/sched/configure.go
@@ -14,13 +14,7 @@
 	}
 	c.now, c.settings, c.cordons, c.generation = now, set, cordons, version
 	c.preemptAfter = config.Micro(*set.Operator.EvictAfterS)
-	for _, t := range set.Deployment.Teams {
-		if known := c.teams[t.Name]; known != nil {
-			known.Team = t
-		} else {
-			c.teams[t.Name] = &team{Team: t}
-		}
-	}
+	c.teams.configure(set.Deployment.Teams)
 	c.passNeeded = true
 }
 
--- a/internal/sched/configure_test.go
+++ b/internal/sched/configure_test.go
@@ -135,7 +135,7 @@
 	if cm := b.schedule(); cm != nil {
 		t.Errorf("the gang starts in the cordoned zone: %d launches", cm.Launches())
 	}
-	for _, m := range b.machines {
+	for _, m := range b.machines.byHost {
 		if m.placementCount > 0 {
 			t.Fatalf("%s still has %d launches of the refused gang", m.host, m.placementCount)
 		}
--- a/internal/sched/debugdump.go
+++ b/internal/sched/debugdump.go
@@ -13,7 +13,7 @@
 func (c *Core) Dump() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "token %d, write %g\n", c.Token(), c.writeGBPerS)
-	for _, j := range c.jobsByID(func(*job) bool { return true }) {
+	for _, j := range c.jobs.sorted(func(*job) bool { return true }) {
 		fmt.Fprintf(&b, "job %s %+v arrived %d due %d done %d %v stored %v dirty %v retry %v cursor %d attempt %d started %v broken %v finishing %v ended %q\n",
 			j.id, specText(j), j.arrival, j.dueAt, j.completedCount, j.completed, j.durableCompleted, slices.Sorted(maps.Keys(j.dirtyChunks)), j.retryQueue, j.nextUntried, j.gangAttempt, j.gangStarted, j.gangBroken, j.completing, j.finalStatus)
 		for _, p := range j.sortedPlacements() {
@@ -25,7 +25,7 @@
 				p.taskIndex, p.attempt, p.machine.host, p.incarnation, entry, p.durable, p.recovered, p.observed, p.dispatched, p.state, p.stopping, p.checkpointing)
 		}
 	}
-	for _, m := range c.machinesByName {
+	for _, m := range c.machines.all() {
 		fmt.Fprintf(&b, "machine %s %s %s %s spot %v session %d seq %d up %v confirmed %v returning %v lost %v failed %v uses %g %g %g %d\n",
 			m.host, m.addr, m.machineType.Name, m.zone, m.spot, m.incarnation, m.sequence, m.registered, m.confirmed, m.scalingIn, m.leaseExpired, m.failed, m.usedCPUs, m.usedGPUs, m.usedMemoryGB, m.placementCount)
 	}
@@ -33,10 +33,10 @@
 		e := c.ledger.entries[n]
 		fmt.Fprintf(&b, "entry %s live %d hosts %v listed %v\n", n, len(e.live), slices.Sorted(maps.Keys(e.hosts)), e.queued)
 	}
-	for _, t := range c.teamsByName() {
+	for _, t := range c.teams.sorted() {
 		fmt.Fprintf(&b, "team %s uses %g %g leaving %g %g\n", t.Name, t.usedCPUs, t.usedGPUs, t.releasingCPUs, t.releasingGPUs)
 	}
-	for _, cl := range c.classesByName() {
+	for _, cl := range c.classes.sorted() {
 		fmt.Fprintf(&b, "class %s ratio %g size %g\n", cl.name, cl.runTimeRatio, cl.meanTasks)
 	}
 	fmt.Fprintf(&b, "ends %v forget %v\n", c.pendingEnds, c.forgotten)
--- a/internal/sched/explain.go
+++ b/internal/sched/explain.go
@@ -20,7 +20,7 @@
 // what the last pass saw.
 func (c *Core) WaitingJobs(most int) []WaitingJob {
 	var js []*job
-	for _, j := range c.jobs {
+	for j := range c.jobs.all() {
 		if j.pendingCount() > 0 {
 			js = append(js, j)
 		}
@@ -85,7 +85,7 @@
 	if len(c.cordons) == 0 {
 		return nil
 	}
-	for _, m := range c.machinesByName {
+	for _, m := range c.machines.all() {
 		if m.cordon != nil && allowed(j, m) && slotsFor(j, m.machineType, m.usedCPUs, m.usedGPUs, m.usedMemoryGB) > 0 {
 			return m.cordon
 		}
@@ -106,7 +106,7 @@
 // Usages sums up what runs, by class, and the machines, by type.
 func (c *Core) Usages() (classes, types []Usage) {
 	by, kinds := map[string]*Usage{}, map[string]*Usage{}
-	for _, j := range c.jobs {
+	for j := range c.jobs.all() {
 		u := by[j.spec.Class]
 		if u == nil {
 			u = &Usage{Name: j.spec.Class}
--- a/internal/sched/failures.go
+++ b/internal/sched/failures.go
@@ -13,16 +13,9 @@
 // hellos at a takeover: the last leader's knowledge is gone, its peers' is not.
 // It is evidence for the detector alone and proves nothing.
 func (c *Core) PeerContact(host string, at Micros) {
-	at = min(at, c.now)
-	if m := c.machines[host]; m != nil {
-		m.lastPeerContact = max(m.lastPeerContact, at)
-	} else if len(c.peerContacts) < maxPeerContacts {
-		c.peerContacts[host] = max(c.peerContacts[host], at)
-	}
+	c.machines.recordPeerContact(host, min(at, c.now))
 }
 
-const maxPeerContacts = 100_000
-
 // observation is what the detector is told of a machine. Another controller may know
 // when it was last heard before its first report in this term.
 func (c *Core) observation(m *machine) failuredomain.Machine {
@@ -33,7 +26,7 @@
 func (c *Core) DetectFailures(now Micros, controllers []failuredomain.Controller) {
 	c.now = now
 	c.surveyed = c.surveyed[:0]
-	for _, m := range c.machinesByName {
+	for _, m := range c.machines.all() {
 		if m.registered && !m.scalingIn {
 			c.surveyed = append(c.surveyed, c.observation(m))
 		}
@@ -45,7 +38,7 @@
 			c.log("zone back", "zone", x.Zone, "after_us", x.Lasted, "evidence", x.Evidence)
 		}
 	}
-	for _, m := range c.machinesByName {
+	for _, m := range c.machines.all() {
 		if !m.registered || m.scalingIn {
 			continue
 		}
@@ -61,7 +54,7 @@
 // it found to be cut off.
 func (c *Core) SilentMachines() (machines map[string]int, zones int) {
 	machines = map[string]int{}
-	for _, m := range c.machinesByName {
+	for _, m := range c.machines.all() {
 		machines[m.verdict.String()]++
 	}
 	return machines, c.detector.Cuts()
@@ -112,7 +105,7 @@
 				n += slotsFor(j, o.machineType, o.usedCPUs, o.usedGPUs, o.usedMemoryGB)
 			}
 		}
-		for _, o := range c.jobs {
+		for o := range c.jobs.all() {
 			if o.rank >= j.rank && o.pendingCount() > 0 && o.team.withinLimit(o.spec.CPUs, o.spec.GPUs) && (o.class == j.class || o.spec.GPUs > 0 == (j.spec.GPUs > 0)) {
 				n -= o.pendingCount()
 			}
@@ -256,7 +249,7 @@
 }
 
 func (c *Core) needs(m *machine) bool {
-	for _, j := range c.jobs {
+	for j := range c.jobs.all() {
 		if j.pendingCount() > 0 && allowed(j, m) && fitsType(&j.spec, m.machineType) {
 			return true
 		}
--- a/internal/sched/failures_test.go
+++ b/internal/sched/failures_test.go
@@ -24,7 +24,7 @@
 		b.now += b.detector.Silence() + second
 		b.report("n-2", "s", "x", 1)
 		b.schedule()
-		if got := b.machines["n-2"].placementCount == 1; got == sent {
+		if got := b.machines.find("n-2").placementCount == 1; got == sent {
 			t.Errorf("sent %v: placed anew %v", sent, got)
 		}
 	}
@@ -91,7 +91,7 @@
 	if back := b.ScaleIn(b.now, false); slices.Contains(back, "n-1") {
 		t.Errorf("returned %v: its tasks may run in that zone alone", back)
 	}
-	b.jobs["j-1"].spec.Zone = nil // now they may run anywhere, and three machines are free
+	b.jobs.find("j-1").spec.Zone = nil // now they may run anywhere, and three machines are free
 	back := b.ScaleIn(b.now, false)
 	if n := len(slices.DeleteFunc(back, func(h string) bool { return h > "n-4" })); n < 3 {
 		t.Errorf("%d machines returned, want one for each free one at least", n)
@@ -142,7 +142,7 @@
 		for k := range 5 {
 			after.now += second / 2
 			for i := range n {
-				if h := fmt.Sprintf("n-%02d", i); i < heard && after.machines[h] != nil {
+				if h := fmt.Sprintf("n-%02d", i); i < heard && after.machines.find(h) != nil {
 					after.report(h, "s", "x", 1, after.running(h)...)
 				}
 			}
@@ -157,7 +157,7 @@
 		}
 		after.now += 3 * second
 		for i := range heard {
-			if h := fmt.Sprintf("n-%02d", i); after.machines[h] != nil {
+			if h := fmt.Sprintf("n-%02d", i); after.machines.find(h) != nil {
 				after.report(h, "s", "x", 1, after.running(h)...)
 			}
 		}
--- a/internal/sched/fairness.go
+++ b/internal/sched/fairness.go
@@ -202,7 +202,7 @@
 		}
 		return of[s]
 	}
-	for _, j := range c.jobs {
+	for j := range c.jobs.all() {
 		if j.finalStatus != "" {
 			continue
 		}
@@ -228,13 +228,13 @@
 		}
 	}
 	var ss []*serviceShare
-	classes := c.classesByName()
+	classes := c.classes.sorted()
 	for _, cl := range classes {
 		ss = append(ss, &cl.service)
 	}
 	group(ss, func(a, b int) bool { return c.compete(classes[a], classes[b]) })
 	ss = ss[:0]
-	for _, t := range c.teamsByName() {
+	for _, t := range c.teams.sorted() {
 		ss = append(ss, &t.service)
 	}
 	group(ss, func(int, int) bool { return true })
@@ -263,16 +263,6 @@
 	return false
 }
 
-// teamsByName returns the teams by name.
-func (c *Core) teamsByName() []*team {
-	out := make([]*team, 0, len(c.teams))
-	for _, t := range c.teams {
-		out = append(out, t)
-	}
-	slices.SortFunc(out, func(a, b *team) int { return cmp.Compare(a.Name, b.Name) })
-	return out
-}
-
 // underserved says whether the job's class or team is, or the largest of its class are and it is
 // one of them.
 func (j *job) underserved() bool {
@@ -295,7 +285,7 @@
 func (c *Core) ServiceShares(mostClasses int) (out []ServiceShare) {
 	waiting := map[*serviceShare]int{}
 	oldest := map[*serviceShare]*job{}
-	for _, j := range c.jobs {
+	for j := range c.jobs.all() {
 		if j.finalStatus == "" && j.firstStartedAt == 0 {
 			j.eachService(func(s *serviceShare) {
 				waiting[s]++
@@ -323,13 +313,13 @@
 		return part
 	}
 	var classes, teams []ServiceShare
-	for _, cl := range c.classesByName() {
+	for _, cl := range c.classes.sorted() {
 		classes = add(classes, cl.name, false, &cl.service)
 		if cl.largeJobService.submitted > 0 {
 			classes = add(classes, "largest of "+cl.name, false, &cl.largeJobService)
 		}
 	}
-	for _, t := range c.teamsByName() {
+	for _, t := range c.teams.sorted() {
 		teams = add(teams, t.Name, true, &t.service)
 	}
 	classes = sorted(classes)
--- a/internal/sched/fairness_test.go
+++ b/internal/sched/fairness_test.go
@@ -49,7 +49,7 @@
 			run := b.running(h)
 			for k := range run {
 				id, num, _ := wire.ParseTask(run[k].Task)
-				p := b.machines[h].findPlacement(taskKey{b.jobs[id], num}, run[k].Attempt)
+				p := b.machines.find(h).findPlacement(taskKey{b.jobs.find(id), num}, run[k].Attempt)
 				if p.runningSince > 0 && b.now-p.runningSince >= Micros(10+r.IntN(4))*second {
 					run[k].State, run[k].Cause = wire.TaskExited, wire.CauseDone
 				}
@@ -119,8 +119,8 @@
 			run := b.running(h)
 			for k := range run {
 				id, num, _ := wire.ParseTask(run[k].Task)
-				p := b.machines[h].findPlacement(taskKey{b.jobs[id], num}, run[k].Attempt)
-				if j := b.jobs[id]; p.runningSince > 0 && !counted[id] {
+				p := b.machines.find(h).findPlacement(taskKey{b.jobs.find(id), num}, run[k].Attempt)
+				if j := b.jobs.find(id); p.runningSince > 0 && !counted[id] {
 					counted[id] = true
 					if b.now-j.arrival <= 240*second && j.arrival <= last {
 						begun[class[id]]++
--- a/internal/sched/fleet.go
+++ b/internal/sched/fleet.go
@@ -14,10 +14,10 @@
 	c.now = now
 	lag := config.Micro(c.settings.Deployment.Cloud.ListLagS)
 	for _, l := range list {
-		if _, gone := c.returnedMachines[l.ID]; gone {
+		if c.machines.isReturned(l.ID) {
 			continue // the list lags behind the return
 		}
-		m := c.machines[l.ID]
+		m := c.machines.find(l.ID)
 		if m == nil {
 			m = c.newMachine(l.ID, l.Addr, l.Type, l.Zone, l.Spot)
 		}
@@ -50,7 +50,7 @@
 	c.pendingScaleOut[h.Type] = max(0, c.pendingScaleOut[h.Type]-h.Count)
 	c.Stats.ScaledOut += len(hosts)
 	for _, host := range hosts {
-		if c.machines[host] == nil {
+		if c.machines.find(host) == nil {
 			c.newMachine(host, "", h.Type, h.Zone, h.Spot).booting = true
 		}
 	}
@@ -83,14 +83,9 @@
 // confirmed their return.
 func (c *Core) MachinesReturned(hosts []string, now Micros) {
 	c.now = now
-	for h, at := range c.returnedMachines {
-		if now-at > 600*second {
-			delete(c.returnedMachines, h)
-		}
-	}
+	c.machines.recordReturned(hosts, now)
 	for _, h := range hosts {
-		c.returnedMachines[h] = now
-		m := c.machines[h]
+		m := c.machines.find(h)
 		if m == nil {
 			continue
 		}
@@ -118,7 +113,7 @@
 func (c *Core) ScaleInFailed(hosts []string, now Micros) {
 	c.now = now
 	for _, h := range hosts {
-		if m := c.machines[h]; m != nil {
+		if m := c.machines.find(h); m != nil {
 			m.scalingIn = false
 		}
 	}
@@ -145,7 +140,7 @@
 )
 
 // maxReturns is how many machines a round gives back.
-func (c *Core) maxReturns() int { return max(minReturns, len(c.machinesByName)/machinesPerReturn) }
+func (c *Core) maxReturns() int { return max(minReturns, c.machines.count()/machinesPerReturn) }
 
 // ScaleIn lists machines to give back now.
 func (c *Core) ScaleIn(now Micros, blind bool) []string {
@@ -160,7 +155,7 @@
 		}
 	}
 	lag := config.Micro(c.settings.Deployment.Cloud.ListLagS)
-	hosts := slices.Clone(c.machinesByName)
+	hosts := slices.Clone(c.machines.all())
 	room := &rescheduleCosts{c: c}
 	boots := c.bootCurves()
 	for _, m := range hosts {
@@ -201,7 +196,7 @@
 	// Idle machines, dearest first, unless they are a spare that the aims need, or some of
 	// those that a gang waits for while its others boot.
 	need := c.expectedDemand(now)
-	for _, j := range c.jobsByID(func(j *job) bool { return j.isGang() && j.pendingCount() > 0 && c.mayScaleOutFor(j) }) {
+	for _, j := range c.jobs.sorted(func(j *job) bool { return j.isGang() && j.pendingCount() > 0 && c.mayScaleOutFor(j) }) {
 		need = append(need, demand{j, j.pendingCount()})
 	}
 	reserved := -c.standbyDemand()
@@ -287,7 +282,7 @@
 // meanwhile: the mean and one deviation, as tasks come a job at a time.
 func (c *Core) expectedTasks(t *wire.MachineType) int {
 	machines := 0.0
-	for _, cl := range c.classesByName() {
+	for _, cl := range c.classes.sorted() {
 		j := cl.sampleJob
 		if j == nil || !fitsType(&j.spec, t) || (t.GPUs > 0) != (j.spec.GPUs > 0) {
 			continue
@@ -303,7 +298,7 @@
 // completionsWithin counts the running tasks of a class that are expected to end within the
 // time.
 func (c *Core) completionsWithin(cl *class, t Micros) (n float64) {
-	for _, j := range c.jobs {
+	for j := range c.jobs.all() {
 		if j.class == cl {
 			for p := range j.placements {
 				if c.endsWithin(p, t) {
@@ -318,12 +313,12 @@
 // FleetSize counts the machines known and those whose workers have confirmed the
 // term.
 func (c *Core) FleetSize() (known, up int) {
-	for _, m := range c.machinesByName {
+	for _, m := range c.machines.all() {
 		if m.confirmed {
 			up++
 		}
 	}
-	return len(c.machines), up
+	return c.machines.count(), up
 }
 
 func (c *Core) hourlyPrice(m *machine) float64 { return hourlyRate(m.machineType, m.spot) }
@@ -355,7 +350,7 @@
 		}
 	}
 	var out []demand
-	for _, cl := range c.classesByName() {
+	for _, cl := range c.classes.sorted() {
 		if cl.sampleJob == nil || cl.sampleJob.spec.Shape == wire.Service {
 			continue
 		}
@@ -379,7 +374,7 @@
 		// to chance: the mean plus one deviation.
 		n := cl.arrivalRate(now) * (boot + 10)
 		slots := int(math.Round((n + math.Sqrt(n)) * *c.settings.Operator.SpareFactor))
-		for _, m := range c.machinesByName {
+		for _, m := range c.machines.all() {
 			if slots > 0 && c.isSchedulable(m) && c.canClear(cl.sampleJob, m) {
 				slots-- // evicting makes that room
 			}
@@ -414,7 +409,7 @@
 // what is guaranteed has to be there when it is asked for, since a boot takes
 // longer than such work may wait.
 func (c *Core) standbyDemand() float64 {
-	if len(c.jobs) == 0 {
+	if c.jobs.count() == 0 {
 		return 0
 	}
 	sum := 0.0
@@ -428,7 +423,7 @@
 // over those that fit, as its room may be cut badly.
 func (c *Core) serves(t *wire.MachineType, zone string, spot bool) float64 {
 	least := 0.0
-	for _, cl := range c.classesByName() {
+	for _, cl := range c.classes.sorted() {
 		j := cl.sampleJob
 		if j == nil || (spot && !j.spec.Spot) || !fitsType(&j.spec, t) || (j.spec.Zone != nil && *j.spec.Zone != zone) {
 			continue
@@ -455,7 +450,7 @@
 func (c *Core) heaviestJob(now Micros) *job {
 	var best *job
 	most := 0.0
-	for _, cl := range c.classesByName() {
+	for _, cl := range c.classes.sorted() {
 		j := cl.sampleJob
 		if j == nil || j.spec.Shape == wire.Service || j.team.CPUs == 0 {
 			continue
--- a/internal/sched/fleet_test.go
+++ b/internal/sched/fleet_test.go
@@ -26,9 +26,9 @@
 		b.AddJob(j, b.now, b.now)
 		b.JobEnded("j-1", wire.JobCancelled, b.now)
 		if c.arrivals == 0 {
-			b.classes[j.Class].decayedArrivals = 0
+			b.classes.find(j.Class).decayedArrivals = 0
 		}
-		for _, m := range b.machines {
+		for _, m := range b.machines.byHost {
 			m.idleSince, m.lastHeartbeat = b.now-c.idle, b.now
 		}
 		if back := b.ScaleIn(b.now, false); len(back) != c.back {
@@ -75,14 +75,14 @@
 	gpu.GPUs = 1
 	b.AddJob(gpu, b.now, b.now) // somebody uses graphics
 	b.schedule()
-	if b.machines["n-1"].placementCount != 8 {
-		t.Errorf("%d tasks use what is left of an ordinary machine", b.machines["n-1"].placementCount)
+	if b.machines.find("n-1").placementCount != 8 {
+		t.Errorf("%d tasks use what is left of an ordinary machine", b.machines.find("n-1").placementCount)
 	}
-	b.markDone(b.jobs["j-2"], 0)
+	b.markDone(b.jobs.find("j-2"), 0)
 	b.JobEnded("j-2", wire.JobDone, b.now)
-	b.machines["n-2"].eachPlacement(func(p *placement) { b.release(p) })
+	b.machines.find("n-2").eachPlacement(func(p *placement) { b.release(p) })
 	b.schedule()
-	if n := b.machines["n-2"].placementCount; n > 0 {
+	if n := b.machines.find("n-2").placementCount; n > 0 {
 		t.Errorf("%d tasks keep a graphics machine", n)
 	}
 	b.now += 600 * second
@@ -101,15 +101,15 @@
 	b.AddJob(gpu, b.now, b.now)
 	b.AddJob(sweep, b.now, b.now)
 	b.AddJob(spec("j-3", "a", wire.Low, 50, 1), b.now, b.now)
-	b.jobs["j-2"].class.waitObjectives = []Micros{30 * second}
-	m := b.machines["n-1"]
+	b.jobs.find("j-2").class.waitObjectives = []Micros{30 * second}
+	m := b.machines.find("n-1")
 	ps := b.newPass()
-	ps.summarizeGPUs([]*job{b.jobs["j-1"]})
-	small := b.jobs["j-3"]
+	ps.summarizeGPUs([]*job{b.jobs.find("j-1")})
+	small := b.jobs.find("j-3")
 	d := 60.0
 	small.spec.DeadlineS, small.dueAt = &d, b.now+500*second
 	end := func(id string) {
-		p := b.addPlacement(b.jobs[id], 0, m, 9)
+		p := b.addPlacement(b.jobs.find(id), 0, m, 9)
 		p.durable, p.runningSince = true, b.now
 		b.now += 100 * second
 		b.release(p)
@@ -141,7 +141,7 @@
 		b.AddJob(spec("j-2", "a", wire.Low, 8, 1), b.now, b.now)
 		ps := b.newPass()
 		ps.summarizeGPUs(b.queue())
-		if got, want := ps.keepsGPUMachine(b.jobs["j-2"]), within < 120; got != want {
+		if got, want := ps.keepsGPUMachine(b.jobs.find("j-2")), within < 120; got != want {
 			t.Errorf("an aim of %.0f s beside one of 120 s: graphics machines are kept for it %v, want %v", within, got, want)
 		}
 	}
--- a/internal/sched/gangplacement_test.go
+++ b/internal/sched/gangplacement_test.go
@@ -37,7 +37,7 @@
 			run := b.running(h)
 			for k := range run {
 				id, n, _ := wire.ParseTask(run[k].Task)
-				p := b.machines[h].findPlacement(taskKey{b.jobs[id], n}, run[k].Attempt)
+				p := b.machines.find(h).findPlacement(taskKey{b.jobs.find(id), n}, run[k].Attempt)
 				if id != "j-1" && p.runningSince > 0 && b.now-p.runningSince >= 10*second {
 					run[k].State, run[k].Cause = wire.TaskExited, wire.CauseDone
 				}
@@ -47,7 +47,7 @@
 		for _, id := range b.TakeEnds() {
 			b.JobEnded(id, wire.JobDone, b.now)
 		}
-		if len(b.jobs["j-1"].placementsOf()) == 4 {
+		if len(b.jobs.find("j-1").placementsOf()) == 4 {
 			return
 		}
 	}
@@ -109,8 +109,8 @@
 		b.report(h, "s", "x", 1, b.running(h)...)
 	}
 	b.schedule()
-	if b.Stats.Preemptions != 3 || b.jobs["j-1"].preemptions != 1 {
-		t.Errorf("%d tasks evicted in %d evictions", b.Stats.Preemptions, b.jobs["j-1"].preemptions)
+	if b.Stats.Preemptions != 3 || b.jobs.find("j-1").preemptions != 1 {
+		t.Errorf("%d tasks evicted in %d evictions", b.Stats.Preemptions, b.jobs.find("j-1").preemptions)
 	}
 }
 
@@ -166,7 +166,7 @@
 		age, start Micros
 		late       bool
 	}{{0, 40 * second, false}, {50 * second, 90 * second, false}, {95 * second, 40 * second, true}} {
-		at, late := b.jobs["j-1"].latestStart(b.now+c.age, 0)
+		at, late := b.jobs.find("j-1").latestStart(b.now+c.age, 0)
 		if at != b.now+c.start || late != c.late {
 			t.Errorf("at %d s: start by %d s, late %v; want %d s, %v", c.age/second, (at-b.now)/second, late, c.start/second, c.late)
 		}
@@ -191,7 +191,7 @@
 		b.report("n-2", "s", "x", 1)
 		b.report("n-3", "s", "x", 1)
 		b.schedule()
-		small := len(b.jobs["j-2"].placements)
+		small := len(b.jobs.find("j-2").placements)
 		if size == 3 && small > 0 {
 			t.Errorf("%d small tasks on machines that the gang would have cleared", small)
 		}
--- a/internal/sched/gangplan_test.go
+++ b/internal/sched/gangplan_test.go
@@ -19,7 +19,7 @@
 	b.settings.Deployment.State.ValueKB, b.settings.Deployment.State.TxnOps = 1e6, 24
 	tasks := func(n int) {
 		for i := range n {
-			j := spec(fmt.Sprintf("j-%d%04d", len(b.jobs)+1, i), []string{"a", "b"}[r.IntN(2)], []string{wire.Low, wire.Normal, wire.High}[r.IntN(3)], 1+r.IntN(8), float64(1+r.IntN(4)))
+			j := spec(fmt.Sprintf("j-%d%04d", b.jobs.count()+1, i), []string{"a", "b"}[r.IntN(2)], []string{wire.Low, wire.Normal, wire.High}[r.IntN(3)], 1+r.IntN(8), float64(1+r.IntN(4)))
 			j.Class, j.EstimateS = "small", float64(5+r.IntN(90))
 			if r.IntN(2) == 0 {
 				j.CheckpointIntervalS, j.CheckpointDurationS = 10, 2
@@ -36,7 +36,7 @@
 		b.schedule()
 		for i := range machines {
 			h := fmt.Sprintf("n-%04d", i)
-			m := b.machines[h]
+			m := b.machines.find(h)
 			run := b.running(h)
 			if r.IntN(6) == 0 && len(run) > 0 {
 				k := r.IntN(len(run))
@@ -64,7 +64,7 @@
 // kept is all that a plan decides: for whom each machine is kept, until when, who holds
 // others back, and who is stopped how.
 func (b *bed) kept() (out []string) {
-	for _, m := range b.machinesByName {
+	for _, m := range b.machines.all() {
 		s := fmt.Sprint(m.host, " wanted by ", m.claimedByRank)
 		if m.reservedFor != nil {
 			s += fmt.Sprint(" kept for ", m.reservedFor.id, m.reservationStart, m.reservedUntil, m.reservationCheckedAt)
@@ -76,7 +76,7 @@
 		}
 		out = append(out, s)
 	}
-	for _, j := range b.jobsByID(func(*job) bool { return true }) {
+	for _, j := range b.jobs.sorted(func(*job) bool { return true }) {
 		out = append(out, fmt.Sprint(j.id, j.startableSince, j.preemptions))
 	}
 	return out
@@ -116,7 +116,7 @@
 				}
 			}
 			evicted += fast.Stats.Preemptions - before
-			for _, m := range fast.machinesByName {
+			for _, m := range fast.machines.all() {
 				if m.reservedFor != nil {
 					held++
 				}
--- a/internal/sched/gpus.go
+++ b/internal/sched/gpus.go
@@ -15,7 +15,7 @@
 
 func (ps *pass) summarizeGPUs(queue []*job) {
 	v := gpuSummary{rank: -1}
-	for _, cl := range ps.core.classesByName() {
+	for _, cl := range ps.core.classes.sorted() {
 		if cl.sampleJob == nil || cl.sampleJob.spec.GPUs <= 0 {
 			continue
 		}
--- a/internal/sched/heartbeat.go
+++ b/internal/sched/heartbeat.go
@@ -1,43 +1,16 @@
 package sched
 
 import (
-	"slices"
-	"sort"
-
 	"dalefront/internal/config"
 	"dalefront/wire"
 )
 
-func (c *Core) newMachine(host, addr, typ, zone string, spot bool) *machine {
-	t := c.machineTypes[typ]
-	if t == nil {
-		t = &wire.MachineType{Name: typ, Zones: []string{zone}} // not in the catalog: no room
-		c.machineTypes[typ] = t
-	}
-	m := &machine{slowdown: 1, host: host, addr: addr, machineType: t, zone: zone, spot: spot, rentedAt: c.now, idleSince: c.now, gpusIdleSince: c.now,
-		tasks: map[taskKey][]*placement{}, cachedImages: map[string]Micros{}, fetchingImages: map[string]Micros{}, failedJobs: map[*job]bool{}}
-	m.lastPeerContact = c.peerContacts[host]
-	delete(c.peerContacts, host)
-	c.machines[host] = m
-	i := sort.Search(len(c.machinesByName), func(k int) bool { return c.machinesByName[k].host >= host })
-	c.machinesByName = slices.Insert(c.machinesByName, i, m)
-	return m
-}
-
-func (c *Core) dropMachine(m *machine) {
-	delete(c.machines, m.host)
-	if i := slices.Index(c.machinesByName, m); i >= 0 {
-		c.machinesByName = slices.Delete(c.machinesByName, i, i+1)
-	}
-	c.lastPass.dropMachine(m)
-}
-
 // ResumeAfterStall says that the controller stood still for so long. Its own absence is not
 // the workers' silence: what was measured against the clock goes on from where it
 // was, and what took the gap to be noticed teaches nothing about run times.
 func (c *Core) ResumeAfterStall(gap, now Micros) {
 	c.now, c.resumedAt, c.passNeeded = now, now, true
-	for _, m := range c.machinesByName {
+	for _, m := range c.machines.all() {
 		if m.lastHeartbeat > 0 {
 			m.lastHeartbeat = min(now, m.lastHeartbeat+gap)
 		}
@@ -62,10 +35,10 @@
 func (c *Core) Heartbeat(r *wire.Heartbeat, now Micros) wire.HeartbeatResponse {
 	c.now = now
 	a := wire.HeartbeatResponse{FencingToken: c.Token(), Commands: []wire.Command{}}
-	if _, gone := c.returnedMachines[r.Host]; gone {
+	if c.machines.isReturned(r.Host) {
 		return a // sent before the machine was returned
 	}
-	m := c.machines[r.Host]
+	m := c.machines.find(r.Host)
 	if m == nil {
 		// An unexpected machine, or one that the list does not show yet: adopt it.
 		m = c.newMachine(r.Host, r.Addr, r.Type, r.Zone, r.Spot)
@@ -121,7 +94,7 @@
 // as launches are repeated only until their task is seen; and that nothing of an earlier session
 // is left. It renews no lease, and the machine is as silent as it was.
 func (c *Core) CommandAnswered(r *wire.Heartbeat, now Micros) {
-	m := c.machines[r.Host]
+	m := c.machines.find(r.Host)
 	if m == nil || r.FencingToken != c.Token() || r.Incarnation < m.incarnation || (r.Incarnation == m.incarnation && r.Sequence <= m.sequence) {
 		return
 	}
@@ -233,7 +206,7 @@
 // findTask finds a task by its name, if its job is known.
 func (c *Core) findTask(task string) (j *job, num int32, ok bool) {
 	id, num, ok := wire.ParseTask(task)
-	j = c.jobs[id]
+	j = c.jobs.find(id)
 	return j, num, ok && j != nil && int(num) < j.spec.Tasks
 }
 
@@ -320,11 +293,11 @@
 // WantsLaunches says whether a machine that has just reported has room for something
 // that waits.
 func (c *Core) WantsLaunches(host string) bool {
-	m := c.machines[host]
+	m := c.machines.find(host)
 	if m == nil || !c.isSchedulable(m) || m.lastHeartbeat != c.now {
 		return false
 	}
-	for _, j := range c.jobs {
+	for j := range c.jobs.all() {
 		if j.pendingCount() > 0 && c.now >= j.backoffUntil && allowed(j, m) && hasRoom(j, m, 1) {
 			return true
 		}
@@ -343,7 +316,7 @@
 // LaunchCommands returns the launches that the machine's worker should get now.
 func (c *Core) LaunchCommands(host string) []wire.Command {
 	var a wire.HeartbeatResponse
-	if m := c.machines[host]; m != nil && m.confirmed && !m.scalingIn {
+	if m := c.machines.find(host); m != nil && m.confirmed && !m.scalingIn {
 		c.appendLaunches(m, &a)
 	}
 	return a.Commands
--- a/internal/sched/largesite_test.go
+++ b/internal/sched/largesite_test.go
@@ -18,7 +18,7 @@
 		b.report(fmt.Sprintf("n-%06d", i), "s", "x", 1)
 	}
 	b.now += 30 * second // past what a new leader waits for
-	for _, m := range b.machinesByName {
+	for _, m := range b.machines.all() {
 		m.lastHeartbeat = b.now
 	}
 	return b
@@ -31,7 +31,7 @@
 			b := newSite(t, test.machines)
 			pushes := func(sinceTerm Micros) int {
 				b.termStart = b.now - sinceTerm
-				for _, m := range b.machinesByName {
+				for _, m := range b.machines.all() {
 					m.confirmed, m.tokenPushedAt = false, 0
 				}
 				b.Schedule(b.now)
@@ -53,7 +53,7 @@
 		t.Run(fmt.Sprint(test.machines), func(t *testing.T) {
 			b := newSite(t, test.machines)
 			dead := test.machines / 3
-			for _, m := range b.machinesByName[:dead] {
+			for _, m := range b.machines.all()[:dead] {
 				m.failed = true
 			}
 			if got := len(b.ScaleIn(b.now, false)); got != test.first {
@@ -81,7 +81,7 @@
 			b := newSite(t, test.up, config.Team{Name: "a"})
 			most := 20_000
 			b.base.Operator.MaxMachines = &most
-			for _, m := range b.machinesByName {
+			for _, m := range b.machines.all() {
 				m.usedCPUs = m.machineType.CPUs // full
 			}
 			var list []wire.Machine
@@ -92,7 +92,7 @@
 			b.termStart = b.now - 60*second
 			b.AddJob(spec("j", "a", wire.High, 50_000, 8), b.now-20*second, b.now)
 			if more := len(b.ScaleOut(b.now)) > 0; more != test.more {
-				t.Errorf("with %d machines and %d that boot for the array, more are rented: %v, want %v", len(b.machinesByName), minDemand, more, test.more)
+				t.Errorf("with %d machines and %d that boot for the array, more are rented: %v, want %v", b.machines.count(), minDemand, more, test.more)
 			}
 		})
 	}
@@ -111,7 +111,7 @@
 				teams = append(teams, config.Team{Name: name + strings.Repeat("x", test.name-len(name))})
 			}
 			b := newBed(t, teams...)
-			for i, c := range b.teamsByName() {
+			for i, c := range b.teams.sorted() {
 				c.service.restore(float64(1+i%97), b.now, b.now)
 			}
 			l := b.Statistics(b.now)
@@ -127,7 +127,7 @@
 					t.Fatalf("%s after %s", x.Name, l.Teams[i-1].Name)
 				}
 			}
-			for _, c := range b.teamsByName() {
+			for _, c := range b.teams.sorted() {
 				if !kept[c.Name] && c.service.decayedDone > least[true] {
 					t.Errorf("%s is left out with %v jobs, another kept with %v", c.Name, c.service.decayedDone, least[true])
 				}
@@ -139,7 +139,7 @@
 			if again := newBed(t, teams...); true {
 				again.RestoreStatistics(l)
 				known := 0
-				for _, c := range again.teamsByName() {
+				for _, c := range again.teams.sorted() {
 					if c.service.decayedDone > 0 {
 						known++
 					}
--- a/internal/sched/ledger_test.go
+++ b/internal/sched/ledger_test.go
@@ -87,12 +87,12 @@
 			launched := func() (tasks int) {
 				for i := range n {
 					h := fmt.Sprintf("n-%06d", i)
-					if b.machines[h] == nil {
+					if b.machines.find(h) == nil {
 						continue
 					}
-					for _, o := range b.report(h, "s", "x", b.machines[h].incarnation, b.present(h)...).Commands {
+					for _, o := range b.report(h, "s", "x", b.machines.find(h).incarnation, b.present(h)...).Commands {
 						if id, num, _ := wire.ParseTask(o.Task); o.Op == wire.Launch && id == "j-1" {
-							b.machines[h].findPlacement(taskKey{b.jobs[id], num}, o.Attempt).state = wire.TaskWaiting
+							b.machines.find(h).findPlacement(taskKey{b.jobs.find(id), num}, o.Attempt).state = wire.TaskWaiting
 							tasks++
 						}
 					}
@@ -105,7 +105,7 @@
 				cm := b.Schedule(b.now)
 				if cm == nil {
 					launched()
-					if len(b.jobs["j-1"].placementsOf()) == n-1 && b.ledger.staged == nil {
+					if len(b.jobs.find("j-1").placementsOf()) == n-1 && b.ledger.staged == nil {
 						break
 					}
 					continue
@@ -117,7 +117,7 @@
 				}
 				if gang && parts == at && trouble == "refused" {
 					b.CommitRejected(cm, b.now)
-					if len(b.jobs["j-1"].placements) > 0 {
+					if len(b.jobs.find("j-1").placements) > 0 {
 						t.Fatal("tasks of a refused gang keep their places")
 					}
 					continue
@@ -152,8 +152,8 @@
 					old := b
 					b = newBed(t, config.Team{Name: "a"})
 					b.seq = old.seq
-					b.AddJob(old.jobs["j-1"].spec, b.now, b.now)
-					b.AddJob(old.jobs["j-2"].spec, b.now, b.now)
+					b.AddJob(old.jobs.find("j-1").spec, b.now, b.now)
+					b.AddJob(old.jobs.find("j-2").spec, b.now, b.now)
 					b.RecoverLedger(store)
 					for i := range n {
 						b.report(fmt.Sprintf("n-%06d", i), "s", "x", 1)
@@ -171,16 +171,16 @@
 				for _, e := range b.ledger.entries {
 					live += len(e.live)
 				}
-				if j := b.jobs["j-1"]; j != nil || live > 3 {
+				if j := b.jobs.find("j-1"); j != nil || live > 3 {
 					t.Errorf("ended at %d: %d launches are left of the gang", at, live)
 				}
 				continue
 			}
-			if got := len(b.jobs["j-1"].placementsOf()); got != n-1 || parts < 3 {
+			if got := len(b.jobs.find("j-1").placementsOf()); got != n-1 || parts < 3 {
 				t.Errorf("%s at %d: %d of %d tasks have places after %d transactions", trouble, at, got, n-1, parts)
 			}
 			where := map[int32]string{}
-			for p := range b.jobs["j-1"].placements {
+			for p := range b.jobs.find("j-1").placements {
 				if was := where[p.taskIndex]; was != "" {
 					t.Errorf("%s at %d: task %d is on %s and %s", trouble, at, p.taskIndex, was, p.machine.host)
 				}
@@ -192,7 +192,7 @@
 
 // present is what a worker reports that holds what it was told to launch.
 func (b *bed) present(host string) (out []wire.TaskStatus) {
-	b.machines[host].eachPlacement(func(p *placement) {
+	b.machines.find(host).eachPlacement(func(p *placement) {
 		if p.state != "" {
 			out = append(out, wire.TaskStatus{Task: wire.TaskName(p.job.id, p.taskIndex), Attempt: p.attempt, State: p.state})
 		}
@@ -250,7 +250,7 @@
 	after := newBed(t, config.Team{Name: "a"})
 	after.AddJob(spec("j-1", "a", wire.Normal, 2, 8), after.now, after.now)
 	after.RecoverLedger(store)
-	if len(after.machines) != 1 || after.machines["n-2"].placementCount != 1 {
+	if after.machines.count() != 1 || after.machines.find("n-2").placementCount != 1 {
 		t.Error("the ledger does not say what is on n-2")
 	}
 	run2[0].State, run2[0].Cause = wire.TaskExited, wire.CauseDone
@@ -275,7 +275,7 @@
 		"a": {Hosts: []LedgerHost{later}, Runs: []LedgerRun{{Job: "j-1", Attempt: 6, Tasks: []int32{1}}}},
 		"b": {Hosts: []LedgerHost{host}, Runs: []LedgerRun{{Job: "j-1", Attempt: 5, Tasks: []int32{0}}}},
 	})
-	if m := b.machines["n-1"]; m.placementCount != 1 || m.incarnation != 2 {
+	if m := b.machines.find("n-1"); m.placementCount != 1 || m.incarnation != 2 {
 		t.Errorf("%d tasks in session %d, want 1 in 2", m.placementCount, m.incarnation)
 	}
 }
@@ -287,7 +287,7 @@
 	b.AddJob(spec("j-1", "a", wire.Normal, 1, 8), b.now, b.now)
 	cm := b.Schedule(b.now)
 	b.CommitRejected(cm, b.now)
-	if b.machines["n-1"].placementCount != 0 || len(b.ledger.entries) != 0 || b.schedule() == nil {
+	if b.machines.find("n-1").placementCount != 0 || len(b.ledger.entries) != 0 || b.schedule() == nil {
 		t.Error("the task was not placed again")
 	}
 }
@@ -297,7 +297,7 @@
 func TestLearnedOutlivesTheLeader(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a"})
 	b.AddJob(spec("j-1", "a", wire.Normal, 40, 1), b.now, b.now)
-	cl := b.jobs["j-1"].class
+	cl := b.jobs.find("j-1").class
 	cl.runTimeRatio, b.writeGBPerS = 1.7, 0.3
 	l := b.Statistics(b.now)
 
--- a/internal/sched/pass.go
+++ b/internal/sched/pass.go
@@ -87,7 +87,7 @@
 // there is no room. Before it goes on to a lower priority it reserves the machines on which
 // gangs of the higher ones are about to start.
 func (ps *pass) placeAll(queue []*job) (gangs []*job) {
-	rank, reserved := len(ps.core.placementsByRank), 0
+	rank, reserved := len(ps.core.jobs.placementsByRank), 0
 	for _, j := range queue {
 		if ps.core.now < j.backoffUntil {
 			continue
@@ -118,7 +118,7 @@
 // listSchedulable lists the machines that may get launches. Nothing that happens within a pass
 // changes which these are.
 func (ps *pass) listSchedulable() {
-	for _, m := range ps.core.machinesByName {
+	for _, m := range ps.core.machines.all() {
 		m.claimedByRank = 0
 		if ps.core.isSchedulable(m) {
 			m.passIndex = len(ps.schedulable)
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -129,7 +129,7 @@
 // wait within their teams' guarantees, one of each class and zone.
 func (ps *pass) prepareClaims(queue []*job) {
 	ps.competingClasses, ps.guaranteedWaiting = ps.competingClasses[:0], ps.guaranteedWaiting[:0]
-	for _, cl := range ps.core.classesByName() {
+	for _, cl := range ps.core.classes.sorted() {
 		if cl.sampleJob != nil && cl.sampleJob.rank > 0 && cl.arrivalRate(ps.core.now) > 0.001 {
 			ps.competingClasses = append(ps.competingClasses, cl)
 		}
@@ -218,7 +218,7 @@
 // still make it.
 func (c *Core) queue() []*job {
 	var q []*job
-	for _, j := range c.jobs {
+	for j := range c.jobs.all() {
 		if j.pendingCount() > 0 {
 			q = append(q, j)
 		} else {
@@ -238,7 +238,7 @@
 	// A class's capacity is reckoned from the first of its jobs: from another one each
 	// second, as the oldest that waits is likely to be the one that may use the least.
 	if slices.ContainsFunc(q, func(j *job) bool { return c.capacityStale(j.class) }) {
-		byID(q)
+		sortByID(q)
 		at := int(c.now/second) % len(q)
 		q = append(q[at:], q[:at]...)
 	}
@@ -308,7 +308,7 @@
 // teams' earlier unfinished jobs: these need not wait on other teams.
 func (c *Core) markWithinGuarantee() {
 	of := map[*team][]*job{}
-	for _, j := range c.jobs {
+	for j := range c.jobs.all() {
 		j.withinGuarantee = false
 		if !j.isOver() && (j.team.CPUs > 0 || j.team.GPUs > 0) {
 			of[j.team] = append(of[j.team], j)
@@ -442,7 +442,7 @@
 
 // Waiting reports how many tasks wait, for logs and metrics.
 func (c *Core) Waiting() (jobs, tasks int) {
-	for _, j := range c.jobs {
+	for j := range c.jobs.all() {
 		if n := j.pendingCount(); n > 0 {
 			jobs++
 			tasks += n
--- a/internal/sched/placement.go
+++ b/internal/sched/placement.go
@@ -86,7 +86,7 @@
 	m.addPlacement(p)
 	j.team.addUse(j.taskResources())
 	j.addPlacement(p)
-	c.placementsByRank[j.rank]++
+	c.jobs.placementsByRank[j.rank]++
 	return p
 }
 
@@ -115,7 +115,7 @@
 	}
 	j, m := p.job, p.machine
 	c.passNeeded = true
-	c.placementsByRank[j.rank]--
+	c.jobs.placementsByRank[j.rank]--
 	c.ledger.removePlacement(p)
 	m.removePlacement(p)
 	if p.durable {
@@ -160,7 +160,7 @@
 	m.usedMemoryGB -= use.mem
 	m.usedByRank[p.job.rank].subtract(use)
 	if m.placementCount == 0 { // no rounding errors pile up
-		m.usedCPUs, m.usedGPUs, m.usedMemoryGB, m.usedByRank = 0, 0, 0, [4]resourceUse{}
+		m.usedCPUs, m.usedGPUs, m.usedMemoryGB, m.usedByRank = 0, 0, 0, [numRanks]resourceUse{}
 	}
 }
 
--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -99,7 +99,7 @@
 		return true
 	}
 	up, heard := 0, 0
-	for _, m := range c.machinesByName {
+	for _, m := range c.machines.all() {
 		if m.registered && !m.leaseExpired && !m.failed && !m.scalingIn {
 			up++
 			if m.confirmed {
@@ -118,7 +118,7 @@
 	}
 	lower := 0
 	for r := 0; r < j.rank; r++ {
-		lower += ps.core.placementsByRank[r]
+		lower += ps.core.jobs.placementsByRank[r]
 	}
 	if lower > 0 {
 		return true
@@ -126,12 +126,9 @@
 	if !ps.core.reclaimsGuarantee(j) {
 		return false
 	}
-	for _, t := range ps.core.teams {
-		if t != j.team && t.exceedsGuarantee() && (t.usedCPUs > epsilon || t.usedGPUs > epsilon) {
-			return true
-		}
-	}
-	return false
+	return ps.core.teams.any(func(t *team) bool {
+		return t != j.team && t.exceedsGuarantee() && (t.usedCPUs > epsilon || t.usedGPUs > epsilon)
+	})
 }
 
 const (
--- a/internal/sched/preemptioncost_test.go
+++ b/internal/sched/preemptioncost_test.go
@@ -23,7 +23,7 @@
 		}
 		for b.schedule() != nil {
 		}
-		for _, j := range b.jobs {
+		for j := range b.jobs.all() {
 			j.spec.CheckpointIntervalS, j.spec.CheckpointDurationS, j.spec.MemoryGB = float64(r.IntN(3)*10), float64(r.IntN(5)), float64(1+r.IntN(3))
 			j.preemptions = r.IntN(4)
 			for p := range j.placements {
@@ -40,8 +40,8 @@
 			j := spec(fmt.Sprintf("j-9%03d", i), []string{"a", "b"}[i%2], []string{wire.Normal, wire.High, wire.Production}[r.IntN(3)], 1, float64(1+r.IntN(8)))
 			j.MemoryGB, j.GPUs = float64(1+r.IntN(30)), float64(r.IntN(2))
 			b.AddJob(j, b.now, b.now)
-			want, ps := b.jobs[j.ID], b.newPass()
-			for _, m := range b.machinesByName {
+			want, ps := b.jobs.find(j.ID), b.newPass()
+			for _, m := range b.machines.all() {
 				cost, ok := ps.preemptionCost(want, m)
 				wantCost, wantOK := ps.victimCostSum(want, m)
 				if ok != wantOK || ok && cost != wantCost {
--- a/internal/sched/proof_test.go
+++ b/internal/sched/proof_test.go
@@ -24,7 +24,7 @@
 		}
 		return b
 	}
-	left := func(b *bed) int { return b.machines["n-1"].placementCount }
+	left := func(b *bed) int { return b.machines.find("n-1").placementCount }
 	b := begin()
 	at(b, 7, 1, b.seq+1)
 	if left(b) != 2 {
@@ -60,7 +60,7 @@
 	if left(b) != 0 {
 		t.Error("a later session's answer leaves what the earlier one held")
 	}
-	if heard := b.machines["n-1"]; heard.confirmed {
+	if heard := b.machines.find("n-1"); heard.confirmed {
 		t.Error("launches may go to a session that has not reported")
 	}
 }
@@ -159,7 +159,7 @@
 	b.report("n-1", "s", "x", 1, b.running("n-1")...)
 	b.now += second
 	b.schedule()
-	if n := len(b.jobs["j-2"].placements); n != 1 {
+	if n := len(b.jobs.find("j-2").placements); n != 1 {
 		t.Errorf("%d tasks of the other team have a place beside work that may not start", n)
 	}
 }
@@ -193,10 +193,10 @@
 	b := newBed(t, config.Team{Name: "a"})
 	b.report("n-1", "g", "x", 1)
 	b.AddJob(spec("j-1", "a", wire.Low, 1, 2), b.now, b.now)
-	m, since := b.machines["n-1"], b.now
+	m, since := b.machines.find("n-1"), b.now
 	for _, stored := range []bool{false, true} {
 		b.now += 10 * second
-		p := b.addPlacement(b.jobs["j-1"], 0, m, 9)
+		p := b.addPlacement(b.jobs.find("j-1"), 0, m, 9)
 		p.durable = stored
 		b.release(p)
 		want := since
@@ -250,18 +250,18 @@
 		}
 		b.schedule()
 		for _, d := range b.TakeDirectCommands() {
-			asked = asked || d.Addr == "n-1" && b.machines["n-1"].leaseExpired
+			asked = asked || d.Addr == "n-1" && b.machines.find("n-1").leaseExpired
 		}
 	}
 	if !asked {
 		t.Fatal("not asked")
 	}
 	b.CommandAnswered(&wire.Heartbeat{Host: "n-1", Addr: "n-1", Type: "s", Zone: "x", Incarnation: 2, Sequence: 1, FencingToken: 7}, b.now)
-	if b.machines["n-1"].placementCount != 0 {
+	if b.machines.find("n-1").placementCount != 0 {
 		t.Error("its answer of a later session freed nothing")
 	}
 	b.schedule()
-	if n := len(b.jobs["j-1"].placements); n != 1 {
+	if n := len(b.jobs.find("j-1").placements); n != 1 {
 		t.Errorf("%d places elsewhere", n)
 	}
 }
--- a/internal/sched/reconcile.go
+++ b/internal/sched/reconcile.go
@@ -15,7 +15,7 @@
 )
 
 // maxPushes is how many machines a pass tells of the term's token.
-func (c *Core) maxPushes() int { return max(minPushes, len(c.machinesByName)/machinesPerPush) }
+func (c *Core) maxPushes() int { return max(minPushes, c.machines.count()/machinesPerPush) }
 
 // reconcile looks after machines and tasks as time passes.
 func (c *Core) reconcile() {
@@ -24,7 +24,7 @@
 	if c.now-c.termStart < 2*second {
 		most /= 2 // most report by themselves meanwhile
 	}
-	for _, m := range c.machinesByName {
+	for _, m := range c.machines.all() {
 		if m.registered && !m.confirmed && (!m.leaseExpired || m.placementCount > 0 && !c.detector.IsCut(m.zone)) && !m.scalingIn && m.addr != "" && m.incarnation > 0 && pushes < most && c.now-m.tokenPushedAt > 2*second {
 			// Once its worker has seen this token it reports at once, instead of up to a
 			// report's interval later. And it may still report to an older leader that
@@ -60,7 +60,7 @@
 			c.updateQuarantine(m)
 		}
 	}
-	for _, j := range c.jobsByID(func(j *job) bool { return j.isGang() && j.gangBroken }) {
+	for _, j := range c.jobs.sorted(func(j *job) bool { return j.isGang() && j.gangBroken }) {
 		for _, p := range j.sortedPlacements() {
 			if !p.checkpointing {
 				c.stopPlacement(p, false)
--- a/internal/sched/recovery.go
+++ b/internal/sched/recovery.go
@@ -35,13 +35,13 @@
 
 // recoverRun takes the tasks of a job that a stored entry places on a machine.
 func (c *Core) recoverRun(entry *ledgerEntry, host *LedgerHost, run *LedgerRun, incarnations map[string]uint64) {
-	m := c.machines[host.Host]
+	m := c.machines.find(host.Host)
 	if m == nil {
 		m = c.newMachine(host.Host, host.Addr, host.Type, host.Zone, host.Spot)
 		m.incarnation, m.registered = incarnations[host.Host], true
 	}
 	entry.hosts[host.Host] = struct{}{}
-	j := c.jobs[run.Job]
+	j := c.jobs.find(run.Job)
 	// A job's record is deleted only after all its placements were
 	// proven gone, so a task of an unknown job is not on the machine.
 	// Neither is one of an earlier incarnation than the ledger has seen.
--- a/internal/sched/scale_test.go
+++ b/internal/sched/scale_test.go
@@ -43,7 +43,7 @@
 		b, ledger := scaled(bm, n, n/6)
 		hosts := make([]string, 0, n)
 		tasks := map[string][]wire.TaskStatus{}
-		for _, m := range b.machinesByName {
+		for _, m := range b.machines.all() {
 			hosts = append(hosts, m.host)
 			tasks[m.host] = b.running(m.host)
 		}
@@ -55,10 +55,10 @@
 			for bm.Loop() {
 				h := hosts[i%n]
 				i++
-				b.report(h, b.machines[h].machineType.Name, b.machines[h].zone, 1, tasks[h]...)
+				b.report(h, b.machines.find(h).machineType.Name, b.machines.find(h).zone, 1, tasks[h]...)
 			}
 		})
-		for k, m := range b.machinesByName {
+		for k, m := range b.machines.all() {
 			m.lastHeartbeat = b.now
 			if k%10 == 0 {
 				m.lastHeartbeat -= 30 * second
@@ -72,8 +72,8 @@
 			}
 		})
 		bm.Run(fmt.Sprint("takeover/", n), func(bm *testing.B) {
-			specs := make([]wire.Job, 0, len(b.jobs))
-			for _, j := range b.jobs {
+			specs := make([]wire.Job, 0, b.jobs.count())
+			for j := range b.jobs.all() {
 				specs = append(specs, j.spec)
 			}
 			for bm.Loop() {
@@ -89,11 +89,11 @@
 
 // passes runs passes 20 ms apart, with reports in between as they come every 4 s.
 func (b *bed) passes(bm *testing.B) {
-	n := len(b.machinesByName)
+	n := b.machines.count()
 	for bm.Loop() {
 		b.now += 20_000
 		for i := range n / 200 {
-			b.machinesByName[(int(b.now/20_000)*n/200+i)%n].lastHeartbeat = b.now
+			b.machines.all()[(int(b.now/20_000)*n/200+i)%n].lastHeartbeat = b.now
 		}
 		if cm := b.Schedule(b.now); cm != nil {
 			b.CommitRejected(cm, b.now)
--- a/internal/sched/scaleout.go
+++ b/internal/sched/scaleout.go
@@ -26,7 +26,7 @@
 	}
 	total := 0
 	var bins []*bin
-	for _, m := range c.machinesByName {
+	for _, m := range c.machines.all() {
 		if m.failed || m.scalingIn {
 			continue
 		}
@@ -109,7 +109,7 @@
 	asked := 0
 	bins = slices.DeleteFunc(bins, taken)
 	inZone := map[string]int{}
-	for _, m := range c.machinesByName {
+	for _, m := range c.machines.all() {
 		inZone[m.zone]++
 	}
 	for i, d := range need {
@@ -217,7 +217,7 @@
 // smallestRequest is the size of the smallest machine type that some class can use.
 func (c *Core) smallestRequest() float64 {
 	least := 0.0
-	for _, cl := range c.classesByName() {
+	for _, cl := range c.classes.sorted() {
 		for _, t := range c.machineTypes {
 			if cl.sampleJob != nil && fitsType(&cl.sampleJob.spec, t) && (least == 0 || t.CPUs < least) {
 				least = t.CPUs
@@ -251,7 +251,7 @@
 )
 
 // maxDemand is for how many waiting tasks of one job machines are rented at a time.
-func (c *Core) maxDemand() int { return max(minDemand, len(c.machinesByName)) }
+func (c *Core) maxDemand() int { return max(minDemand, c.machines.count()) }
 
 // candidateZones lists the zones in which the job may have machines at all.
 func (c *Core) candidateZones(j *job) []string {
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -54,7 +54,7 @@
 }
 
 func (b *bed) running(host string) (out []wire.TaskStatus) {
-	b.machines[host].eachPlacement(func(p *placement) {
+	b.machines.find(host).eachPlacement(func(p *placement) {
 		out = append(out, wire.TaskStatus{Task: wire.TaskName(p.job.id, p.taskIndex), Attempt: p.attempt, State: wire.TaskRunning})
 	})
 	return out
@@ -191,14 +191,14 @@
 		b.report("n-1", "s", "x", 1, b.running("n-1")...)
 		b.schedule()
 		for _, tr := range b.running("n-1") {
-			if tr.Task == id && b.jobs["j-1"].preemptions <= maxEvictions {
+			if tr.Task == id && b.jobs.find("j-1").preemptions <= maxEvictions {
 				tr.State, tr.Cause = wire.TaskExited, wire.CauseStopped
 				b.report("n-1", "s", "x", 1, tr)
 			}
 		}
 		b.JobEnded("j-9"+string(rune('0'+i)), wire.JobCancelled, b.now)
 	}
-	if n := b.jobs["j-1"].preemptions; n == 0 || n > maxEvictions {
+	if n := b.jobs.find("j-1").preemptions; n == 0 || n > maxEvictions {
 		t.Errorf("evicted %d times, want 1 to %d", n, maxEvictions)
 	}
 }
@@ -241,8 +241,8 @@
 	if b.schedule() == nil {
 		t.Fatal("the gang was not placed")
 	}
-	attempt := b.jobs["j-1"].gangAttempt
-	for p := range b.jobs["j-1"].placements {
+	attempt := b.jobs.find("j-1").gangAttempt
+	for p := range b.jobs.find("j-1").placements {
 		if p.machine.zone != "y" || p.attempt != attempt {
 			t.Errorf("placed on %s in %s with attempt %d", p.machine.host, p.machine.zone, p.attempt)
 		}
@@ -266,7 +266,7 @@
 	b.AddJob(spec("j-1", "a", wire.Normal, 2, 8), b.now, b.now)
 	b.schedule()
 	gone := "n-1"
-	if b.machines["n-1"].placementCount == 0 {
+	if b.machines.find("n-1").placementCount == 0 {
 		gone = "n-2"
 	}
 	b.report(gone, "s", "x", 1) // the launch goes with the answer
@@ -337,16 +337,16 @@
 	run := b.running("n-1")
 	b.report("n-1", "s", "x", 1, run...)
 	late := &wire.Heartbeat{Host: "n-1", Type: "s", Zone: "x", Incarnation: 1, Sequence: 1, FencingToken: 7}
-	if a := b.Heartbeat(late, b.now); len(a.Commands) > 0 || b.machines["n-1"].placementCount != 1 {
+	if a := b.Heartbeat(late, b.now); len(a.Commands) > 0 || b.machines.find("n-1").placementCount != 1 {
 		t.Error("a late report removed a running task")
 	}
 	old := &wire.Heartbeat{Host: "n-1", Type: "s", Zone: "x", Incarnation: 1, Sequence: b.seq + 1, FencingToken: 6}
-	if a := b.Heartbeat(old, b.now); len(a.Commands) > 0 || b.machines["n-1"].placementCount != 1 {
+	if a := b.Heartbeat(old, b.now); len(a.Commands) > 0 || b.machines.find("n-1").placementCount != 1 {
 		t.Error("a report without this term's token removed a running task")
 	}
 	b.MachinesReturned([]string{"n-1"}, b.now)
 	b.MachinesListed([]wire.Machine{{ID: "n-1", Type: "s", Zone: "x", State: wire.MachineRunning}}, b.now)
-	if b.machines["n-1"] != nil {
+	if b.machines.find("n-1") != nil {
 		t.Error("a lagging list brought a returned machine back")
 	}
 }
@@ -397,7 +397,7 @@
 	after := newBed(t, config.Team{Name: "a"})
 	after.AddJob(bad, after.now, after.now)
 	after.RestoreStatistics(l)
-	if !after.jobs["j-1"].isSuspect() {
+	if !after.jobs.find("j-1").isSuspect() {
 		t.Fatal("it is not suspected any more")
 	}
 	for _, h := range hosts {
@@ -414,7 +414,7 @@
 	for i := 0; i < 2*seconds; i++ {
 		b.now += second / 2
 		for _, h := range hosts {
-			m := b.machines[h]
+			m := b.machines.find(h)
 			b.report(h, "s", "x", 1)
 			var run []wire.TaskStatus
 			m.eachPlacement(func(p *placement) {
@@ -452,11 +452,11 @@
 		t.Errorf("a broken job was started %d times more in 240 s", more)
 	}
 	for _, h := range hosts {
-		if m := b.machines[h]; m.quarantined || m.avoidUntil > b.now {
+		if m := b.machines.find(h); m.quarantined || m.avoidUntil > b.now {
 			t.Errorf("%s is blamed", h)
 		}
 	}
-	j := b.jobs["j-2"]
+	j := b.jobs.find("j-2")
 	j.backoffUntil = b.now
 	if b.lastPass.mayPreempt(j) || b.mayScaleOutFor(j) || b.concurrencyLimit(j) != 1 {
 		t.Error("a broken job may evict or rent, or is tried with all its tasks")
@@ -484,7 +484,7 @@
 	for _, id := range []string{"j-1", "j-2"} {
 		b.AddJob(spec(id, "a", wire.Normal, 2, 2), b.now, b.now)
 		for i, h := range []string{"n-1", "n-2"} {
-			p := b.addPlacement(b.jobs[id], int32(i), b.machines[h], 900)
+			p := b.addPlacement(b.jobs.find(id), int32(i), b.machines.find(h), 900)
 			p.durable = true
 			end := wire.TaskStatus{Task: wire.TaskName(id, int32(i)), Attempt: 900, State: wire.TaskExited, Cause: wire.CauseError}
 			if h == "n-2" {
@@ -496,7 +496,7 @@
 	b.now += second
 	for _, h := range []string{"n-1", "n-2"} {
 		b.report(h, "s", "x", 1)
-		b.machines[h].idleSince = b.now // not for idling
+		b.machines.find(h).idleSince = b.now // not for idling
 	}
 	b.reconcile()
 	if back := b.ScaleIn(b.now, false); !slices.Equal(back, []string{"n-1"}) {
@@ -514,7 +514,7 @@
 		b.report(h, "s", "x", 1)
 	}
 	b.schedule()
-	ratio := b.jobs["j-1"].class.runTimeRatio
+	ratio := b.jobs.find("j-1").class.runTimeRatio
 	for i := 0; i < 5; i++ {
 		b.now += second
 		for _, h := range hosts {
@@ -532,7 +532,7 @@
 	run := b.running("n-1")
 	run[0].State, run[0].Cause = wire.TaskExited, wire.CauseDone
 	b.report("n-1", "s", "x", 1, run...)
-	if got := b.jobs["j-1"].class.runTimeRatio; got != ratio {
+	if got := b.jobs.find("j-1").class.runTimeRatio; got != ratio {
 		t.Errorf("a run time was learned from the standstill: %v, before %v", got, ratio)
 	}
 	b.now += 2 * 10 * second
@@ -548,7 +548,7 @@
 	j := spec("j-1", "a", wire.Normal, 100_000, 0.001)
 	b.AddJob(j, b.now, b.now)
 	for i := int32(0); i < 100_000; i += 3 {
-		b.markDone(b.jobs["j-1"], i)
+		b.markDone(b.jobs.find("j-1"), i)
 	}
 	chunks := b.ProgressToStore(1000)
 	if len(chunks) != (100_000+ChunkTasks-1)/ChunkTasks {
@@ -562,7 +562,7 @@
 		}
 		c.SetProgress(ch.Job, ch.Index, ch.Text)
 	}
-	if got, want := c.jobs["j-1"].completedCount, b.jobs["j-1"].completedCount; got != want {
+	if got, want := c.jobs.find("j-1").completedCount, b.jobs.find("j-1").completedCount; got != want {
 		t.Errorf("%d tasks done after loading, want %d", got, want)
 	}
 	b.report("n-1", "s", "x", 1)
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -20,7 +20,7 @@
 		b.report(h, []string{"s", "s", "g"}[r.IntN(3)], []string{"x", "y"}[r.IntN(2)], 1)
 		for k := 0; k < 4; k++ {
 			if r.IntN(3) == 0 {
-				b.machines[h].cachedImages[fmt.Sprint("i", k)] = b.now
+				b.machines.find(h).cachedImages[fmt.Sprint("i", k)] = b.now
 			}
 		}
 	}
@@ -37,7 +37,7 @@
 
 func (b *bed) where() map[string]int {
 	out := map[string]int{}
-	for _, j := range b.jobs {
+	for j := range b.jobs.all() {
 		for p := range j.placements {
 			out[j.id+" on "+p.machine.host]++
 		}
--- a/internal/sched/statistics.go
+++ b/internal/sched/statistics.go
@@ -99,14 +99,14 @@
 // Statistics sums up what was observed.
 func (c *Core) Statistics(now Micros) Statistics {
 	l := Statistics{At: now, Write: c.writeGBPerS, Silence: c.detector.Memory()}
-	for _, cl := range c.classesByName() {
+	for _, cl := range c.classes.sorted() {
 		cl.decay(now)
 		if len(cl.name) <= maxLearnedName {
 			cl.service.decay(now)
 			l.Classes = append(l.Classes, ClassStatistics{cl.name, cl.runTimeRatio, cl.decayedArrivals, cl.meanTasks, cl.service.decayedDone})
 		}
 	}
-	for _, t := range c.teamsByName() {
+	for _, t := range c.teams.sorted() {
 		if t.service.decay(now); t.service.decayedDone > 0.1 && len(t.Name) <= maxLearnedName {
 			l.Teams = append(l.Teams, TeamStatistics{t.Name, t.service.decayedDone})
 		}
@@ -119,7 +119,7 @@
 		return x.Name < y.Name
 	})
 	l.Classes = l.Classes[:min(len(l.Classes), mostLearned)]
-	for _, j := range c.jobsByID(func(j *job) bool { return !j.isOver() && j.isSuspect() }) {
+	for _, j := range c.jobs.sorted(func(j *job) bool { return !j.isOver() && j.isSuspect() }) {
 		if len(l.Suspect) < mostLearned {
 			hosts := slices.Sorted(maps.Keys(j.failedHosts))
 			l.Suspect = append(l.Suspect, JobStatistics{j.id, hosts[:2], j.failureRounds})
@@ -155,14 +155,14 @@
 	for _, x := range l.Suspect {
 		// Otherwise leaders that end one after the other would each try such jobs with
 		// all their tasks, in room that others wait for.
-		if j := c.jobs[x.ID]; j != nil && j.completedCount == 0 && len(x.Hosts) == 2 && x.Hosts[0] != x.Hosts[1] {
+		if j := c.jobs.find(x.ID); j != nil && j.completedCount == 0 && len(x.Hosts) == 2 && x.Hosts[0] != x.Hosts[1] {
 			j.failedHosts = map[string]bool{x.Hosts[0]: true, x.Hosts[1]: true}
 			j.failureRounds = max(0, x.Times)
 			j.backoffUntil = c.now + min(failureBackoffCap, second<<min(j.failureRounds, 6))/2
 		}
 	}
 	for _, x := range l.Teams {
-		if t := c.teams[x.Name]; t != nil {
+		if t := c.teams.find(x.Name); t != nil {
 			t.service.restore(x.Ended, min(l.At, c.now), c.now)
 		}
 	}
