--- a/internal/sched/batch.go
+++ b/internal/sched/batch.go
@@ -207,7 +207,8 @@
 // many bytes.
 func splitIntoEntries(placements []*placement, maxBytes int) (parts [][]*placement) {
 	slices.SortFunc(placements, func(a, b *placement) int {
-		return cmp.Or(cmp.Compare(a.machine.host, b.machine.host), cmp.Compare(a.job.id, b.job.id), cmp.Compare(a.taskIndex, b.taskIndex))
+		return cmp.Or(cmp.Compare(a.machine.host, b.machine.host), cmp.Compare(a.job.id, b.job.id), cmp.Compare(a.taskIndex, b.taskIndex),
+			cmp.Compare(a.attempt, b.attempt))
 	})
 	first, size := 0, 0
 	for i, p := range placements {
