--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -103,7 +103,7 @@
 		return true
 	}
 	up, heard := 0, 0
-	for _, m := range c.machinesByName {
+	for _, m := range c.machines.all() {
 		if m.registered && !m.leaseExpired && !m.failed && !m.scalingIn {
 			up++
 			if m.confirmed {
@@ -120,22 +120,15 @@
 	if !ps.fleetSettled || ps.core.preemptionPolicy == config.EvictNone || ps.core.firstComeFirstServed || j.isSuspect() || j.waitingSince == 0 || ps.core.now-j.waitingSince < ps.core.preemptAfter || ps.core.now < j.preemptionBackoffUntil {
 		return false
 	}
-	lower := 0
-	for r := 0; r < j.rank; r++ {
-		lower += ps.core.placementsByRank[r]
-	}
-	if lower > 0 {
+	if ps.core.jobs.placedBelow(j.rank) > 0 {
 		return true
 	}
 	if !ps.core.reclaimsGuarantee(j) {
 		return false
 	}
-	for _, t := range ps.core.teams {
-		if t != j.team && t.exceedsGuarantee() && (t.usedCPUs > epsilon || t.usedGPUs > epsilon) {
-			return true
-		}
-	}
-	return false
+	return ps.core.teams.any(func(t *team) bool {
+		return t != j.team && t.exceedsGuarantee() && (t.usedCPUs > epsilon || t.usedGPUs > epsilon)
+	})
 }
 
 const (
--- a/internal/sched/preemption_test.go
+++ b/internal/sched/preemption_test.go
@@ -17,13 +17,13 @@
 	b.AddJob(gang, b.now, b.now)
 	b.AddJob(spec("j-2", "a", wire.Low, 1, 4), b.now, b.now)
 	b.AddJob(spec("j-3", "a", wire.High, 1, 4), b.now, b.now)
-	here, there := b.machines["n-1"], b.machines["n-2"]
-	b.addPlacement(b.jobs["j-1"], 0, here, 1)
-	b.addPlacement(b.jobs["j-2"], 0, here, 2)
-	b.addPlacement(b.jobs["j-1"], 1, there, 3)
+	here, there := b.machines.find("n-1"), b.machines.find("n-2")
+	b.addPlacement(b.jobs.find("j-1"), 0, here, 1)
+	b.addPlacement(b.jobs.find("j-2"), 0, here, 2)
+	b.addPlacement(b.jobs.find("j-1"), 1, there, 3)
 	ps := b.newPass()
 	for range 100 {
-		victims, ok := ps.victims(b.jobs["j-3"], here)
+		victims, ok := ps.victims(b.jobs.find("j-3"), here)
 		if !ok || len(victims) != 1 {
 			t.Fatalf("%d victims, enough: %v", len(victims), ok)
 		}
