--- a/internal/controller/peerheartbeat.go
+++ b/internal/controller/peerheartbeat.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"dalefront/internal/peer"
-	"dalefront/wire"
 )
 
 // heartbeatPeer exchanges what is known about the term with a peer.
@@ -13,11 +12,9 @@
 	for {
 		a, err := p.Heartbeat(ctx, c.newHeartbeat())
 		if err == nil {
-			c.mu.Lock()
-			c.peerSeenAt[label] = time.Now()
-			c.mu.Unlock()
+			c.peerTable.recordSeen(label, time.Now())
 			c.handlePeerHeartbeat(label, a)
-			c.recordOwnRestarts(a.RecentRestarts)
+			c.peerTable.recordOwnRestarts(a.RecentRestarts, time.Now())
 			// At second hand: a controller that was started within an outage has the permission
 			// from those that live on.
 			c.term.allowRenewal(a.RenewalToken)
@@ -35,7 +32,7 @@
 func (c *Controller) handlePeerHeartbeat(label string, h *peer.Heartbeat) int {
 	c.recordTermOf(h)
 	c.config.recordPeerConfig(label, h)
-	c.follower.leaderIsAlive(label, h.ProcessID)
+	c.leaderWatch.recordAlive(label, h.ProcessID)
 	return c.recordPeerProcess(label, h.ProcessID, time.Now())
 }
 
@@ -51,36 +48,19 @@
 	if h.Leading && h.From == h.Leader {
 		c.term.recordLeaderProcess(termProcess{h.Token, h.ProcessID})
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
 	c.acceptStandbyView(h)
 	if h.CannotFollow && c.peers[h.From] != nil {
-		c.peerUnfitAt[h.From] = time.Now()
+		c.peerTable.recordUnfit(h.From, time.Now())
 	}
 }
 
-// mayRenewLease says whether this node may renew the worker's lease by itself: under the
-// leader's grant, which is its token in a hello, while neither the leader nor the state
-// service is in reach. It carries no commands, and nothing is ever freed because time has
-// passed, so a grant that outlives its leader starts nothing twice, and nobody was told of a
-// cancellation whose tasks it keeps alive.
-func (c *Controller) mayRenewLease(r *wire.Heartbeat) (uint64, bool) {
-	if c.store.Reachable(3 * time.Second) {
-		return 0, false // then another leader can be found
-	}
-	return c.term.mayRenew(r.FencingToken)
-}
-
 func (c *Controller) newHeartbeat() *peer.Heartbeat {
 	term := c.term.view()
 	h := &peer.Heartbeat{From: c.settings.Label, Leader: term.leader, Token: term.token, ProcessID: c.processID, Leading: term.isLeading() && term.leading == term.token}
 	h.CannotFollow = c.follower.unfit()
 	h.SupportsConfig, h.Generation = true, c.config.current().number
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.standbyView.Token > 0 {
-		v := c.standbyView
-		h.StandbyView = &v
+	if view := c.peerTable.standbyView(); view.Token > 0 {
+		h.StandbyView = &view
 	}
 	h.RenewalToken = c.term.renewalToken()
 	return h
@@ -95,7 +75,7 @@
 		a.Probe, a.Reached = h.Probe, c.reachesProcess(ctx, h.Probe, h.ProbeProcessID)
 	}
 	if h.WantContacts {
-		a.Contacts = c.workerContacts()
+		a.Contacts = c.workerContacts.recent()
 	}
 	return a, nil
 }
--- a/internal/sched/heartbeat.go
+++ b/internal/sched/heartbeat.go
@@ -1,139 +1,16 @@
 package sched
 
 import (
-	"slices"
-	"sort"
-
 	"dalefront/internal/config"
 	"dalefront/wire"
 )
 
-func (c *Core) newMachine(host, addr, typ, zone string, spot bool) *machine {
-	t := c.machineTypes[typ]
-	if t == nil {
-		t = &wire.MachineType{Name: typ, Zones: []string{zone}} // not in the catalog: no room
-		c.machineTypes[typ] = t
-	}
-	m := &machine{slowdown: 1, host: host, addr: addr, machineType: t, zone: zone, spot: spot, rentedAt: c.now, idleSince: c.now, gpusIdleSince: c.now,
-		tasks: map[taskKey][]*placement{}, cachedImages: map[string]Micros{}, fetchingImages: map[string]Micros{}, failedJobs: map[*job]bool{}}
-	m.lastPeerContact = c.peerContacts[host]
-	delete(c.peerContacts, host)
-	c.machines[host] = m
-	i := sort.Search(len(c.machinesByName), func(k int) bool { return c.machinesByName[k].host >= host })
-	c.machinesByName = slices.Insert(c.machinesByName, i, m)
-	return m
-}
-
-func (c *Core) dropMachine(m *machine) {
-	delete(c.machines, m.host)
-	if i := slices.Index(c.machinesByName, m); i >= 0 {
-		c.machinesByName = slices.Delete(c.machinesByName, i, i+1)
-	}
-	if i := slices.Index(c.schedulable, m); i >= 0 {
-		c.schedulable = slices.Delete(c.schedulable, i, i+1)
-	}
-}
-
-// addPlacement books a task on a machine.
-func (c *Core) addPlacement(j *job, t int32, m *machine, attempt uint64) *placement {
-	p := &placement{taskKey: taskKey{j, t}, attempt: attempt, machine: m, incarnation: m.incarnation, placedAt: c.now}
-	m.tasks[p.taskKey] = append(m.tasks[p.taskKey], p)
-	m.placements = append(m.placements, p)
-	m.placementCount++
-	m.usedCPUs += j.spec.CPUs
-	m.usedGPUs += j.spec.GPUs
-	m.usedMemoryGB += j.spec.MemoryGB
-	u := &m.usedByRank[j.rank]
-	u.cpus, u.gpus, u.mem = u.cpus+j.spec.CPUs, u.gpus+j.spec.GPUs, u.mem+j.spec.MemoryGB
-	j.team.usedCPUs += j.spec.CPUs
-	j.team.usedGPUs += j.spec.GPUs
-	j.placements[p] = struct{}{}
-	j.placementsByTask[t]++
-	c.placementsByRank[j.rank]++
-	return p
-}
-
-// release removes a placement after proof that the task is not on the machine and
-// can't start there any more.
-func (c *Core) release(p *placement) {
-	j, m := p.job, p.machine
-	if _, ok := j.placements[p]; !ok {
-		return
-	}
-	delete(j.placements, p)
-	c.passNeeded = true
-	c.placementsByRank[j.rank]--
-	c.removeFromEntry(p)
-	if i := slices.Index(m.placements, p); i >= 0 {
-		m.placements = append(m.placements[:i:i], m.placements[i+1:]...) // a new list: see each
-	}
-	ps := m.tasks[p.taskKey]
-	for i := range ps {
-		if ps[i] == p {
-			ps = append(ps[:i:i], ps[i+1:]...)
-			break
-		}
-	}
-	if len(ps) == 0 {
-		delete(m.tasks, p.taskKey)
-	} else {
-		m.tasks[p.taskKey] = ps
-	}
-	m.placementCount--
-	m.usedCPUs -= j.spec.CPUs
-	m.usedGPUs -= j.spec.GPUs
-	m.usedMemoryGB -= j.spec.MemoryGB
-	u := &m.usedByRank[j.rank]
-	u.cpus, u.gpus, u.mem = u.cpus-j.spec.CPUs, u.gpus-j.spec.GPUs, u.mem-j.spec.MemoryGB
-	j.team.usedCPUs -= j.spec.CPUs
-	j.team.usedGPUs -= j.spec.GPUs
-	if p.stopping {
-		j.team.releasingCPUs -= j.spec.CPUs
-		j.team.releasingGPUs -= j.spec.GPUs
-	}
-	if m.placementCount == 0 {
-		m.usedCPUs, m.usedGPUs, m.usedMemoryGB, m.usedByRank = 0, 0, 0, [4]resourceUse{}
-	}
-	// A place that was only tried, or whose launch was refused, leaves a machine as idle as it was:
-	// a gang that can't be complete tries in each pass.
-	if m.placementCount == 0 && p.durable {
-		m.idleSince = c.now
-	}
-	if c.keepsGPUMachine(j) && p.durable {
-		m.gpusIdleSince = c.now
-	}
-	if j.placementsByTask[p.taskIndex]--; j.placementsByTask[p.taskIndex] <= 0 {
-		delete(j.placementsByTask, p.taskIndex)
-		if !j.isOver() && !j.isCompleted(p.taskIndex) {
-			if !j.isGang() {
-				j.retryQueue = append(j.retryQueue, p.taskIndex)
-			}
-			if j.waitingSince == 0 {
-				j.waitingSince = c.now
-			}
-		}
-	}
-	if j.isGang() && p.attempt == j.gangAttempt && !j.isOver() {
-		if j.gangStarted || p.state == wire.TaskExited {
-			j.gangBroken = true // a running gang that lost a task falls back to its checkpoint
-		}
-	}
-	if len(j.placements) == 0 && p.runningSince > 0 {
-		j.lastVacatedAt = c.now
-	}
-	if j.isGang() && len(j.placements) == 0 {
-		j.gangStarted, j.gangBroken = false, false
-		j.gangAttempt = 0
-	}
-	c.forgetIfGone(j)
-}
-
 // ResumeAfterStall says that the controller stood still for so long. Its own absence is not
 // the workers' silence: what was measured against the clock goes on from where it
 // was, and what took the gap to be noticed teaches nothing about run times.
 func (c *Core) ResumeAfterStall(gap, now Micros) {
 	c.now, c.resumedAt, c.passNeeded = now, now, true
-	for _, m := range c.machinesByName {
+	for _, m := range c.machines.all() {
 		if m.lastHeartbeat > 0 {
 			m.lastHeartbeat = min(now, m.lastHeartbeat+gap)
 		}
@@ -157,11 +34,11 @@
 // dropped, and the machine holds exactly the tasks listed.
 func (c *Core) Heartbeat(r *wire.Heartbeat, now Micros) wire.HeartbeatResponse {
 	c.now = now
-	a := wire.HeartbeatResponse{FencingToken: c.token, Commands: []wire.Command{}}
-	if _, gone := c.returnedMachines[r.Host]; gone {
+	a := wire.HeartbeatResponse{FencingToken: c.Token(), Commands: []wire.Command{}}
+	if c.machines.isReturned(r.Host) {
 		return a // sent before the machine was returned
 	}
-	m := c.machines[r.Host]
+	m := c.machines.find(r.Host)
 	if m == nil {
 		// An unexpected machine, or one that the list does not show yet: adopt it.
 		m = c.newMachine(r.Host, r.Addr, r.Type, r.Zone, r.Spot)
@@ -172,7 +49,7 @@
 	if !m.registered {
 		c.recordBootOutcome(m, true)
 	}
-	if r.FencingToken != c.token {
+	if r.FencingToken != c.Token() {
 		// The worker has not seen this term's token. Its list may predate a
 		// launch by an older leader, so it proves nothing; but the answer
 		// hands out the token, and the worker reports again at once.
@@ -217,8 +94,8 @@
 // as launches are repeated only until their task is seen; and that nothing of an earlier session
 // is left. It renews no lease, and the machine is as silent as it was.
 func (c *Core) CommandAnswered(r *wire.Heartbeat, now Micros) {
-	m := c.machines[r.Host]
-	if m == nil || r.FencingToken != c.token || r.Incarnation < m.incarnation || (r.Incarnation == m.incarnation && r.Sequence <= m.sequence) {
+	m := c.machines.find(r.Host)
+	if m == nil || r.FencingToken != c.Token() || r.Incarnation < m.incarnation || (r.Incarnation == m.incarnation && r.Sequence <= m.sequence) {
 		return
 	}
 	c.now = now
@@ -283,7 +160,7 @@
 			// Not in the books: it occupies its place all the same until it is gone.
 			p = c.addPlacement(j, num, m, t.Attempt)
 			p.durable = true
-			c.unrecorded = append(c.unrecorded, p)
+			c.ledger.addUnrecorded(p)
 			if c.mustRemove(p) {
 				c.stopPlacement(p, false)
 			}
@@ -329,7 +206,7 @@
 // findTask finds a task by its name, if its job is known.
 func (c *Core) findTask(task string) (j *job, num int32, ok bool) {
 	id, num, ok := wire.ParseTask(task)
-	j = c.jobs[id]
+	j = c.jobs.find(id)
 	return j, num, ok && j != nil && int(num) < j.spec.Tasks
 }
 
@@ -408,7 +285,7 @@
 	m.eachPlacement(func(p *placement) {
 		if p.durable && !p.observed && !p.stopping && !p.recovered && len(a.Commands) < maxAnswerOrders {
 			p.dispatched = true
-			a.Commands = append(a.Commands, wire.Command{Op: wire.Launch, Task: wire.TaskName(p.job.id, p.taskIndex), Attempt: p.attempt})
+			a.Commands = append(a.Commands, p.launchCommand())
 		}
 	})
 }
@@ -416,11 +293,11 @@
 // WantsLaunches says whether a machine that has just reported has room for something
 // that waits.
 func (c *Core) WantsLaunches(host string) bool {
-	m := c.machines[host]
+	m := c.machines.find(host)
 	if m == nil || !c.isSchedulable(m) || m.lastHeartbeat != c.now {
 		return false
 	}
-	for _, j := range c.jobs {
+	for j := range c.jobs.all() {
 		if j.pendingCount() > 0 && c.now >= j.backoffUntil && allowed(j, m) && hasRoom(j, m, 1) {
 			return true
 		}
@@ -428,20 +305,6 @@
 	return c.HasLaunchInFlight(host)
 }
 
-// HasLaunchInFlight says whether launches for the machine are being stored.
-func (c *Core) HasLaunchInFlight(host string) bool {
-	cm := c.unfinishedCommit()
-	if cm == nil {
-		return false
-	}
-	for _, p := range cm.placements {
-		if p.machine.host == host {
-			return true
-		}
-	}
-	return false
-}
-
 // TakePassNeeded says whether something happened since the last call that a pass may
 // make use of.
 func (c *Core) TakePassNeeded() bool {
@@ -453,7 +316,7 @@
 // LaunchCommands returns the launches that the machine's worker should get now.
 func (c *Core) LaunchCommands(host string) []wire.Command {
 	var a wire.HeartbeatResponse
-	if m := c.machines[host]; m != nil && m.confirmed && !m.scalingIn {
+	if m := c.machines.find(host); m != nil && m.confirmed && !m.scalingIn {
 		c.appendLaunches(m, &a)
 	}
 	return a.Commands
