--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -74,9 +74,7 @@
 		return one(c.follower.ready())
 	}))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "wrong_suspicions", Help: "Leaders whose term this node replaced though their process had not ended."}, func() float64 {
-		c.follower.mu.Lock()
-		defer c.follower.mu.Unlock()
-		return float64(c.follower.suspicion.WrongOnes())
+		return float64(c.leaderWatch.wrongSuspicions())
 	}))
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "cancellations_waiting",
 		Help: "Users that wait here until the tasks of a job that they cancelled are gone."}, func() float64 { return float64(len(c.cancelSlots)) }))
@@ -176,14 +174,3 @@
 	}
 	return "class"
 }
-
-// logServiceShares logs what each class and team has had, and warns of those that are behind.
-func (l *leadership) logServiceShares() {
-	for _, s := range l.core.ServiceShares(mostServed) {
-		l.controller.log.Info("served", "of", kindOf(&s), "name", s.Name, "submitted", s.Submitted, "begun", s.Started, "done", s.Done, "late", s.Late,
-			"cancelled", s.Cancelled, "waiting", s.Waiting, "share", s.Share)
-		if s.Underserved {
-			l.controller.log.Warn(kindOf(&s)+" starves", "name", s.Name, "share", s.Share, "for_us", s.UnderservedFor, "why", s.WaitReason)
-		}
-	}
-}
--- a/internal/sched/explain.go
+++ b/internal/sched/explain.go
@@ -20,7 +20,7 @@
 // what the last pass saw.
 func (c *Core) WaitingJobs(most int) []WaitingJob {
 	var js []*job
-	for _, j := range c.jobs {
+	for j := range c.jobs.all() {
 		if j.pendingCount() > 0 {
 			js = append(js, j)
 		}
@@ -82,7 +82,7 @@
 
 // Waiting reports how many jobs wait, and tasks of theirs, for logs and metrics.
 func (c *Core) Waiting() (jobs, tasks int) {
-	for _, j := range c.jobs {
+	for j := range c.jobs.all() {
 		if n := j.pendingCount(); n > 0 {
 			jobs++
 			tasks += n
@@ -96,7 +96,7 @@
 	if len(c.cordons) == 0 {
 		return nil
 	}
-	for _, m := range c.machinesByName {
+	for _, m := range c.machines.all() {
 		if m.cordon != nil && allowed(j, m) && slotsFor(j, m.machineType, m.used()) > 0 {
 			return m.cordon
 		}
@@ -117,7 +117,7 @@
 // Usages sums up what runs, by class, and the machines, by type.
 func (c *Core) Usages() (classes, types []Usage) {
 	by, kinds := map[string]*Usage{}, map[string]*Usage{}
-	for _, j := range c.jobs {
+	for j := range c.jobs.all() {
 		u := by[j.spec.Class]
 		if u == nil {
 			u = &Usage{Name: j.spec.Class}
--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -30,7 +30,7 @@
 		return true
 	}
 	up, confirmed := 0, 0
-	for _, m := range c.machinesByName {
+	for _, m := range c.machines.all() {
 		if m.registered && !m.leaseExpired && !m.failed && !m.scalingIn {
 			up++
 			if m.confirmed {
@@ -51,22 +51,12 @@
 	if j.waitingSince == 0 || c.now-j.waitingSince < c.preemptAfter || c.now < j.preemptionBackoffUntil {
 		return false
 	}
-	for rank := range j.rank {
-		if c.placementsByRank[rank] > 0 {
-			return true
-		}
-	}
-	return j.reclaimsGuarantee() && c.othersExceedGuarantee(j.team)
-}
-
-// othersExceedGuarantee says whether another team runs anything beyond its guarantee.
-func (c *Core) othersExceedGuarantee(team *team) bool {
-	for _, t := range c.teams {
-		if t != team && t.exceedsGuarantee() && (t.usedCPUs > epsilon || t.usedGPUs > epsilon) {
-			return true
-		}
+	if c.jobs.placedBelow(j.rank) > 0 {
+		return true
 	}
-	return false
+	return j.reclaimsGuarantee() && c.teams.any(func(t *team) bool {
+		return t != j.team && t.exceedsGuarantee() && (t.usedCPUs > epsilon || t.usedGPUs > epsilon)
+	})
 }
 
 // preemptFor preempts for the job's next task, if it has waited long enough and may preempt
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -48,7 +48,7 @@
 // waitingJobs lists the jobs of which tasks wait to be placed, in no order, and notes of the
 // others that none does.
 func (c *Core) waitingJobs() (waiting []*job) {
-	for _, j := range c.jobs {
+	for j := range c.jobs.all() {
 		if j.pendingCount() > 0 {
 			waiting = append(waiting, j)
 			continue
@@ -68,7 +68,7 @@
 	if !slices.ContainsFunc(waiting, func(j *job) bool { return c.capacityStale(j.class) }) {
 		return
 	}
-	byID(waiting)
+	sortByID(waiting)
 	first := int(c.now/second) % len(waiting)
 	copy(waiting, slices.Concat(waiting[first:], waiting[:first]))
 }
@@ -141,7 +141,7 @@
 // teams' earlier unfinished jobs: these need not wait on other teams.
 func (c *Core) markWithinGuarantee() {
 	byTeam := map[*team][]*job{}
-	for _, j := range c.jobs {
+	for j := range c.jobs.all() {
 		j.withinGuarantee = false
 		if !j.isOver() && j.team.hasGuarantee() {
 			byTeam[j.team] = append(byTeam[j.team], j)
