--- a/internal/controller/follower_test.go
+++ b/internal/controller/follower_test.go
@@ -39,8 +39,8 @@
 		o := &set.Operator
 		o.EvictAfterS, o.CheckpointMBS, o.Standbys, o.SuspectS, o.TakeoverCopyS = &f, &f, &one, &f, &zero
 	})
-	n.catalog = &wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 8, MemoryGB: 64, Zones: []string{"x"}}}}
-	n.lastTurn.Store(n.now())
+	n.catalog.set(wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 8, MemoryGB: 64, Zones: []string{"x"}}}})
+	n.owner.lastRun.Store(n.now())
 	w.Controller, w.ctx = n, ctx
 	w.take()
 	return w
@@ -76,22 +76,22 @@
 			id := fmt.Sprintf("j-%06d", w.seq)
 			w.jobs = append(w.jobs, id)
 			j := wire.Job{ID: id, Class: "c", Team: "a", Shape: []string{wire.Array, wire.Gang}[r.IntN(2)], Priority: wire.Normal, Tasks: 1 + r.IntN(9), CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 60}
-			w.write(wire.Mutation{Put: jobKey(id), Value: jobRecord{Job: j, Arrival: w.now()}})
+			w.write(wire.Mutation{Put: jobKey(id), Value: jobRecord{Job: j, SubmittedAt: w.now()}})
 		case k < 6:
 			e := sched.LedgerEntry{Hosts: []sched.LedgerHost{{Host: fmt.Sprintf("n-%02d", r.IntN(9)), Type: "s", Zone: "x", Incarnation: 1}},
 				Runs: []sched.LedgerRun{{Job: pick(), Attempt: uint64(w.seq), Tasks: []int32{int32(r.IntN(9))}}}}
 			w.write(wire.Mutation{Put: ledgerPrefix + fmt.Sprintf("%016x.%08x", w.term, w.seq), Value: e})
 		case k < 7:
-			w.write(wire.Mutation{Put: chunkKey(pick(), 0), Value: "AQAAAAAAAAA="})
+			w.write(wire.Mutation{Put: progressKey(pick(), 0), Value: "AQAAAAAAAAA="})
 		case k < 8:
 			id := pick()
-			_, _ = w.store.Txn(w.ctx, wire.Txn{Conditions: []wire.Condition{{Key: endKey(id)}}, Mutations: []wire.Mutation{{Put: endKey(id), Value: endRecord{Status: wire.JobDone, At: w.now(), Done: 1}}}})
+			_, _ = w.store.Txn(w.ctx, wire.Txn{Conditions: []wire.Condition{{Key: endKey(id)}}, Mutations: []wire.Mutation{{Put: endKey(id), Value: endRecord{Status: wire.JobDone, EndedAt: w.now(), TasksDone: 1}}}})
 		case k < 9:
 			if es, _, _ := w.store.List(w.ctx, ledgerPrefix); len(es) > 0 {
 				w.write(wire.Mutation{Delete: es[r.IntN(len(es))].Key})
 			}
 		default:
-			w.write(wire.Mutation{Put: learnedKey, Value: sched.Statistics{At: w.now(), Write: 0.1 + r.Float64()}}, wire.Mutation{Put: hirePrefix + fmt.Sprint(w.seq), Value: "x"})
+			w.write(wire.Mutation{Put: learnedKey, Value: sched.Statistics{At: w.now(), Write: 0.1 + r.Float64()}}, wire.Mutation{Put: scaleOutPrefix + fmt.Sprint(w.seq), Value: "x"})
 		}
 		if r.IntN(12) == 0 { // a job that is over and gone
 			id := pick()
@@ -104,7 +104,7 @@
 
 // reignNow is a term of this node that has not loaded anything yet.
 func (w *tended) leadsNow() *leadership {
-	return &leadership{controller: w.Controller, token: w.term, ctx: w.ctx, cancel: func() {}, lease: &lease{}, chunkCounts: map[string]int{}}
+	return newLeadership(w.ctx, w.Controller, w.term, &lease{})
 }
 
 // followed reads the state as a standby does, and lets things happen while it follows.
@@ -161,8 +161,8 @@
 			}
 		}
 		loads += len(a)
-		if fmt.Sprint(cold.staleKeys) != fmt.Sprint(warm.staleKeys) || fmt.Sprint(cold.chunkCounts) != fmt.Sprint(warm.chunkCounts) {
-			t.Fatalf("seed %d: to be tidied up: %v and %v", seed, cold.staleKeys, warm.staleKeys)
+		if fmt.Sprint(cold.staleKeys.keys) != fmt.Sprint(warm.staleKeys.keys) || fmt.Sprint(cold.progress.counts) != fmt.Sprint(warm.progress.counts) {
+			t.Fatalf("seed %d: to be tidied up: %v and %v", seed, cold.staleKeys.keys, warm.staleKeys.keys)
 		}
 	}
 	if loads < 300 {
@@ -187,7 +187,7 @@
 			c.Keep = func(string) bool { return true }
 		}},
 		{"hold lost", func(_ *tended, _ *standby.Copy, h *lease) { h.expired.Store(true) }},
-		{"standstill", func(w *tended, _ *standby.Copy, _ *lease) { w.lastTurn.Store(w.now() - 3*stallThreshold) }},
+		{"standstill", func(w *tended, _ *standby.Copy, _ *lease) { w.owner.lastRun.Store(w.now() - 3*stallThreshold) }},
 		{"higher token", func(w *tended, _ *standby.Copy, _ *lease) { w.observeTerm("b", w.term+1000) }},
 		{"no store", func(w *tended, _ *standby.Copy, _ *lease) { w.svc.SetDown(true) }},
 		{"compacted", func(w *tended, c *standby.Copy, _ *lease) { c.Lost("compacted") }},
@@ -197,7 +197,7 @@
 		copied := w.followed(5)
 		h := &lease{}
 		w.take()
-		w.lastTurn.Store(w.now())
+		w.owner.lastRun.Store(w.now())
 		if c.do != nil {
 			c.do(w, copied, h)
 		}
@@ -217,14 +217,14 @@
 			id := fmt.Sprintf("j-%06d", i)
 			j := wire.Job{ID: id, Class: "c", Team: "a", Shape: wire.Array, Priority: wire.Normal, Tasks: 20, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 60}
 			e := sched.LedgerEntry{Hosts: []sched.LedgerHost{{Host: fmt.Sprintf("n-%06d", i), Type: "s", Zone: "x", Incarnation: 1}}, Runs: []sched.LedgerRun{{Job: id, Attempt: 1, Tasks: []int32{1, 2, 3, 4}}}}
-			w.write(wire.Mutation{Put: jobKey(id), Value: jobRecord{Job: j, Arrival: w.now()}}, wire.Mutation{Put: ledgerPrefix + id, Value: e})
+			w.write(wire.Mutation{Put: jobKey(id), Value: jobRecord{Job: j, SubmittedAt: w.now()}}, wire.Mutation{Put: ledgerPrefix + id, Value: e})
 		}
 		run := func(name string, load func(r *leadership) *stored) {
 			b.Run(fmt.Sprint(name, "/", jobs), func(b *testing.B) {
 				var took, most config.Micros
 				n := 0
 				for b.Loop() {
-					w.lastTurn.Store(w.now())
+					w.owner.lastRun.Store(w.now())
 					w.take()
 					r := w.leadsNow()
 					began := time.Now()
--- a/internal/controller/largesite_test.go
+++ b/internal/controller/largesite_test.go
@@ -12,6 +12,7 @@
 
 	"dalefront/internal/api"
 	"dalefront/internal/cloud"
+	"dalefront/internal/config"
 	"dalefront/internal/sched"
 	"dalefront/wire"
 )
@@ -21,27 +22,26 @@
 func TestSendOnFollowsWorkers(t *testing.T) {
 	for _, test := range []struct{ workers, atOnce int }{{0, 80}, {350, 80}, {480, 80}, {1_333, 222}, {2_667, 444}} {
 		t.Run(fmt.Sprint(test.workers), func(t *testing.T) {
-			n := testNode(t, func(http.ResponseWriter, *http.Request) {})
-			n.settings.Label = "c"
-			n.peerSeenAt = map[string]time.Time{"a": time.Now()}
+			n := testNode(t, func(http.ResponseWriter, *http.Request) {}, func(set *config.Settings) { set.Label = "c" })
+			n.peerTable.recordSeen("a", time.Now())
 			old := time.Now().Add(-time.Minute) // gone: they don't count
 			for i := range 10_000 {
-				n.workerSeenAt[fmt.Sprintf("old-%d", i)] = old
+				n.workerContacts.seenAt[fmt.Sprintf("old-%d", i)] = old
 			}
 			for i := range test.workers {
-				n.workerSeenAt[fmt.Sprintf("n-%d", i)] = time.Now()
+				n.workerContacts.seenAt[fmt.Sprintf("n-%d", i)] = time.Now()
 			}
-			n.recordWorkerContact("n-0")
+			n.workerContacts.record("n-0")
 			// The limiter has room for a whole burst once that time has gone by.
 			at := time.Now().Add(sendOnBurst * time.Second)
 			sent := 0
-			for n.redirectLimiter.AllowN(at, 1) {
+			for n.workerContacts.limiter.AllowN(at, 1) {
 				sent++
 			}
 			if sent != test.atOnce {
 				t.Errorf("%d workers are sent on at once, want %d", sent, test.atOnce)
 			}
-			if !n.redirectLimiter.AllowN(at.Add(time.Second), test.atOnce/sendOnBurst) || n.redirectLimiter.AllowN(at.Add(time.Second), 1) {
+			if !n.workerContacts.limiter.AllowN(at.Add(time.Second), test.atOnce/sendOnBurst) || n.workerContacts.limiter.AllowN(at.Add(time.Second), 1) {
 				t.Errorf("a second later it is not %d", test.atOnce/sendOnBurst)
 			}
 		})
@@ -74,11 +74,11 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r := &leadership{controller: n, token: 5, ctx: ctx, cancel: cancel}
+	r := newLeadership(ctx, n, 5, &lease{})
 	cat := wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 4, Zones: []string{"x"}}}}
 	r.core = sched.New(n.settings, 5, n.now(), cat, func(string, ...any) {})
-	n.leadership = r
-	n.lastTurn.Store(n.now())
+	n.owner.leadership = r
+	n.owner.lastRun.Store(n.now())
 	var hosts []string
 	var list []wire.Machine
 	for i := range 3*cloud.MaxReturn + 20 {
@@ -86,7 +86,15 @@
 		list = append(list, wire.Machine{ID: hosts[i], Addr: "a", Type: "s", Zone: "x", State: wire.MachineRunning})
 	}
 	r.core.MachinesListed(list, n.now())
-	r.cloudRound(hosts, nil, false)
+	r.fleet.startRound(fleetRound{returns: hosts})
+	for deadline := time.After(10 * time.Second); r.fleet.task.running; {
+		select {
+		case f := <-n.owner.queue:
+			f()
+		case <-deadline:
+			t.Fatal("the round has not ended")
+		}
+	}
 	var sizes []int
 	for _, h := range asked {
 		sizes = append(sizes, len(h))
@@ -97,15 +105,9 @@
 	if !slices.Equal(slices.Concat(asked...), hosts) {
 		t.Error("not each machine was given back once")
 	}
-	for len(n.ownerQueue) > 0 {
-		(<-n.ownerQueue)()
-	}
 	if known, _ := r.core.FleetSize(); r.core.Stats.ScaledIn != len(hosts)-cloud.MaxReturn || known != cloud.MaxReturn {
 		t.Errorf("%d machines are gone and %d are left; only those of the request that was refused should be", r.core.Stats.ScaledIn, known)
 	}
-	if r.busyCloud {
-		t.Error("the round has not ended")
-	}
 }
 
 // Past the socket limit new connections fail, to the state service as well: with all connections
--- a/internal/sched/explain.go
+++ b/internal/sched/explain.go
@@ -20,7 +20,7 @@
 // what the last pass saw.
 func (c *Core) WaitingJobs(most int) []WaitingJob {
 	var js []*job
-	for _, j := range c.jobs {
+	for j := range c.jobs.all() {
 		if j.pendingCount() > 0 {
 			js = append(js, j)
 		}
@@ -33,16 +33,16 @@
 	})
 	var out []WaitingJob
 	for _, j := range js[:min(most, len(js))] {
-		out = append(out, c.explainWait(j))
+		out = append(out, c.lastPass.explainWait(j))
 	}
 	return out
 }
 
-func (c *Core) explainWait(j *job) WaitingJob {
-	w := WaitingJob{Job: j.id, Class: j.spec.Class, Team: j.spec.Team, Tasks: j.pendingCount(), Age: c.now - j.arrival}
+func (ps *pass) explainWait(j *job) WaitingJob {
+	w := WaitingJob{Job: j.id, Class: j.spec.Class, Team: j.spec.Team, Tasks: j.pendingCount(), Age: ps.core.now - j.arrival}
 	used := j.tasksByZone()
 	room := map[string]int{}
-	for _, m := range c.schedulable {
+	for _, m := range ps.schedulable {
 		if m.reservedFor == j {
 			w.Reserved++
 		}
@@ -50,7 +50,7 @@
 		if j.isGang() && j.spec.OneZone {
 			z = m.zone
 		}
-		room[z] += c.slotsOn(j, m, used)
+		room[z] += ps.slotsOn(j, m, used)
 	}
 	for _, n := range room {
 		w.Room = max(w.Room, n)
@@ -60,7 +60,7 @@
 		leaving = leaving || p.stopping
 	}
 	switch {
-	case c.now < j.backoffUntil:
+	case ps.core.now < j.backoffUntil:
 		w.Reason = "its tasks failed"
 		if j.isSuspect() {
 			w.Reason = "it fails on every machine"
@@ -71,7 +71,7 @@
 		w.Reason = "its team's limit"
 	case w.Room == 0 || j.isGang() && w.Room < w.Tasks:
 		w.Reason = "no room"
-		if x := c.cordonedOff(j); x != nil {
+		if x := ps.core.cordonedOff(j); x != nil {
 			w.Reason = "no room outside the cordon " + x.Name
 		}
 	default:
@@ -80,13 +80,24 @@
 	return w
 }
 
+// Waiting reports how many jobs wait, and tasks of theirs, for logs and metrics.
+func (c *Core) Waiting() (jobs, tasks int) {
+	for j := range c.jobs.all() {
+		if n := j.pendingCount(); n > 0 {
+			jobs++
+			tasks += n
+		}
+	}
+	return jobs, tasks
+}
+
 // cordonedOff is a cordon that keeps the job off a machine that it could use, nil for none.
 func (c *Core) cordonedOff(j *job) *dynconfig.Cordon {
 	if len(c.cordons) == 0 {
 		return nil
 	}
-	for _, m := range c.machinesByName {
-		if m.cordon != nil && allowed(j, m) && slotsFor(j, m.machineType, m.usedCPUs, m.usedGPUs, m.usedMemoryGB) > 0 {
+	for _, m := range c.machines.all() {
+		if m.cordon != nil && allowed(j, m) && slotsFor(j, m.machineType, m.used()) > 0 {
 			return m.cordon
 		}
 	}
@@ -106,7 +117,7 @@
 // Usages sums up what runs, by class, and the machines, by type.
 func (c *Core) Usages() (classes, types []Usage) {
 	by, kinds := map[string]*Usage{}, map[string]*Usage{}
-	for _, j := range c.jobs {
+	for j := range c.jobs.all() {
 		u := by[j.spec.Class]
 		if u == nil {
 			u = &Usage{Name: j.spec.Class}
@@ -114,7 +125,7 @@
 		}
 		u.Tasks += len(j.placements)
 	}
-	for _, m := range c.schedulable {
+	for _, m := range c.lastPass.schedulable {
 		u := kinds[m.machineType.Name]
 		if u == nil {
 			u = &Usage{Name: m.machineType.Name}
