--- a/internal/recurring/recur_test.go
+++ b/internal/recurring/recur_test.go
@@ -107,7 +107,7 @@
 // troubles the leader is taken over between decision and storing, transactions are
 // lost, applied unseen or late, the state service is away for hours, clocks differ, and
 // an earlier leader goes on with what it knew.
-func year(t *testing.T, c *calendar.Calendar, seed uint64, troubles bool, days int) *store {
+func year(c *calendar.Calendar, seed uint64, troubles bool, days int) *store {
 	r := rand.New(rand.NewPCG(seed, 3))
 	s := newStore()
 	now := time.Date(2026, 1, 5, 0, 0, 0, 0, time.UTC).UnixMicro()
@@ -177,7 +177,7 @@
 	}
 	missed, ran := 0, 0
 	for seed := uint64(1); seed <= 2; seed++ {
-		calm, rough := year(t, c, seed, false, 365), year(t, c, seed, true, 365)
+		calm, rough := year(c, seed, false, 365), year(c, seed, true, 365)
 		for _, s := range c.Schedules {
 			want := map[Micros]bool{}
 			from, upto := min(calm.log[s.Name][0].At, rough.log[s.Name][0].At), rough.state[s.Name].Upto
