--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -171,7 +171,7 @@
 				m.dead = false
 				break
 			}
-			if err != nil && !errors.Is(err, kvstore.ErrUnknown) && !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrConflict) {
+			if err != nil && !errors.Is(err, kvstore.ErrOutcomeUnknown) && !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrConflict) {
 				t.Fatal(err)
 			}
 			if idle {
--- a/internal/archive/compact.go
+++ b/internal/archive/compact.go
@@ -151,7 +151,7 @@
 		jobs[i] = c.src.JobPrefix + e.id()
 	}
 	c.Counts.Requests += (len(jobs) + 4*c.lim.Ops - 1) / (4 * c.lim.Ops)
-	there, err := kvstore.Existing(ctx, c.r.store, jobs, c.lim.Ops)
+	there, err := kvstore.ExistingKeys(ctx, c.r.store, jobs, c.lim.Ops)
 	if err != nil {
 		return err
 	}
--- a/internal/archive/store_test.go
+++ b/internal/archive/store_test.go
@@ -124,10 +124,10 @@
 	case refused:
 		return wire.TxnResponse{}, kvstore.ErrRefused
 	case lostRequest:
-		return wire.TxnResponse{}, kvstore.ErrUnknown
+		return wire.TxnResponse{}, kvstore.ErrOutcomeUnknown
 	case late:
 		m.late = append(m.late, t)
-		return wire.TxnResponse{}, kvstore.ErrUnknown
+		return wire.TxnResponse{}, kvstore.ErrOutcomeUnknown
 	case killedBefore:
 		m.dead = true
 		return wire.TxnResponse{}, errKilled
@@ -135,7 +135,7 @@
 	a, err := m.apply(t)
 	switch o {
 	case lostAnswer:
-		return wire.TxnResponse{}, kvstore.ErrUnknown
+		return wire.TxnResponse{}, kvstore.ErrOutcomeUnknown
 	case killedAfter:
 		m.dead = true
 		return wire.TxnResponse{}, errKilled
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -83,7 +83,7 @@
 		switch {
 		case err == nil:
 			return commitStored
-		case errors.Is(err, kvstore.ErrUnknown):
+		case errors.Is(err, kvstore.ErrOutcomeUnknown):
 			unknown = true
 		case errors.Is(err, kvstore.ErrConflict):
 			return c.resolveConflict(answer.FailedKeys)
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -76,7 +76,7 @@
 			}
 			continue
 		}
-		events, err := c.n.store.Changes(ctx, dynconfig.Prefix, revision, configHold)
+		events, err := c.n.store.Watch(ctx, dynconfig.Prefix, revision, configHold)
 		switch {
 		case errors.Is(err, kvstore.ErrCompacted):
 			c.markUnknown()
--- a/internal/controller/configapply.go
+++ b/internal/controller/configapply.go
@@ -217,7 +217,7 @@
 		}
 	}
 	_, err := a.n.store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCond(version), term}, Mutations: plan.Switch})
-	if errors.Is(err, kvstore.ErrUnknown) {
+	if errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		a.unknown = &version
 	}
 	return err
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -42,7 +42,7 @@
 				return
 			case <-time.After(ttl / 4):
 			}
-			if err := c.store.RenewLease(ctx, id); errors.Is(err, kvstore.ErrNoLease) {
+			if err := c.store.RenewLease(ctx, id); errors.Is(err, kvstore.ErrLeaseNotFound) {
 				h.expired.Store(true)
 			}
 		}
@@ -122,7 +122,7 @@
 			Mutations:  []wire.Mutation{{Put: termKey, Value: termRecord{Node: c.settings.Label, Mark: mark, ProcessID: c.processID, SupportsConfig: true}, Lease: h.id}},
 		})
 		token := a.Revision
-		if errors.Is(err, kvstore.ErrUnknown) {
+		if errors.Is(err, kvstore.ErrOutcomeUnknown) {
 			e, found, rerr := c.store.Get(ctx, termKey)
 			var t termRecord
 			if rerr == nil && found && wire.Unmarshal(e.Value, &t) == nil && t.Mark == mark {
@@ -154,7 +154,7 @@
 	go func() {
 		defer close(changed)
 		for from := version; ctx.Err() == nil && time.Now().Before(deadline); {
-			ev, err := c.store.Changes(ctx, termKey, from, 4*time.Second)
+			ev, err := c.store.Watch(ctx, termKey, from, 4*time.Second)
 			if err != nil {
 				select {
 				case <-ctx.Done():
--- a/internal/controller/endwriter.go
+++ b/internal/controller/endwriter.go
@@ -69,7 +69,7 @@
 	}
 	failed := false
 	for i := range results {
-		if errors.Is(err, kvstore.ErrConflict) || errors.Is(err, kvstore.ErrUnknown) {
+		if errors.Is(err, kvstore.ErrConflict) || errors.Is(err, kvstore.ErrOutcomeUnknown) {
 			results[i] = w.storeOne(ctx, batch[i])
 		}
 		failed = failed || results[i].err != nil
--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -127,7 +127,7 @@
 // watch waits for the next changes after a revision, applies them, and audits the copy from time to
 // time.
 func (f *follower) watch(ctx context.Context, stateCopy *standby.Copy, revision uint64) {
-	events, err := f.controller.store.Changes(ctx, "", revision, watchTimeout)
+	events, err := f.controller.store.Watch(ctx, "", revision, watchTimeout)
 	f.applyEvents(stateCopy, events, err)
 	if err != nil {
 		sleepContext(ctx, watchRetryPause)
@@ -180,7 +180,7 @@
 		if doubt != "" || current >= revision {
 			return doubt == ""
 		}
-		events, err := f.controller.store.Changes(ctx, "", current, 0)
+		events, err := f.controller.store.Watch(ctx, "", current, 0)
 		f.applyEvents(stateCopy, events, err)
 		if err != nil && !errors.Is(err, kvstore.ErrCompacted) {
 			sleepContext(ctx, catchUpPause)
--- a/internal/controller/follower_test.go
+++ b/internal/controller/follower_test.go
@@ -117,7 +117,7 @@
 	w.follower.copy = c
 	for range rounds {
 		w.live(w.rng.IntN(6))
-		ev, err := w.store.Changes(w.ctx, "", c.Revision(), 0)
+		ev, err := w.store.Watch(w.ctx, "", c.Revision(), 0)
 		w.follower.applyEvents(c, ev, err)
 		if w.rng.IntN(4) == 0 {
 			w.follower.audit(w.ctx, c)
@@ -182,7 +182,7 @@
 		{"entry lost", func(w *tended, c *standby.Copy, _ *lease) {
 			c.Keep = func(k string) bool { return !strings.HasPrefix(k, ledgerPrefix) && !strings.HasPrefix(k, jobPrefix) }
 			w.live(20) // what is created now is missed
-			ev, err := w.store.Changes(w.ctx, "", c.Revision(), 0)
+			ev, err := w.store.Watch(w.ctx, "", c.Revision(), 0)
 			w.follower.applyEvents(c, ev, err)
 			c.Keep = func(string) bool { return true }
 		}},
--- a/internal/controller/joblist.go
+++ b/internal/controller/joblist.go
@@ -68,7 +68,7 @@
 	for i, id := range ids {
 		keys[i] = endKey(id)
 	}
-	existing, err := kvstore.Existing(ctx, c.store, keys, c.settings.Deployment.State.TxnOps)
+	existing, err := kvstore.ExistingKeys(ctx, c.store, keys, c.settings.Deployment.State.TxnOps)
 	ended := make(map[string]bool, len(existing))
 	for key := range existing {
 		ended[strings.TrimPrefix(key, endPrefix)] = true
--- a/internal/controller/queuewatch.go
+++ b/internal/controller/queuewatch.go
@@ -26,7 +26,7 @@
 	// would cost one.
 	pace := time.Duration(queueWatchPart / max(c.settings.Deployment.State.RPS, 1) * float64(time.Second))
 	for l.ctx.Err() == nil {
-		events, err := c.store.Changes(l.ctx, queuePrefix, from, queueWatchHold)
+		events, err := c.store.Watch(l.ctx, queuePrefix, from, queueWatchHold)
 		if errors.Is(err, kvstore.ErrCompacted) {
 			if revision, ok := l.resyncQueue(); ok {
 				from = revision
--- a/internal/controller/schedules.go
+++ b/internal/controller/schedules.go
@@ -109,7 +109,7 @@
 				Conditions: []wire.Condition{{Key: scheduleKey(name), Version: version}},
 				Mutations:  []wire.Mutation{{Put: scheduleKey(name), Value: st}},
 			})
-			if errors.Is(err, kvstore.ErrConflict) || errors.Is(err, kvstore.ErrUnknown) {
+			if errors.Is(err, kvstore.ErrConflict) || errors.Is(err, kvstore.ErrOutcomeUnknown) {
 				continue // read it back
 			}
 			if err != nil {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -104,7 +104,7 @@
 			c.statuses.addFinal(end.status(id))
 		}
 		return end, nil
-	case errors.Is(err, kvstore.ErrConflict), errors.Is(err, kvstore.ErrUnknown):
+	case errors.Is(err, kvstore.ErrConflict), errors.Is(err, kvstore.ErrOutcomeUnknown):
 		if existing, readErr := c.readEnd(ctx, id); readErr == nil {
 			return existing, nil
 		}
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -71,7 +71,7 @@
 	case err == nil:
 		c.statuses.addAccepted(job.ID)
 		return queuedStatus(job.ID), true, nil
-	case errors.Is(err, kvstore.ErrConflict), errors.Is(err, kvstore.ErrUnknown):
+	case errors.Is(err, kvstore.ErrConflict), errors.Is(err, kvstore.ErrOutcomeUnknown):
 		// Accepted before, or perhaps just now: read it back.
 		status, err := c.Status(ctx, job.ID)
 		if errors.Is(err, api.ErrNotFound) {
--- a/internal/kvstore/store.go
+++ b/internal/kvstore/store.go
@@ -7,35 +7,42 @@
 	"dalefront/wire"
 )
 
-// Store is what most of the program needs of the state service; *Client has it, and so
-// have the stand-ins of tests.
+// Store is the part of a Client that most packages use; fakes in tests implement it too.
 type Store interface {
-	Get(ctx context.Context, key string) (wire.KeyValue, bool, error)
+	// Get reads a key; found is false if it does not exist.
+	Get(ctx context.Context, key string) (item wire.KeyValue, found bool, err error)
+	// Page reads up to most keys with a prefix that come after a key.
 	Page(ctx context.Context, prefix, after string, most int) (wire.KeyValuePage, error)
+	// Txn runs a transaction. On ErrConflict the response names the keys whose conditions failed.
 	Txn(ctx context.Context, txn wire.Txn) (wire.TxnResponse, error)
 }
 
 var _ Store = (*Client)(nil)
 
-// Existing tells which of some keys exist, by transactions that only compare: each looks
-// at four times as many as a transaction has changes, in one moment, and brings no
-// values. Errors are those of Multi, ErrConflict excepted.
-func Existing(ctx context.Context, s Store, keys []string, ops int) (map[string]bool, error) {
-	there := map[string]bool{}
+// ConditionsPerMutation is how many conditions a transaction may have for each mutation
+// that the service's limit allows it.
+const ConditionsPerMutation = 4
+
+// ExistingKeys returns which of the keys exist. It uses transactions that consist of
+// conditions only: each of them checks many keys at one revision and transfers no values.
+// maxMutations is the service's limit of mutations in a transaction. Errors are those of
+// Txn, except ErrConflict.
+func ExistingKeys(ctx context.Context, store Store, keys []string, maxMutations int) (map[string]bool, error) {
+	existing := map[string]bool{}
 	for len(keys) > 0 {
-		part := keys[:min(4*ops, len(keys))]
-		keys = keys[len(part):]
+		batch := keys[:min(ConditionsPerMutation*maxMutations, len(keys))]
+		keys = keys[len(batch):]
 		var txn wire.Txn
-		for _, k := range part {
-			txn.Conditions = append(txn.Conditions, wire.Condition{Key: k})
+		for _, key := range batch {
+			txn.Conditions = append(txn.Conditions, wire.Condition{Key: key})
 		}
-		a, err := s.Txn(ctx, txn)
+		response, err := store.Txn(ctx, txn)
 		if err != nil && !errors.Is(err, ErrConflict) {
 			return nil, err
 		}
-		for _, k := range a.FailedKeys {
-			there[k] = true
+		for _, key := range response.FailedKeys {
+			existing[key] = true
 		}
 	}
-	return there, nil
+	return existing, nil
 }
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -121,7 +121,7 @@
 func (r *restorer) multi(ctx context.Context, t wire.Txn) (wire.TxnResponse, error) {
 	for {
 		a, err := r.Txn(ctx, t)
-		if !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrUnknown) {
+		if !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrOutcomeUnknown) {
 			r.d.Revision = max(r.d.Revision, a.Revision)
 			return a, err
 		}
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -19,10 +19,10 @@
 	"dalefront/wire"
 )
 
-// Store is what a snapshot needs of the state service; *state.Client has it.
+// Store is what a snapshot needs of the state service; *kvstore.Client implements it.
 type Store interface {
 	kvstore.Store
-	Changes(ctx context.Context, prefix string, from uint64, hold time.Duration) (wire.Events, error)
+	Watch(ctx context.Context, prefix string, from uint64, hold time.Duration) (wire.Events, error)
 }
 
 // Snapshot is all keys as of one revision, but for those that end with a lease and
@@ -91,7 +91,7 @@
 // Follow brings a snapshot up to what it is now, and at least to a revision. Each
 // prefix is asked for at the same time: of one, the answer is the state at one
 // revision; of several each has its own, and the snapshot's is the lowest, from which
-// it can be followed again. The error is state.ErrCompacted if the service no longer
+// it can be followed again. The error is kvstore.ErrCompacted if the service no longer
 // tells what has changed; then the snapshot is no good.
 func (s *Snapshot) Follow(ctx context.Context, from Store, prefixes []string, leave func(key string) bool, least uint64) error {
 	answers, errs := make([][]wire.Event, len(prefixes)), make([]error, len(prefixes))
@@ -101,7 +101,7 @@
 		all.Go(func() {
 			reached[i] = s.Revision
 			for first := true; first || reached[i] < least; first = false {
-				ev, err := from.Changes(ctx, prefix, reached[i], 0)
+				ev, err := from.Watch(ctx, prefix, reached[i], 0)
 				if err != nil {
 					errs[i] = err
 					return
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -81,7 +81,7 @@
 	return out, nil
 }
 
-func (s *service) Changes(_ context.Context, prefix string, from uint64, _ time.Duration) (wire.Events, error) {
+func (s *service) Watch(_ context.Context, prefix string, from uint64, _ time.Duration) (wire.Events, error) {
 	s.come()
 	if len(s.events) > 0 && s.events[0].Version > from+1 {
 		return wire.Events{}, kvstore.ErrCompacted
@@ -278,7 +278,7 @@
 	o := Options{Ops: 6, Revision: 40}
 	stopped := errors.New("stopped")
 	for _, after := range []bool{false, true} {
-		for _, what := range []error{stopped, kvstore.ErrUnknown, kvstore.ErrRefused} {
+		for _, what := range []error{stopped, kvstore.ErrOutcomeUnknown, kvstore.ErrRefused} {
 			for at := 0; ; at++ {
 				s := newService()
 				n := 0
