--- a/internal/sched/bootestimate.go
+++ b/internal/sched/bootestimate.go
@@ -53,12 +53,23 @@
 		return
 	}
 	m.booting = false
-	boot := config.Micro(m.machineType.BootS)
-	if boot <= 0 {
-		return
+	if m.machineType.BootS > 0 {
+		c.boots.add(m.machineType.Name, bootOutcome{m.bootAge(c.now), up, c.now})
 	}
-	all := append(c.bootOutcomes[m.machineType.Name], bootOutcome{float64(c.now-m.rentedAt) / float64(boot), up, c.now})
-	c.bootOutcomes[m.machineType.Name] = all[max(0, len(all)-mostBoots):]
+}
+
+// bootHistory is the outcomes of boots by machine type, the latest last.
+type bootHistory map[string][]bootOutcome
+
+// add takes another outcome, and forgets the oldest when there are too many.
+func (h bootHistory) add(machineType string, outcome bootOutcome) {
+	outcomes := append(h[machineType], outcome)
+	h[machineType] = outcomes[max(0, len(outcomes)-mostBoots):]
+}
+
+// bootAge is the time since the machine was rented, in its type's boot times.
+func (m *machine) bootAge(now Micros) float64 {
+	return float64(now-m.rentedAt) / float64(config.Micro(m.machineType.BootS))
 }
 
 // survivalCurve is the share of machines that still boot at an age: a falling staircase.
@@ -105,7 +116,7 @@
 	late := map[string]bool{}
 	for _, m := range c.machines.all() {
 		if m.booting && !m.registered && !m.failed && m.machineType.BootS > 0 {
-			age := float64(c.now-m.rentedAt) / float64(config.Micro(m.machineType.BootS))
+			age := m.bootAge(c.now)
 			ages[m.machineType.Name] = append(ages[m.machineType.Name], age)
 			late[m.machineType.Name] = late[m.machineType.Name] || age > leastBoot
 		}
@@ -113,7 +124,7 @@
 	out := map[string]survivalCurve{}
 	for name := range late {
 		if late[name] {
-			out[name] = estimateBootCurve(c.bootOutcomes[name], ages[name], c.now)
+			out[name] = estimateBootCurve(c.boots[name], ages[name], c.now)
 		}
 	}
 	return out
@@ -162,6 +173,6 @@
 	if !known || !m.booting || m.registered || m.lastListedRunning > 0 || c.detector.IsCut(m.zone) {
 		return false // what the cloud shows running boots no more, and in a cut zone nothing is heard
 	}
-	age := float64(c.now-m.rentedAt) / float64(config.Micro(m.machineType.BootS))
+	age := m.bootAge(c.now)
 	return age > leastBoot && freshGain*s.upWithin(age, bootHorizon) < s.upWithin(0, bootHorizon)
 }
--- a/internal/sched/debugdump.go
+++ b/internal/sched/debugdump.go
@@ -12,10 +12,10 @@
 // waits or is idle).
 func (c *Core) Dump() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "token %d, write %g\n", c.Token(), c.writeGBPerS)
+	fmt.Fprintf(&b, "token %d, write %g\n", c.Token(), c.bandwidth.write)
 	for _, j := range c.jobs.sorted(func(*job) bool { return true }) {
 		fmt.Fprintf(&b, "job %s %+v arrived %d due %d done %d %v stored %v dirty %v retry %v cursor %d attempt %d started %v broken %v finishing %v ended %q\n",
-			j.id, specText(j), j.arrival, j.dueAt, j.completedCount, j.completed, j.durableCompleted, slices.Sorted(maps.Keys(j.dirtyChunks)), j.retryQueue, j.nextUntried, j.gangAttempt, j.gangStarted, j.gangBroken, j.completing, j.finalStatus)
+			j.id, specText(j), j.arrival, j.dueAt, j.completedCount, j.completed, j.durable, slices.Sorted(maps.Keys(j.dirtyChunks)), j.retryQueue, j.nextUntried, j.gangAttempt, j.gangStarted, j.gangBroken, j.completing, j.finalStatus)
 		for _, p := range j.sortedPlacements() {
 			entry := ""
 			if p.entry != nil {
@@ -39,7 +39,7 @@
 	for _, cl := range c.classes.sorted() {
 		fmt.Fprintf(&b, "class %s ratio %g size %g\n", cl.name, cl.runTimeRatio, cl.meanTasks)
 	}
-	fmt.Fprintf(&b, "ends %v forget %v\n", c.pendingEnds, c.forgotten)
+	fmt.Fprintf(&b, "ends %v forget %v\n", c.outbox.ends, c.outbox.forgotten)
 	return b.String()
 }
 
--- a/internal/sched/job.go
+++ b/internal/sched/job.go
@@ -1,7 +1,6 @@
 package sched
 
 import (
-	"encoding/base64"
 	"math"
 
 	"dalefront/internal/config"
@@ -24,6 +23,7 @@
 	return 0
 }
 
+// job is an accepted job until nothing of it can be on any machine.
 type job struct {
 	id      string
 	spec    wire.Job
@@ -34,21 +34,16 @@
 	class   *class
 	isLarge bool // among the largest of its class
 
-	completed        []uint64
-	completedCount   int
-	dirtyChunks      map[int]bool // progress chunks not yet stored
-	durableCompleted []uint64     // what is stored, so what may be cleared
+	progress
+	failureHistory
+
 	placements       map[*placement]struct{}
 	placementsByTask map[int32]int // placements per task
-	retryQueue       []int32
-	nextUntried      int32
-
-	backoffUntil             Micros
-	failureRounds            int             // failures in a row, those of one start counted once
-	failedHosts              map[string]bool // machines on which it failed since it last did well
-	longestFailedRun         Micros          // the longest that a task ran before it failed
-	waitingSince             Micros          // since when something waits, 0 if nothing does
-	lastVacatedAt            Micros          // when the last task that ran left its machine
+	retryQueue       []int32       // tasks that were placed before, served first
+	nextUntried      int32         // no task from here on was ever placed
+
+	waitingSince             Micros // since when something waits, 0 if nothing does
+	lastVacatedAt            Micros // when the last task that ran left its machine
 	preemptions              int
 	startableSince           Micros // a gang: since when clearing lower priorities would let it start, 0 if it would not
 	withinGuarantee          bool   // it fits its team's guarantee with the team's earlier jobs
@@ -68,44 +63,14 @@
 	finalStatus string // final state, stored
 }
 
-func (j *job) hasBit(set []uint64, t int32) bool { return set[t>>6]&(1<<(t&63)) != 0 }
-func (j *job) isCompleted(t int32) bool          { return j.hasBit(j.completed, t) }
-func (j *job) isGang() bool                      { return j.spec.Shape == wire.Gang }
-func (j *job) isOver() bool                      { return j.finalStatus != "" || j.completing }
+func (j *job) isGang() bool { return j.spec.Shape == wire.Gang }
+func (j *job) isOver() bool { return j.finalStatus != "" || j.completing }
 
 // taskResources is what each of the job's tasks takes.
 func (j *job) taskResources() resourceUse {
 	return resourceUse{j.spec.CPUs, j.spec.GPUs, j.spec.MemoryGB}
 }
 
-// ChunkTasks is the number of tasks whose completion one stored value covers;
-// with it the largest job's progress stays far below any value limit.
-const ChunkTasks = 4096
-
-func (j *job) encodeChunk(i int) string {
-	lo, hi := i*ChunkTasks/64, min((i+1)*ChunkTasks/64, len(j.completed))
-	b := make([]byte, 0, (hi-lo)*8)
-	for _, w := range j.completed[lo:hi] {
-		for k := 0; k < 8; k++ {
-			b = append(b, byte(w>>(8*k)))
-		}
-	}
-	return base64.StdEncoding.EncodeToString(b)
-}
-
-func (j *job) mergeChunk(i int, text string) {
-	b, err := base64.StdEncoding.DecodeString(text)
-	if err != nil {
-		return
-	}
-	for k, x := range b {
-		w := i*ChunkTasks/64 + k/8
-		if w < len(j.completed) {
-			j.completed[w] |= uint64(x) << (8 * (k % 8))
-		}
-	}
-}
-
 // pendingCount is the number of tasks that are neither done nor possibly placed.
 func (j *job) pendingCount() int {
 	if j.isOver() {
--- a/internal/sched/placement.go
+++ b/internal/sched/placement.go
@@ -114,7 +114,7 @@
 		return
 	}
 	j, m := p.job, p.machine
-	c.passNeeded = true
+	c.outbox.passNeeded = true
 	c.jobs.placementsByRank[j.rank]--
 	c.ledger.removePlacement(p)
 	m.removePlacement(p)
@@ -127,59 +127,59 @@
 }
 
 // addPlacement counts a placement's room as taken.
-func (m *machine) addPlacement(p *placement) {
+func (u *machineUsage) addPlacement(p *placement) {
 	use := p.job.taskResources()
-	m.tasks[p.taskKey] = append(m.tasks[p.taskKey], p)
-	m.placements = append(m.placements, p)
-	m.placementCount++
-	m.usedCPUs += use.cpus
-	m.usedGPUs += use.gpus
-	m.usedMemoryGB += use.mem
-	m.usedByRank[p.job.rank].add(use)
+	u.tasks[p.taskKey] = append(u.tasks[p.taskKey], p)
+	u.placements = append(u.placements, p)
+	u.placementCount++
+	u.usedCPUs += use.cpus
+	u.usedGPUs += use.gpus
+	u.usedMemoryGB += use.mem
+	u.usedByRank[p.job.rank].add(use)
 }
 
 // removePlacement gives a placement's room back. It makes new lists, so that eachPlacement may
 // go on with the old one.
-func (m *machine) removePlacement(p *placement) {
-	if i := slices.Index(m.placements, p); i >= 0 {
-		m.placements = slices.Concat(m.placements[:i], m.placements[i+1:])
+func (u *machineUsage) removePlacement(p *placement) {
+	if i := slices.Index(u.placements, p); i >= 0 {
+		u.placements = slices.Concat(u.placements[:i], u.placements[i+1:])
 	}
-	attempts := m.tasks[p.taskKey]
+	attempts := u.tasks[p.taskKey]
 	if i := slices.Index(attempts, p); i >= 0 {
 		attempts = slices.Concat(attempts[:i], attempts[i+1:])
 	}
 	if len(attempts) == 0 {
-		delete(m.tasks, p.taskKey)
+		delete(u.tasks, p.taskKey)
 	} else {
-		m.tasks[p.taskKey] = attempts
+		u.tasks[p.taskKey] = attempts
 	}
 	use := p.job.taskResources()
-	m.placementCount--
-	m.usedCPUs -= use.cpus
-	m.usedGPUs -= use.gpus
-	m.usedMemoryGB -= use.mem
-	m.usedByRank[p.job.rank].subtract(use)
-	if m.placementCount == 0 { // no rounding errors pile up
-		m.usedCPUs, m.usedGPUs, m.usedMemoryGB, m.usedByRank = 0, 0, 0, [numRanks]resourceUse{}
+	u.placementCount--
+	u.usedCPUs -= use.cpus
+	u.usedGPUs -= use.gpus
+	u.usedMemoryGB -= use.mem
+	u.usedByRank[p.job.rank].subtract(use)
+	if u.placementCount == 0 { // no rounding errors pile up
+		u.usedCPUs, u.usedGPUs, u.usedMemoryGB, u.usedByRank = 0, 0, 0, [numRanks]resourceUse{}
 	}
 }
 
 // recordVacated notes since when a machine is idle after a task has left it. It isn't called for a
 // place that was only tried, or whose launch was refused: a gang that can't be complete
 // tries in each pass, and would keep the machine from ever being idle.
-func (m *machine) recordVacated(now Micros, keepsGPUMachine bool) {
-	if m.placementCount == 0 {
-		m.idleSince = now
+func (u *machineUsage) recordVacated(now Micros, keepsGPUMachine bool) {
+	if u.placementCount == 0 {
+		u.idleSince = now
 	}
 	if keepsGPUMachine {
-		m.gpusIdleSince = now
+		u.gpusIdleSince = now
 	}
 }
 
 // eachPlacement calls f with the machine's placements, the oldest first. f may release any of them:
 // release never changes a list that is being read.
-func (m *machine) eachPlacement(f func(*placement)) {
-	for _, p := range m.placements {
+func (u *machineUsage) eachPlacement(f func(*placement)) {
+	for _, p := range u.placements {
 		if p.isHeld() {
 			f(p)
 		}
@@ -187,8 +187,8 @@
 }
 
 // findPlacement returns an attempt of a task on the machine, or nil.
-func (m *machine) findPlacement(k taskKey, attempt uint64) *placement {
-	for _, p := range m.tasks[k] {
+func (u *machineUsage) findPlacement(k taskKey, attempt uint64) *placement {
+	for _, p := range u.tasks[k] {
 		if p.attempt == attempt {
 			return p
 		}
--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -46,8 +46,8 @@
 // exceeds dump, restore and queue time the victim is checkpointed, otherwise killed.
 func (ps *pass) chooseCheckpoint(v *victim, p *placement, queue Micros) {
 	j := p.job
-	v.dump = transferTime(j.spec.MemoryGB, ps.core.writeGBPerS)
-	v.overhead = v.dump + transferTime(j.spec.MemoryGB, ps.core.readGBPerS) + queue
+	v.dump = transferTime(j.spec.MemoryGB, ps.core.bandwidth.write)
+	v.overhead = v.dump + transferTime(j.spec.MemoryGB, ps.core.bandwidth.read) + queue
 	v.progress = j.checkpointedRunTime
 	lost := Micros(0)
 	if p.runningSince > 0 {
--- /dev/null
+++ b/internal/sched/progress.go
@@ -0,0 +1,170 @@
+package sched
+
+import (
+	"maps"
+	"slices"
+
+	"encoding/base64"
+	"encoding/binary"
+
+	"dalefront/wire"
+)
+
+const (
+	// ChunkTasks is the number of tasks whose completion one stored value covers;
+	// with it the largest job's progress stays far below any value limit.
+	ChunkTasks = 4096
+
+	tasksPerWord  = 64 // tasks in a word of a taskSet
+	bytesPerWord  = 8
+	wordsPerChunk = ChunkTasks / tasksPerWord
+)
+
+// taskSet is a set of a job's tasks, a bit for each. It is stored in chunks of ChunkTasks tasks:
+// the words in little-endian order, as base64 text.
+type taskSet []uint64
+
+func newTaskSet(tasks int) taskSet { return make(taskSet, (tasks+tasksPerWord-1)/tasksPerWord) }
+
+func (s taskSet) has(task int32) bool { return s[task/tasksPerWord]&(1<<(task%tasksPerWord)) != 0 }
+
+func (s taskSet) add(task int32) { s[task/tasksPerWord] |= 1 << (task % tasksPerWord) }
+
+// encodeChunk is the stored form of a chunk.
+func (s taskSet) encodeChunk(chunk int) string {
+	words := s[chunk*wordsPerChunk : min((chunk+1)*wordsPerChunk, len(s))]
+	data := make([]byte, 0, len(words)*bytesPerWord)
+	for _, word := range words {
+		data = binary.LittleEndian.AppendUint64(data, word)
+	}
+	return base64.StdEncoding.EncodeToString(data)
+}
+
+// mergeChunk adds the tasks of a stored chunk. It takes nothing of a text that is no chunk.
+func (s taskSet) mergeChunk(chunk int, text string) {
+	data, err := base64.StdEncoding.DecodeString(text)
+	if err != nil {
+		return
+	}
+	for i, b := range data {
+		if word := chunk*wordsPerChunk + i/bytesPerWord; word < len(s) {
+			s[word] |= uint64(b) << (8 * (i % bytesPerWord))
+		}
+	}
+}
+
+// progress is which tasks of a job have completed, and how much of that is stored.
+//
+// Invariants: durable is a subset of completed; a chunk in which they differ is dirty unless the
+// job has ended. A worker may be told to forget a completed task only once it is in durable: until
+// then the worker's report is the only record of it.
+type progress struct {
+	completed      taskSet
+	completedCount int
+	durable        taskSet
+	dirtyChunks    map[int]bool // chunks that are to be stored
+}
+
+func newProgress(tasks int) progress {
+	return progress{completed: newTaskSet(tasks), durable: newTaskSet(tasks), dirtyChunks: map[int]bool{}}
+}
+
+func (p *progress) isCompleted(task int32) bool { return p.completed.has(task) }
+
+// isDurable says whether the task's completion is stored.
+func (p *progress) isDurable(task int32) bool { return p.durable.has(task) }
+
+// complete notes that a task has completed.
+func (p *progress) complete(task int32) {
+	if p.completed.has(task) {
+		return
+	}
+	p.completed.add(task)
+	p.completedCount++
+	p.dirtyChunks[int(task)/ChunkTasks] = true
+}
+
+// load takes a stored chunk of a job of so many tasks.
+func (p *progress) load(chunk int, text string, tasks int) {
+	p.completed.mergeChunk(chunk, text)
+	p.completedCount = 0
+	for task := range int32(tasks) {
+		if p.completed.has(task) {
+			p.completedCount++
+		}
+	}
+	copy(p.durable, p.completed)
+}
+
+// chunkStored notes that a chunk was stored in this form. It stays dirty if tasks have completed since.
+func (p *progress) chunkStored(chunk int, text string) {
+	if p.completed.encodeChunk(chunk) == text {
+		delete(p.dirtyChunks, chunk)
+	}
+	p.durable.mergeChunk(chunk, text)
+}
+
+// discardUnstored forgets what is still to be stored: the job has ended.
+func (p *progress) discardUnstored() { p.dirtyChunks = map[int]bool{} }
+
+// SetProgress takes a stored chunk of a job's completed tasks.
+func (c *Core) SetProgress(id string, chunk int, text string) {
+	j := c.jobs.find(id)
+	if j == nil {
+		return
+	}
+	j.load(chunk, text, j.spec.Tasks)
+	c.checkComplete(j)
+}
+
+// markDone notes that a task has completed. The tasks of a gang complete together.
+func (c *Core) markDone(j *job, task int32) {
+	if j.spec.Shape == wire.Service || int(task) >= j.spec.Tasks {
+		return
+	}
+	if j.isGang() {
+		for t := range int32(j.spec.Tasks) {
+			j.complete(t)
+		}
+	} else {
+		j.complete(task)
+	}
+	c.checkComplete(j)
+}
+
+// checkComplete lets the end of a job be stored once all its tasks have completed.
+func (c *Core) checkComplete(j *job) {
+	if j.spec.Shape != wire.Service && j.completedCount == j.spec.Tasks && !j.isOver() {
+		j.completing = true
+		c.outbox.addEnd(j.id)
+	}
+}
+
+// ProgressChunk is a piece of progress to be stored.
+type ProgressChunk struct {
+	Job   string
+	Index int
+	Text  string
+}
+
+// ProgressToStore returns up to limit chunks that are not stored yet.
+func (c *Core) ProgressToStore(limit int) []ProgressChunk {
+	var out []ProgressChunk
+	for _, j := range c.jobs.nextDirty() {
+		c.jobs.lastProgress = j.id
+		for _, chunk := range slices.Sorted(maps.Keys(j.dirtyChunks)) {
+			if len(out) == limit {
+				return out
+			}
+			out = append(out, ProgressChunk{j.id, chunk, j.completed.encodeChunk(chunk)})
+		}
+	}
+	return out
+}
+
+// ProgressStored says that a chunk is durable, so its tasks may be cleared.
+func (c *Core) ProgressStored(chunk ProgressChunk) {
+	if j := c.jobs.find(chunk.Job); j != nil {
+		j.chunkStored(chunk.Index, chunk.Text)
+	}
+}
--- a/internal/sched/quarantine.go
+++ b/internal/sched/quarantine.go
@@ -18,57 +18,125 @@
 
 const (
 	failureBackoffCap      = 60 * second
-	quarantineAfterJobs    = 2  // jobs that do well elsewhere and fail on a machine
-	quarantineAfterAnyJobs = 4  // jobs of any kind that fail on a machine on which nothing completes
-	suspectScaleOutDelayS  = 30 // seconds that a suspect's try may wait for room before it is rented
+	backoffDoublings       = 6          // beyond which the pause would exceed its cap anyway
+	machineFailurePause    = 4 * second // for which a machine, or a job that does well elsewhere, pauses after a failure
+	quarantineAfterJobs    = 2          // jobs that do well elsewhere and fail on a machine
+	quarantineAfterAnyJobs = 4          // jobs of any kind that fail on a machine on which nothing completes
+	suspectScaleOutDelayS  = 30         // seconds that a suspect's try may wait for room before it is rented
 )
 
+// failureHistory is what a job's failures say about it.
+type failureHistory struct {
+	backoffUntil     Micros          // nothing of the job is placed before
+	failureRounds    int             // failures in a row, those of one start counted once
+	failedHosts      map[string]bool // machines on which it failed since it last did well
+	longestFailedRun Micros          // the longest that a task ran before it failed
+}
+
+// failureBackoff is how long a job pauses after so many rounds of failures.
+func failureBackoff(rounds int) Micros {
+	return min(failureBackoffCap, second<<min(rounds, backoffDoublings))
+}
+
+// addFailedRun notes that a task failed on a machine after it had run for so long.
+func (h *failureHistory) addFailedRun(host string, ran Micros) {
+	h.longestFailedRun = max(h.longestFailedRun, ran)
+	if h.failedHosts == nil {
+		h.failedHosts = map[string]bool{}
+	}
+	h.failedHosts[host] = true
+}
+
+// nextRound begins another pause, unless the last one has not ended: the tasks of one start fail
+// together and count once.
+func (h *failureHistory) nextRound(now Micros) bool {
+	if now < h.backoffUntil {
+		return false
+	}
+	h.failureRounds++
+	h.backoffUntil = now + failureBackoff(h.failureRounds)
+	return true
+}
+
+// reset forgets the failures: the job does well now.
+func (h *failureHistory) reset() {
+	clear(h.failedHosts)
+	h.failureRounds = 0
+}
+
+// restore takes what the last leader knew of a suspect job: two machines on which it failed, and the rounds.
+// Otherwise leaders that end one after the other would each try such jobs with
+// all their tasks, in room that others wait for.
+func (h *failureHistory) restore(hosts []string, rounds int, now Micros) {
+	h.failedHosts = map[string]bool{}
+	for _, host := range hosts {
+		h.failedHosts[host] = true
+	}
+	h.failureRounds = max(0, rounds)
+	h.backoffUntil = now + failureBackoff(h.failureRounds)/2
+}
+
 // recordFailure takes a task that failed.
-func (c *Core) recordFailure(j *job, m *machine, p *placement) {
+func (c *Core) recordFailure(p *placement) {
+	j, m := p.job, p.machine
+	wasSuspect := j.isSuspect()
+	ran := Micros(0)
 	if p.runningSince > 0 {
-		j.longestFailedRun = max(j.longestFailedRun, c.now-p.runningSince)
+		ran = c.now - p.runningSince
 	}
-	known := j.isSuspect()
-	if j.failedHosts == nil {
-		j.failedHosts = map[string]bool{}
-	}
-	j.failedHosts[m.host] = true
-	if j.completedCount > 0 || len(j.failedHosts) > 1 {
-		if c.now >= j.backoffUntil { // the tasks of one start fail together
-			j.failureRounds++
-			j.backoffUntil = c.now + min(failureBackoffCap, second<<min(j.failureRounds, 6))
+	j.addFailedRun(m.host, ran)
+	doesWellElsewhere := j.completedCount > 0
+	if doesWellElsewhere || len(j.failedHosts) > 1 {
+		if j.nextRound(c.now) {
 			c.log("job fails", "job", j.id, "class", j.spec.Class, "team", j.spec.Team, "machines", len(j.failedHosts), "times", j.failureRounds,
 				"suspect", j.isSuspect(), "pause_us", j.backoffUntil-c.now)
 		}
-		if j.completedCount > 0 {
-			j.backoffUntil = min(j.backoffUntil, c.now+4*second) // only some of its machines are bad
+		if doesWellElsewhere {
+			j.backoffUntil = min(j.backoffUntil, c.now+machineFailurePause) // only some of its machines are bad
 		}
 	}
-	if known {
+	if wasSuspect {
 		return
 	}
 	m.failedJobs[j] = true
-	if j.completedCount > 0 || len(j.failedHosts) == 1 {
-		m.avoidUntil = c.now + 4*second
+	if doesWellElsewhere || len(j.failedHosts) == 1 {
+		m.avoidUntil = c.now + machineFailurePause
 	}
 }
 
-// updateQuarantine says whether a machine is bad: by the jobs that have done well elsewhere
-// by now, or because everything fails there.
-func (c *Core) updateQuarantine(m *machine) {
-	strikes, fails := 0, 0
-	for j := range m.failedJobs {
+// machineFailures is what the failures on a machine, and the run times there, say about it.
+type machineFailures struct {
+	failedJobs  map[*job]bool // that failed on it since a task last completed there
+	avoidUntil  Micros        // nothing is placed on it before
+	quarantined bool          // nothing is placed on it any more
+	slowdown    float64       // how its tasks' run times compare with the usual, 1 is usual
+}
+
+// countFailedJobs counts the jobs that failed on the machine and do well elsewhere, and of all
+// those that are not suspect themselves.
+func (f *machineFailures) countFailedJobs() (doWellElsewhere, all int) {
+	for j := range f.failedJobs {
 		switch {
 		case j.completedCount > 0:
-			strikes++
-			fails++
+			doWellElsewhere++
+			all++
 		case !j.isSuspect():
-			fails++
+			all++
 		}
 	}
-	if !m.quarantined && (strikes >= quarantineAfterJobs || fails >= quarantineAfterAnyJobs) {
+	return doWellElsewhere, all
+}
+
+// updateQuarantine quarantines a machine that is bad: by the jobs that have done well elsewhere
+// by now, or because everything fails there.
+func (c *Core) updateQuarantine(m *machine) {
+	if m.quarantined || len(m.failedJobs) < quarantineAfterJobs {
+		return
+	}
+	doWellElsewhere, all := m.countFailedJobs()
+	if doWellElsewhere >= quarantineAfterJobs || all >= quarantineAfterAnyJobs {
 		m.quarantined = true
-		c.log("machine fails tasks", "host", m.host, "type", m.machineType.Name, "jobs", len(m.failedJobs), "that_do_well_elsewhere", strikes)
+		c.log("machine fails tasks", "host", m.host, "type", m.machineType.Name, "jobs", len(m.failedJobs), "that_do_well_elsewhere", doWellElsewhere)
 	}
 }
 
@@ -77,8 +145,7 @@
 func (c *Core) clearSuspicion(j *job) {
 	for p := range j.placements {
 		if p.runningSince > 0 && !p.recovered && !p.stopping && c.now-p.runningSince > 2*j.longestFailedRun+5*second {
-			clear(j.failedHosts)
-			j.failureRounds = 0
+			j.reset()
 			return
 		}
 	}
--- a/internal/sched/reconcile.go
+++ b/internal/sched/reconcile.go
@@ -2,7 +2,6 @@
 
 import (
 	"dalefront/internal/config"
-	"dalefront/wire"
 )
 
 const (
@@ -12,6 +11,14 @@
 	// machinesPerPush is how many machines there are for each that a pass tells of the token at a
 	// larger site: there, too, all are told within some hundred passes.
 	machinesPerPush = 100
+	// pushInterval is how long a machine that was told of the token is given to report.
+	pushInterval = 2 * second
+	// firstPushes is how long after the term's start fewer machines are told: most report by themselves
+	// meanwhile.
+	firstPushes = 2 * second
+
+	reclaimMargin = 2 * second // that a task's expected end must be ahead of its machine's
+	saveMargin    = 5 * second // that the start of a save must be ahead of it, beyond the save itself
 )
 
 // maxPushes is how many machines a pass tells of the term's token.
@@ -19,35 +26,19 @@
 
 // reconcile looks after machines and tasks as time passes.
 func (c *Core) reconcile() {
+	pushes := c.pushLimit()
 	expiry, silence := c.leaseExpiry(), c.detector.Silence()
-	pushes, most := 0, c.maxPushes()
-	if c.now-c.termStart < 2*second {
-		most /= 2 // most report by themselves meanwhile
-	}
 	for _, m := range c.machines.all() {
-		if m.registered && !m.confirmed && (!m.leaseExpired || m.placementCount > 0 && !c.detector.IsCut(m.zone)) && !m.scalingIn && m.addr != "" && m.incarnation > 0 && pushes < most && c.now-m.tokenPushedAt > 2*second {
-			// Once its worker has seen this token it reports at once, instead of up to a
-			// report's interval later. And it may still report to an older leader that
-			// is cut off from us and keeps it: it drops that one's answers then, and finds
-			// its way here. One that reaches no controller at all may still answer a command:
-			// what it says then frees the places of what it lost with its lease.
-			m.tokenPushedAt = c.now
-			pushes++
-			c.directCommands = append(c.directCommands, DirectCommand{m.addr, wire.CommandBatch{FencingToken: c.Token(), Incarnation: m.incarnation}})
+		if pushes > 0 && c.needsToken(m) {
+			pushes--
+			c.pushToken(m)
 		}
-		if m.reservedFor != nil && (c.now >= m.reservedUntil || m.reservedFor.isOver() || m.reservedFor.pendingCount() == 0) {
-			m.reservedFor = nil
+		m.dropStale(c.now)
+		quiet := c.now - m.lastHeartbeat
+		if m.confirmed && !m.leaseExpired && quiet > expiry {
+			c.expireLease(m)
 		}
-		if m.confirmed && !m.leaseExpired && c.now-m.lastHeartbeat > expiry {
-			// As far as this node can tell the lease ran out. But while the
-			// state service is out of reach a peer may renew leases under this
-			// term's token, so time proves nothing: the machine is returned,
-			// and its tasks are freed when that is confirmed.
-			m.leaseExpired, m.confirmed = true, false
-			c.Stats.LeasesExpired++
-			c.log("silent beyond its lease", "host", m.host, "zone", m.zone, "tasks", m.placementCount, "zone_cut", c.detector.IsCut(m.zone))
-		}
-		if m.placementCount > 0 && c.now-m.lastHeartbeat > silence {
+		if m.placementCount > 0 && quiet > silence {
 			c.releaseUndispatched(m)
 		}
 		if m.reclaimAt > 0 && m.confirmed {
@@ -56,10 +47,53 @@
 		if m.cordon = c.cordonOf(m); m.cordon != nil && m.cordon.Drain && m.confirmed {
 			c.drainCordoned(m)
 		}
-		if len(m.failedJobs) >= quarantineAfterJobs {
-			c.updateQuarantine(m)
-		}
+		c.updateQuarantine(m)
+	}
+	c.stopBrokenGangs()
+}
+
+// pushLimit is how many machines this pass tells of the term's token.
+func (c *Core) pushLimit() int {
+	if c.now-c.termStart < firstPushes {
+		return c.maxPushes() / 2
 	}
+	return c.maxPushes()
+}
+
+// pushToken sends the term's token to a machine that has not reported with it.
+//
+// Once its worker has seen this token it reports at once, instead of up to a
+// report's interval later. And it may still report to an older leader that
+// is cut off from us and keeps it: it drops that one's answers then, and finds
+// its way here. One that reaches no controller at all may still answer a command:
+// what it says then frees the places of what it lost with its lease.
+func (c *Core) pushToken(m *machine) {
+	m.tokenPushedAt = c.now
+	c.outbox.addCommands(m, c.Token())
+}
+
+// needsToken says whether the machine's worker should be told of the token: it can be reached, as far as known, and has
+// not confirmed it. One whose lease has expired is told only as long as its tasks keep their places. One that was
+// just told is given time to report.
+func (c *Core) needsToken(m *machine) bool {
+	if !m.registered || m.confirmed || m.scalingIn || m.addr == "" || m.incarnation == 0 || c.now-m.tokenPushedAt <= pushInterval {
+		return false
+	}
+	return !m.leaseExpired || m.placementCount > 0 && !c.detector.IsCut(m.zone)
+}
+
+// expireLease notes that as far as this controller can tell a machine's lease has run out. But while the
+// state service is out of reach a peer may renew leases under this
+// term's token, so time proves nothing: the machine is returned,
+// and its tasks are released when that is confirmed.
+func (c *Core) expireLease(m *machine) {
+	m.leaseExpired, m.confirmed = true, false
+	c.Stats.LeasesExpired++
+	c.log("silent beyond its lease", "host", m.host, "zone", m.zone, "tasks", m.placementCount, "zone_cut", c.detector.IsCut(m.zone))
+}
+
+// stopBrokenGangs stops what is left of gang attempts that can't complete any more.
+func (c *Core) stopBrokenGangs() {
 	for _, j := range c.jobs.sorted(func(j *job) bool { return j.isGang() && j.gangBroken }) {
 		for _, p := range j.sortedPlacements() {
 			if !p.checkpointing {
@@ -74,30 +108,36 @@
 func (c *Core) drainReclaimed(m *machine) {
 	left := m.reclaimAt - c.now
 	m.eachPlacement(func(p *placement) {
-		if p.stopping || !p.observed {
-			return
-		}
 		j := p.job
-		remaining := j.expectedRunTime()
-		if p.runningSince > 0 {
-			remaining -= c.now - p.runningSince
-		}
-		if remaining > 0 && remaining < left-2*second && !j.isGang() {
+		if p.stopping || !p.observed || !j.isGang() && p.endsBefore(c.now, left) {
 			return
 		}
-		saves := j.spec.CheckpointIntervalS > 0
-		if saves && left < config.Micro(j.spec.CheckpointDurationS)+5*second {
-			for _, q := range j.sortedPlacements() {
-				if q == p || j.isGang() {
-					c.stopPlacement(q, true)
-				}
-			}
-		} else if !saves && !j.isGang() {
+		switch saves := j.spec.CheckpointIntervalS > 0; {
+		case saves && left < config.Micro(j.spec.CheckpointDurationS)+saveMargin:
+			c.checkpointWithGang(p)
+		case !saves && !j.isGang():
 			c.stopPlacement(p, false)
 		}
 	})
 }
 
-// leaseExpiry is how long after a heartbeat its lease must have run out: the workers' clocks may be
-// 0.05% slow, and ours fast.
-func (c *Core) leaseExpiry() Micros { return c.lease + c.lease/1000 + config.Second/2 }
+// endsBefore says whether the task is expected to end well before its machine is gone, which is after
+// so long.
+func (p *placement) endsBefore(now, left Micros) bool {
+	remaining := p.job.expectedRunTime()
+	if p.runningSince > 0 {
+		remaining -= now - p.runningSince
+	}
+	return remaining > 0 && remaining < left-reclaimMargin
+}
+
+// checkpointWithGang stops a task with a checkpoint, and those of its gang with it.
+func (c *Core) checkpointWithGang(p *placement) {
+	if !p.job.isGang() {
+		c.stopPlacement(p, true)
+		return
+	}
+	for _, member := range p.job.sortedPlacements() {
+		c.stopPlacement(member, true)
+	}
+}
--- a/internal/sched/statistics.go
+++ b/internal/sched/statistics.go
@@ -98,7 +98,7 @@
 
 // Statistics sums up what was observed.
 func (c *Core) Statistics(now Micros) Statistics {
-	l := Statistics{At: now, Write: c.writeGBPerS, Silence: c.detector.Memory()}
+	l := Statistics{At: now, Write: c.bandwidth.write, Silence: c.detector.Memory()}
 	for _, cl := range c.classes.sorted() {
 		cl.decay(now)
 		if len(cl.name) <= maxLearnedName {
@@ -133,7 +133,7 @@
 // different nodes differ a little, which does not matter here.
 func (c *Core) RestoreStatistics(l Statistics) {
 	if l.Write > 0 {
-		c.writeGBPerS = l.Write
+		c.bandwidth.write = l.Write
 	}
 	c.detector.Remember(l.Silence)
 	for _, x := range l.Classes {
@@ -153,12 +153,8 @@
 		}
 	}
 	for _, x := range l.Suspect {
-		// Otherwise leaders that end one after the other would each try such jobs with
-		// all their tasks, in room that others wait for.
 		if j := c.jobs.find(x.ID); j != nil && j.completedCount == 0 && len(x.Hosts) == 2 && x.Hosts[0] != x.Hosts[1] {
-			j.failedHosts = map[string]bool{x.Hosts[0]: true, x.Hosts[1]: true}
-			j.failureRounds = max(0, x.Times)
-			j.backoffUntil = c.now + min(failureBackoffCap, second<<min(j.failureRounds, 6))/2
+			j.restore(x.Hosts, x.Times, c.now)
 		}
 	}
 	for _, x := range l.Teams {
