--- a/internal/sched/checkpoint.go
+++ b/internal/sched/checkpoint.go
@@ -35,8 +35,8 @@
 	if p.runningSince > 0 {
 		running = c.now - p.runningSince
 	}
-	plan := stopPlan{write: transferTime(j.spec.MemoryGB, c.writeGBPerS), progress: j.checkpointedRunTime + running}
-	plan.overhead = plan.write + transferTime(j.spec.MemoryGB, c.readGBPerS) + queue
+	plan := stopPlan{write: transferTime(j.spec.MemoryGB, c.bandwidth.write), progress: j.checkpointedRunTime + running}
+	plan.overhead = plan.write + transferTime(j.spec.MemoryGB, c.bandwidth.read) + queue
 	plan.checkpoint = c.checkpoints(j, &plan)
 	switch {
 	case plan.checkpoint:
