--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -69,6 +69,7 @@
 	peerTable      *peerTable
 	workerContacts *workerContacts
 	follower       *follower
+	leaderWatch    *leaderWatch
 	config         *configuration
 	catalog        machineCatalog
 	gauges         atomic.Pointer[gauges] // of the core, nil on controllers that don't lead
@@ -127,7 +128,8 @@
 	c.owner = newOwnerLoop(c.now, max(minEvents, sockets))
 	c.archive = archive.NewReader(c.store)
 	c.lookups = newLookupBatcher(set, c.store, c.archive, c.statuses, c.taskCounts)
-	c.follower = newFollower(c)
+	c.follower = &follower{controller: c}
+	c.leaderWatch = newLeaderWatch(c)
 	c.config = newConfiguration(c)
 	if err := c.readFiles(); err != nil {
 		return nil, err
@@ -211,9 +213,9 @@
 		c.refreshCatalog,
 		election.run,
 		election.probeStore,
-		c.follower.follow,
+		c.follower.run,
 		c.config.follow,
-		c.follower.watchLeader,
+		c.leaderWatch.run,
 		c.warmArchive,
 		c.lookups.run,
 	}
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -156,7 +156,7 @@
 		select {
 		case <-changed:
 			return false
-		case replaceable := <-e.controller.follower.replace:
+		case replaceable := <-e.controller.leaderWatch.replaceable:
 			if replaceable == version {
 				return true
 			}
@@ -168,7 +168,7 @@
 func (e *election) awaitChange(ctx context.Context, version uint64) {
 	deadline := time.Now().Add(termWatchTime)
 	for from := version; ctx.Err() == nil && time.Now().Before(deadline); {
-		events, err := e.controller.store.Changes(ctx, termKey, from, termWatchHold)
+		events, err := e.controller.store.Watch(ctx, termKey, from, termWatchHold)
 		if err != nil {
 			sleepContext(ctx, termWatchRetry)
 			return
@@ -231,7 +231,7 @@
 		Conditions: []wire.Condition{{Key: termKey, Version: free.version}},
 		Mutations:  []wire.Mutation{{Put: termKey, Value: record, Lease: termLease.id}},
 	})
-	if errors.Is(err, kvstore.ErrUnknown) {
+	if errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		return e.findWritten(ctx, mark, err)
 	}
 	return answer.Revision, err
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -39,7 +39,7 @@
 			return
 		case <-time.After(interval):
 		}
-		if err := store.RenewLease(ctx, l.id); errors.Is(err, kvstore.ErrNoLease) {
+		if err := store.RenewLease(ctx, l.id); errors.Is(err, kvstore.ErrLeaseNotFound) {
 			l.expired.Store(true)
 		}
 	}
--- a/internal/controller/peerheartbeat.go
+++ b/internal/controller/peerheartbeat.go
@@ -36,7 +36,7 @@
 func (c *Controller) handlePeerHeartbeat(label string, heartbeat *peer.Heartbeat) int {
 	c.recordTermOf(heartbeat)
 	c.config.recordPeerConfig(label, heartbeat)
-	c.follower.leaderIsAlive(label, heartbeat.ProcessID)
+	c.leaderWatch.recordAlive(label, heartbeat.ProcessID)
 	return c.recordPeerProcess(label, heartbeat.ProcessID, time.Now())
 }
 
--- a/internal/sched/claims.go
+++ b/internal/sched/claims.go
@@ -15,7 +15,7 @@
 // prepareClaims lists the classes whose jobs arrive above the lowest priority, and the jobs that
 // wait within their teams' guarantees, one of each class and zone.
 func (ps *pass) prepareClaims(queue []*job) {
-	for _, cl := range ps.core.classesByName() {
+	for _, cl := range ps.core.classes.sorted() {
 		if cl.sampleJob != nil && cl.sampleJob.rank > 0 && cl.arrivalRate(ps.core.now) > competingRate {
 			ps.competingClasses = append(ps.competingClasses, cl)
 		}
--- a/internal/sched/gangplan_test.go
+++ b/internal/sched/gangplan_test.go
@@ -19,7 +19,7 @@
 	b.settings.Deployment.State.ValueKB, b.settings.Deployment.State.TxnOps = 1e6, 24
 	tasks := func(n int) {
 		for i := range n {
-			j := spec(fmt.Sprintf("j-%d%04d", len(b.jobs)+1, i), []string{"a", "b"}[r.IntN(2)], []string{wire.Low, wire.Normal, wire.High}[r.IntN(3)], 1+r.IntN(8), float64(1+r.IntN(4)))
+			j := spec(fmt.Sprintf("j-%d%04d", b.jobs.count()+1, i), []string{"a", "b"}[r.IntN(2)], []string{wire.Low, wire.Normal, wire.High}[r.IntN(3)], 1+r.IntN(8), float64(1+r.IntN(4)))
 			j.Class, j.EstimateS = "small", float64(5+r.IntN(90))
 			if r.IntN(2) == 0 {
 				j.CheckpointIntervalS, j.CheckpointDurationS = 10, 2
@@ -36,7 +36,7 @@
 		b.schedule()
 		for i := range machines {
 			h := fmt.Sprintf("n-%04d", i)
-			m := b.machines[h]
+			m := b.machines.find(h)
 			run := b.running(h)
 			if r.IntN(6) == 0 && len(run) > 0 {
 				k := r.IntN(len(run))
@@ -64,7 +64,7 @@
 // kept is all that a plan decides: for whom each machine is kept, until when, who holds
 // others back, and who is stopped how.
 func (b *bed) kept() (out []string) {
-	for _, m := range b.machinesByName {
+	for _, m := range b.machines.all() {
 		s := fmt.Sprint(m.host, " wanted by ", m.claimedByRank)
 		if m.reservedFor != nil {
 			s += fmt.Sprint(" kept for ", m.reservedFor.id, m.reservationStart, m.reservedUntil, m.reservationCheckedAt)
@@ -76,7 +76,7 @@
 		}
 		out = append(out, s)
 	}
-	for _, j := range b.jobsByID(func(*job) bool { return true }) {
+	for _, j := range b.jobs.sorted(func(*job) bool { return true }) {
 		out = append(out, fmt.Sprint(j.id, j.startableSince, j.preemptions))
 	}
 	return out
@@ -116,7 +116,7 @@
 				}
 			}
 			evicted += fast.Stats.Preemptions - before
-			for _, m := range fast.machinesByName {
+			for _, m := range fast.machines.all() {
 				if m.reservedFor != nil {
 					held++
 				}
@@ -135,24 +135,24 @@
 // What follows is how plans were made before, as a reference.
 
 func (ps *pass) plainHoldBack(gangs []*job) {
-	cleared := map[shape][]int{} // places on each open machine once it is cleared
+	cleared := map[gangShape][]int{} // places on each open machine once it is cleared
 	for _, j := range gangs[:min(len(gangs), ps.candidateLimit())] {
-		if j.startableSince > 0 && ps.core.now-j.startableSince > 2*holdFor {
+		if j.startableSince > 0 && ps.core.now-j.startableSince > 2*claimDuration {
 			j.startableSince = 0
 		}
-		if j.startableSince > 0 && ps.core.now-j.startableSince > holdFor {
+		if j.startableSince > 0 && ps.core.now-j.startableSince > claimDuration {
 			continue
 		}
-		places := cleared[j.shape()]
+		places := cleared[j.gangShape()]
 		if places == nil {
 			places = make([]int, len(ps.schedulable))
 			for i, m := range ps.schedulable {
 				if allowed(j, m) {
 					u := m.usedBelow(j.rank)
-					places[i] = slotsFor(j, m.machineType, m.usedCPUs-u.cpus, m.usedGPUs-u.gpus, m.usedMemoryGB-u.mem)
+					places[i] = slotsFor(j, m.machineType, resourceUse{m.usedCPUs - u.cpus, m.usedGPUs - u.gpus, m.usedMemoryGB - u.mem})
 				}
 			}
-			cleared[j.shape()] = places
+			cleared[j.gangShape()] = places
 		}
 		used := j.tasksByZone()
 		free := func(i int) int {
@@ -208,7 +208,7 @@
 }
 
 func (ps *pass) plainPlan(gangs []*job) {
-	if ps.core.now-ps.core.gangsPlannedAt < planEvery {
+	if ps.core.now-ps.core.gangsPlannedAt < gangPlanInterval {
 		return
 	}
 	ps.core.gangsPlannedAt = ps.core.now
@@ -248,7 +248,7 @@
 		if r := m.reservedFor; r != nil && r != j && ps.core.now < m.reservedUntil && r.rank >= j.rank && !ps.isReservedForWait(m) {
 			continue
 		}
-		if !allowed(j, m) || !satisfiesZones(j, used, m.zone) || slotsFor(j, m.machineType, 0, 0, 0) == 0 {
+		if !allowed(j, m) || !satisfiesZones(j, used, m.zone) || slotsOnEmpty(j, m.machineType) == 0 {
 			continue
 		}
 		if w, ok := ps.plainWayOn(j, m, may); ok {
@@ -328,7 +328,7 @@
 }
 
 func (ps *pass) plainWayOn(j *job, m *machine, may bool) (plainWay, bool) {
-	w := plainWay{m: m, slots: slotsFor(j, m.machineType, m.usedCPUs, m.usedGPUs, m.usedMemoryGB)}
+	w := plainWay{m: m, slots: slotsFor(j, m.machineType, m.used())}
 	like := Micros(ps.placementScore(j, m) * float64(second))
 	if m.reservedFor == j && m.reservationStart == 0 {
 		like = 0 // cleared for it
@@ -363,7 +363,7 @@
 	cpus, gpus, mem := m.usedCPUs, m.usedGPUs, m.usedMemoryGB
 	for _, e := range ends {
 		cpus, gpus, mem = cpus-e.j.spec.CPUs, gpus-e.j.spec.GPUs, mem-e.j.spec.MemoryGB
-		if w.slots = slotsFor(j, m.machineType, cpus, gpus, mem); w.slots > 0 {
+		if w.slots = slotsFor(j, m.machineType, resourceUse{cpus, gpus, mem}); w.slots > 0 {
 			w.after = e.at
 			break
 		}
