--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -22,82 +22,101 @@
 	served       []sched.ServiceShare // of classes and teams
 }
 
-// metrics serves the counters. Those of the core are zero on nodes that are not
+// gauge is one gauge that is served: read is called for each answer.
+type gauge struct {
+	name, help string
+	labels     prometheus.Labels
+	read       func() float64
+}
+
+// metrics serves the gauges. Those of the core are zero on controllers that are not
 // the leader.
 func (c *Controller) metrics() http.Handler {
-	reg := prometheus.NewRegistry()
-	add := func(name, help string, read func(*gauges) int) {
-		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: name, Help: help}, func() float64 {
-			return float64(read(c.currentGauges()))
-		}))
+	registry := prometheus.NewRegistry()
+	for _, group := range [][]gauge{c.coreGauges(), c.silentGauges(), c.archiveGauges(), c.standbyGauges(), c.processGauges()} {
+		for _, g := range group {
+			opts := prometheus.GaugeOpts{Namespace: "dalefront", Name: g.name, Help: g.help, ConstLabels: g.labels}
+			registry.MustRegister(prometheus.NewGaugeFunc(opts, g.read))
+		}
+	}
+	registry.MustRegister(serviceShares{c})
+	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{})
+}
+
+// coreGauges are the counts of the core.
+func (c *Controller) coreGauges() []gauge {
+	of := func(name, help string, read func(*gauges) int) gauge {
+		return gauge{name: name, help: help, read: func() float64 { return float64(read(c.currentGauges())) }}
+	}
+	return []gauge{
+		of("waiting_jobs", "Jobs with tasks that wait for room.", func(s *gauges) int { return s.jobs }),
+		of("waiting_tasks", "Tasks that wait for room.", func(s *gauges) int { return s.tasks }),
+		of("machines", "Machines known to the leader.", func(s *gauges) int { return s.machines }),
+		of("machines_up", "Machines whose workers have confirmed this term.", func(s *gauges) int { return s.up }),
+		of("launches", "Launches stored in this term.", func(s *gauges) int { return s.stats.Launches }),
+		of("evictions", "Tasks told to make way in this term.", func(s *gauges) int { return s.stats.Preemptions }),
+		of("checkpoints", "Evictions that saved in this term.", func(s *gauges) int { return s.stats.Checkpoints }),
+		of("leases_lost", "Workers whose lease ran out in this term.", func(s *gauges) int { return s.stats.LeasesExpired }),
+		of("task_errors", "Tasks that failed in this term.", func(s *gauges) int { return s.stats.Errors }),
+		of("machines_hired", "Machines rented in this term.", func(s *gauges) int { return s.stats.ScaledOut }),
+		of("machines_returned", "Machines returned in this term.", func(s *gauges) int { return s.stats.ScaledIn }),
+		of("zones_cut", "Zones that are found to be cut off.", func(s *gauges) int { return s.zonesCut }),
+	}
+}
+
+// silentGauges are the silent machines by the failure detector's verdict.
+func (c *Controller) silentGauges() (out []gauge) {
+	for verdict := failuredomain.Unclear; verdict <= failuredomain.Blind; verdict++ {
+		name := verdict.String()
+		out = append(out, gauge{
+			name: "machines_silent", help: "Silent machines, by what has most likely become of them.", labels: prometheus.Labels{"verdict": name},
+			read: func() float64 { return float64(c.currentGauges().silent[name]) },
+		})
 	}
-	add("waiting_jobs", "Jobs with tasks that wait for room.", func(s *gauges) int { return s.jobs })
-	add("waiting_tasks", "Tasks that wait for room.", func(s *gauges) int { return s.tasks })
-	add("machines", "Machines known to the leader.", func(s *gauges) int { return s.machines })
-	add("machines_up", "Machines whose workers have confirmed this term.", func(s *gauges) int { return s.up })
-	add("launches", "Launches stored in this term.", func(s *gauges) int { return s.stats.Launches })
-	add("evictions", "Tasks told to make way in this term.", func(s *gauges) int { return s.stats.Preemptions })
-	add("checkpoints", "Evictions that saved in this term.", func(s *gauges) int { return s.stats.Checkpoints })
-	add("leases_lost", "Workers whose lease ran out in this term.", func(s *gauges) int { return s.stats.LeasesExpired })
-	add("task_errors", "Tasks that failed in this term.", func(s *gauges) int { return s.stats.Errors })
-	add("machines_hired", "Machines rented in this term.", func(s *gauges) int { return s.stats.ScaledOut })
-	add("machines_returned", "Machines returned in this term.", func(s *gauges) int { return s.stats.ScaledIn })
-	add("zones_cut", "Zones that are found to be cut off.", func(s *gauges) int { return s.zonesCut })
-	for v := failuredomain.Unclear; v <= failuredomain.Blind; v++ {
-		name := v.String()
-		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "machines_silent",
-			Help: "Silent machines, by what has most likely become of them.", ConstLabels: prometheus.Labels{"verdict": name}}, func() float64 {
-			return float64(c.currentGauges().silent[name])
-		}))
+	return out
+}
+
+// archiveGauges are the size of the archive.
+func (c *Controller) archiveGauges() []gauge {
+	of := func(name string, read func(jobs, leaves, manifests int) int) gauge {
+		return gauge{name: name, help: "Size of the archive of final answers, as this node knows it.", read: func() float64 {
+			return float64(read(c.archive.Size()))
+		}}
 	}
-	for i, name := range []string{"archived_jobs", "archive_leaves", "archive_manifests"} {
-		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: name,
-			Help: "Size of the archive of final answers, as this node knows it."}, func() float64 {
-			jobs, leaves, manifests := c.archive.Size()
-			return float64([]int{jobs, leaves, manifests}[i])
-		}))
+	return []gauge{
+		of("archived_jobs", func(jobs, _, _ int) int { return jobs }),
+		of("archive_leaves", func(_, leaves, _ int) int { return leaves }),
+		of("archive_manifests", func(_, _, manifests int) int { return manifests }),
 	}
-	for name, x := range map[string]struct {
-		help string
-		read func(keys, bytes int, us int64) float64
-	}{
-		"standby_keys":   {"Keys that this node follows while it stands by warm.", func(k, _ int, _ int64) float64 { return float64(k) }},
-		"standby_bytes":  {"Their bytes.", func(_, b int, _ int64) float64 { return float64(b) }},
-		"standby_lag_us": {"Microseconds since what this node follows was known to be the newest.", func(_, _ int, us int64) float64 { return float64(us) }},
-	} {
-		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: name, Help: x.help}, func() float64 {
-			keys, bytes, us, _ := c.follower.lag()
-			return x.read(keys, bytes, us)
-		}))
+}
+
+// standbyGauges are what this controller follows as a standby.
+func (c *Controller) standbyGauges() []gauge {
+	of := func(name, help string, read func(keys, bytes int, lag int64, ok bool) float64) gauge {
+		return gauge{name: name, help: help, read: func() float64 { return read(c.follower.lag()) }}
 	}
-	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "standby", Help: "1 while this node stands by warm with a copy that is good."}, func() float64 {
-		return one(c.follower.ready())
-	}))
-	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "wrong_suspicions", Help: "Leaders whose term this node replaced though their process had not ended."}, func() float64 {
-		return float64(c.leaderWatch.wrongSuspicions())
-	}))
-	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "cancellations_waiting",
-		Help: "Users that wait here until the tasks of a job that they cancelled are gone."}, func() float64 { return float64(len(c.cancelSlots)) }))
-	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "goroutines", Help: "Goroutines of this process."},
-		func() float64 { return float64(runtime.NumGoroutine()) }))
-	for name, x := range map[string]struct {
-		help string
-		read func() float64
-	}{
-		"config_generation":      {"Generation of the configuration that this node decides by.", func() float64 { return float64(c.config.current().number) }},
-		"config_refused_batches": {"Batches of launches that were decided anew since the configuration had changed.", func() float64 { return float64(c.config.refused.Load()) }},
-	} {
-		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: name, Help: x.help}, x.read))
+	return []gauge{
+		of("standby_keys", "Keys that this node follows while it stands by warm.", func(keys, _ int, _ int64, _ bool) float64 { return float64(keys) }),
+		of("standby_bytes", "Their bytes.", func(_, bytes int, _ int64, _ bool) float64 { return float64(bytes) }),
+		of("standby_lag_us", "Microseconds since what this node follows was known to be the newest.", func(_, _ int, lag int64, _ bool) float64 { return float64(lag) }),
+		{name: "standby", help: "1 while this node stands by warm with a copy that is good.", read: func() float64 { return boolGauge(c.follower.ready()) }},
+		{name: "wrong_suspicions", help: "Leaders whose term this node replaced though their process had not ended.", read: func() float64 { return float64(c.leaderWatch.wrongSuspicions()) }},
 	}
-	reg.MustRegister(shares{c})
-	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: "leader", Help: "1 while this node acts as leader."}, func() float64 {
-		return one(c.term.view().isLeading())
-	}))
-	return promhttp.HandlerFor(reg, promhttp.HandlerOpts{})
 }
 
-// one is a truth as a gauge.
-func one(is bool) float64 {
+// processGauges are what this controller does beside.
+func (c *Controller) processGauges() []gauge {
+	return []gauge{
+		{name: "cancellations_waiting", help: "Users that wait here until the tasks of a job that they cancelled are gone.", read: func() float64 { return float64(len(c.cancelSlots)) }},
+		{name: "goroutines", help: "Goroutines of this process.", read: func() float64 { return float64(runtime.NumGoroutine()) }},
+		{name: "config_generation", help: "Generation of the configuration that this node decides by.", read: func() float64 { return float64(c.config.current().number) }},
+		{name: "config_refused_batches", help: "Batches of launches that were decided anew since the configuration had changed.", read: func() float64 { return float64(c.config.refused.Load()) }},
+		{name: "leader", help: "1 while this node acts as leader.", read: func() float64 { return boolGauge(c.term.view().isLeading()) }},
+	}
+}
+
+// boolGauge is a condition as the value of a gauge.
+func boolGauge(is bool) float64 {
 	if is {
 		return 1
 	}
@@ -127,47 +146,50 @@
 // of the settings, and all are shown.
 const mostServed = 50
 
-// shares shows how much of what each class and team asked for is served.
-type shares struct{ n *Controller }
+// serviceShares collects how much of what each class and team asked for is served.
+type serviceShares struct{ controller *Controller }
 
 var (
-	jobsDesc   = prometheus.NewDesc("dalefront_jobs", "Jobs of a class or team in this term, by what became of them.", []string{"of", "name", "what"}, nil)
-	shareDesc  = prometheus.NewDesc("dalefront_served_share", "Share of what a class or team asked for lately that is served.", []string{"of", "name"}, nil)
-	behindDesc = prometheus.NewDesc("dalefront_behind", "1 while a class or team is served far less than others.", []string{"of", "name"}, nil)
+	jobsDesc        = prometheus.NewDesc("dalefront_jobs", "Jobs of a class or team in this term, by what became of them.", []string{"of", "name", "what"}, nil)
+	shareDesc       = prometheus.NewDesc("dalefront_served_share", "Share of what a class or team asked for lately that is served.", []string{"of", "name"}, nil)
+	underservedDesc = prometheus.NewDesc("dalefront_behind", "1 while a class or team is served far less than others.", []string{"of", "name"}, nil)
 )
 
 // Describe implements prometheus.Collector.
-func (shares) Describe(out chan<- *prometheus.Desc) {
+func (serviceShares) Describe(out chan<- *prometheus.Desc) {
 	out <- jobsDesc
 	out <- shareDesc
-	out <- behindDesc
+	out <- underservedDesc
 }
 
 // Collect implements prometheus.Collector.
-func (s shares) Collect(out chan<- prometheus.Metric) {
-	all := s.n.currentGauges().served
-	show := func(d *prometheus.Desc, v float64, labels ...string) {
-		if m, err := prometheus.NewConstMetric(d, prometheus.GaugeValue, v, labels...); err == nil {
-			out <- m
+func (s serviceShares) Collect(out chan<- prometheus.Metric) {
+	send := func(desc *prometheus.Desc, value float64, labels ...string) {
+		if metric, err := prometheus.NewConstMetric(desc, prometheus.GaugeValue, value, labels...); err == nil {
+			out <- metric
 		}
 	}
-	for _, x := range all {
-		of, name := kindOf(&x), strings.ToValidUTF8(x.Name, "?")
-		for _, v := range []struct {
+	for _, share := range s.controller.currentGauges().served {
+		kind, name := kindOf(&share), strings.ToValidUTF8(share.Name, "?")
+		for _, count := range []struct {
 			what string
-			n    int
-		}{{"submitted", x.Submitted}, {"begun", x.Started}, {"done", x.Done}, {"late", x.Late}, {"cancelled", x.Cancelled}, {"waiting", x.Waiting}} {
-			show(jobsDesc, float64(v.n), of, name, v.what)
-		}
-		show(shareDesc, x.Share, of, name)
-		behind := 0.0
-		if x.Underserved {
-			behind = 1
+			jobs int
+		}{
+			{"submitted", share.Submitted},
+			{"begun", share.Started},
+			{"done", share.Done},
+			{"late", share.Late},
+			{"cancelled", share.Cancelled},
+			{"waiting", share.Waiting},
+		} {
+			send(jobsDesc, float64(count.jobs), kind, name, count.what)
 		}
-		show(behindDesc, behind, of, name)
+		send(shareDesc, share.Share, kind, name)
+		send(underservedDesc, boolGauge(share.Underserved), kind, name)
 	}
 }
 
+// kindOf says whose a share is, as the metrics and the log name it.
 func kindOf(s *sched.ServiceShare) string {
 	if s.Team {
 		return "team"
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -6,18 +6,16 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
 
-	"dalefront/internal/dynconfig"
 	"dalefront/internal/sched"
-	"dalefront/internal/standby"
+	"dalefront/internal/snapshot"
 	"dalefront/wire"
 )
 
-// load builds the core from what is stored: from the copy that this node has followed, if
+// load builds the core from what is stored: from the copy that this controller has followed, if
 // all checks pass, otherwise from what it reads now. From the moment the term was taken nobody
 // else can change it but by accepting and ending jobs, which the watch brings.
 func (l *leadership) load() error {
@@ -25,266 +23,251 @@
 	began := time.Now()
 	// A peer that is gone costs its time limit: the store is read meanwhile, and a copy
 	// does not wait for it. It is evidence about silent machines and nothing else.
-	heard := make(chan map[string]int64, 1)
-	go func() { heard <- c.gatherWorkerContacts(l.ctx) }()
-	s, why := c.follower.takeOver(l.ctx, l.token, l.lease)
-	if s == nil {
+	contacts := make(chan map[string]int64, 1)
+	go func() { contacts <- c.gatherWorkerContacts(l.ctx) }()
+	state, coldBecause := c.follower.takeOver(l.ctx, l.token, l.lease)
+	warm := state != nil
+	if !warm {
 		var err error
-		if s, err = l.read(); err != nil {
+		if state, err = l.read(); err != nil {
 			return err
 		}
 	}
-	core, err := l.build(s)
+	core, err := l.build(state)
 	if err != nil {
 		return err
 	}
-	if why == "" {
+	if warm {
 		go func() {
-			at := <-heard
-			c.owner.post(func() {
-				for host, t := range at {
-					core.PeerContact(host, t)
-				}
-			})
+			lastHeard := <-contacts
+			c.owner.post(func() { recordPeerContacts(core, lastHeard) })
 		}()
 	} else {
-		for host, at := range <-heard {
-			core.PeerContact(host, at)
-		}
+		recordPeerContacts(core, <-contacts)
 	}
-	c.log.Info("loaded", "warm", why == "", "cold_because", why, "jobs", len(s.jobs), "entries", len(s.ledger), "revision", s.revision,
+	c.log.Info("loaded", "warm", warm, "cold_because", coldBecause, "jobs", len(state.jobs), "entries", len(state.ledger), "revision", state.revision,
 		"took_us", time.Since(began).Microseconds())
 	if c.log.Enabled(l.ctx, slog.LevelDebug) {
 		c.log.Debug("state", "digest", fmt.Sprintf("%x", sha256.Sum256([]byte(core.Dump()))))
 	}
-	l.core, l.revision = core, s.revision
+	l.core, l.revision = core, state.revision
 	return nil
 }
 
-// read reads what a takeover needs.
+// recordPeerContacts tells a core when this controller and its peers last heard of workers.
+func recordPeerContacts(core *sched.Core, lastHeard map[string]int64) {
+	for host, at := range lastHeard {
+		core.PeerContact(host, at)
+	}
+}
+
+// read reads what a takeover needs from the state service, and the configuration.
 func (l *leadership) read() (*stored, error) {
-	c := l.controller
-	s := &stored{ledger: map[string]sched.LedgerEntry{}}
-	copied := l.loadCopy()
+	reader := &stateReader{leadership: l, copied: l.loadCopy(), state: newStored()}
 	configured := make(chan error, 1)
-	go func() { configured <- c.config.refresh(l.ctx) }()
-	jobs, rev, err := l.list(copied, jobPrefix)
-	if err != nil {
-		return nil, err
-	}
-	s.revision = rev
-	for _, e := range jobs {
-		rec := new(jobRecord)
-		if wire.Unmarshal(e.Value, rec) == nil {
-			s.jobs = append(s.jobs, rec)
+	go func() { configured <- l.controller.config.refresh(l.ctx) }()
+	parts := []func() error{
+		reader.readJobs, // first: the watch goes on from its revision
+		reader.readProgress,
+		reader.readLedger,
+		reader.readStatistics,
+		reader.readScaleOuts,
+		reader.readSchedules,
+		reader.readEnds,
+	}
+	for _, readPart := range parts {
+		if err := readPart(); err != nil {
+			return nil, err
 		}
 	}
-	chunks, _, err := l.list(copied, progressPrefix)
-	if err != nil {
+	if err := <-configured; err != nil { // the first decision is made by what is stored now
 		return nil, err
 	}
-	for _, e := range chunks {
-		text := ""
-		readable := wire.Unmarshal(e.Value, &text) == nil
-		s.chunk(e.Key, e.Version, text, readable)
-	}
-	entries, _, err := l.list(copied, ledgerPrefix)
-	if err != nil {
-		return nil, err
+	return reader.state, nil
+}
+
+// stateReader reads what a takeover needs, part by part.
+type stateReader struct {
+	leadership *leadership
+	copied     *snapshot.Snapshot // a stored copy that is up to date, nil for none
+	jobs       []wire.KeyValue    // records of jobs
+	state      *stored
+}
+
+// list reads the keys with a prefix, as of the revision returned.
+func (r *stateReader) list(prefix string) ([]wire.KeyValue, uint64, error) {
+	return r.leadership.list(r.copied, prefix)
+}
+
+func (r *stateReader) readJobs() (err error) {
+	if r.jobs, r.state.revision, err = r.list(jobPrefix); err != nil {
+		return err
 	}
-	for _, e := range entries {
-		var entry sched.LedgerEntry
-		if err := wire.Unmarshal(e.Value, &entry); err != nil {
-			return nil, fmt.Errorf("ledger entry %s: %w", e.Key, err)
+	for _, entry := range r.jobs {
+		record := new(jobRecord)
+		if wire.Unmarshal(entry.Value, record) == nil {
+			r.state.jobs = append(r.state.jobs, record)
 		}
-		s.ledger[strings.TrimPrefix(e.Key, ledgerPrefix)] = entry
 	}
-	learned, _, err := l.list(copied, learnedKey)
-	if err != nil {
-		return nil, err
-	}
-	if len(learned) > 0 {
-		s.learn(learned[0].Value)
+	return nil
+}
+
+func (r *stateReader) readProgress() error {
+	entries, _, err := r.list(progressPrefix)
+	for _, entry := range entries {
+		var text string
+		if wire.Unmarshal(entry.Value, &text) == nil {
+			r.state.addChunk(entry.Key, entry.Version, text)
+		}
 	}
-	hires, _, err := l.list(copied, scaleOutPrefix)
+	return err
+}
+
+func (r *stateReader) readLedger() error {
+	entries, _, err := r.list(ledgerPrefix)
 	if err != nil {
-		return nil, err
-	}
-	for _, e := range hires {
-		s.hires = append(s.hires, e.Key)
+		return err
 	}
-	if c.calendar != nil {
-		if s.schedule, _, err = l.list(copied, schedulePrefix); err != nil {
-			return nil, err
+	for _, entry := range entries {
+		var record sched.LedgerEntry
+		if err := wire.Unmarshal(entry.Value, &record); err != nil {
+			return fmt.Errorf("ledger entry %s: %w", entry.Key, err)
 		}
+		r.state.ledger[strings.TrimPrefix(entry.Key, ledgerPrefix)] = record
 	}
-	ends, err := c.readEnds(l.ctx, jobs)
-	if err != nil {
-		return nil, err
+	return nil
+}
+
+func (r *stateReader) readStatistics() error {
+	entries, _, err := r.list(learnedKey)
+	if err == nil && len(entries) > 0 {
+		r.state.setStatistics(entries[0].Value)
 	}
-	if err := <-configured; err != nil { // the first decision is made by what is stored now
-		return nil, err
+	return err
+}
+
+func (r *stateReader) readScaleOuts() error {
+	entries, _, err := r.list(scaleOutPrefix)
+	for _, entry := range entries {
+		r.state.scaleOuts = append(r.state.scaleOuts, entry.Key)
 	}
-	for _, e := range ends {
-		end := storedEnd{id: strings.TrimPrefix(e.Key, endPrefix)}
-		if err := wire.Unmarshal(e.Value, &end.endRecord); err != nil {
-			return nil, err
-		}
-		s.ends = append(s.ends, end)
+	return err
+}
+
+func (r *stateReader) readSchedules() (err error) {
+	if r.leadership.controller.calendar != nil {
+		r.state.schedules, _, err = r.list(schedulePrefix)
 	}
-	return s, nil
+	return err
 }
 
-// chunk takes a key of progress; readable says whether its value could be read.
-func (s *stored) chunk(key string, version uint64, text string, readable bool) {
-	id, idx, _ := strings.Cut(strings.TrimPrefix(key, progressPrefix), "/")
-	if i, err := strconv.Atoi(idx); err == nil && readable {
-		s.chunks = append(s.chunks, storedChunk{key, id, i, text, version})
+func (r *stateReader) readEnds() error {
+	entries, err := r.leadership.controller.readEnds(r.leadership.ctx, r.jobs)
+	if err != nil {
+		return err
 	}
+	for _, entry := range entries {
+		end := storedEnd{id: strings.TrimPrefix(entry.Key, endPrefix)}
+		if err := wire.Unmarshal(entry.Value, &end.endRecord); err != nil {
+			return fmt.Errorf("end %s: %w", entry.Key, err)
+		}
+		r.state.ends = append(r.state.ends, end)
+	}
+	return nil
 }
 
 // build makes the core of the term from what is stored, however it came here.
-func (l *leadership) build(s *stored) (*sched.Core, error) {
+func (l *leadership) build(state *stored) (*sched.Core, error) {
 	c := l.controller
-	cat, _ := c.machineTypes()
 	now := c.now()
-	if err := c.config.follows(s.config, s.revision); err != nil {
+	if err := c.config.follows(state.config, state.revision); err != nil {
 		return nil, err
 	}
-	inForce := c.config.current()
-	core := sched.New(inForce.settings, l.token, now, cat, func(msg string, args ...any) { c.log.Info(msg, args...) })
-	core.Configure(inForce.settings, inForce.cordons, inForce.version, now)
+	catalog, _ := c.machineTypes()
+	active := c.config.current()
+	core := sched.New(active.settings, l.token, now, catalog, func(msg string, args ...any) { c.log.Info(msg, args...) })
+	core.Configure(active.settings, active.cordons, active.version, now)
 	l.staleKeys.keys = nil
 	l.progress.reset()
-	for _, rec := range s.jobs {
-		core.AddJob(rec.Job, rec.SubmittedAt, now)
-		c.statuses.addAccepted(rec.Job.ID)
+	for _, record := range state.jobs {
+		core.AddJob(record.Job, record.SubmittedAt, now)
+		c.statuses.addAccepted(record.Job.ID)
 	}
-	for _, chunk := range s.chunks {
-		if _, _, _, known := core.Counts(chunk.id); !known {
-			l.staleKeys.add(chunk.key) // left by a job that is over and gone
-			continue
-		}
-		core.SetProgress(chunk.id, chunk.index, chunk.text)
-		l.progress.record(chunk.id, chunk.index, chunk.version)
+	for _, chunk := range state.chunks {
+		l.restoreProgress(core, &chunk)
 	}
-	core.RecoverLedger(s.ledger)
-	if s.learned != nil {
-		core.RestoreStatistics(*s.learned)
+	core.RecoverLedger(state.ledger)
+	if state.statistics != nil {
+		core.RestoreStatistics(*state.statistics)
 	}
-	// The machines of a hire whose answer was lost show up in the list and in reports, and
+	// The machines of a request whose answer was lost show up in the list and in reports, and
 	// are adopted; the name is never used again.
-	l.staleKeys.add(s.hires...)
-	for _, e := range s.ends {
-		if e.Status == wire.JobDone {
-			c.statuses.addFinal(e.status(e.id))
+	l.staleKeys.add(state.scaleOuts...)
+	for _, end := range state.ends {
+		if end.Status == wire.JobDone {
+			c.statuses.addFinal(end.status(end.id))
 		}
-		core.JobEnded(e.id, e.Status, c.now())
+		core.JobEnded(end.id, end.Status, c.now())
 	}
-	return core, l.loadSchedules(s.schedule)
+	return core, l.loadSchedules(state.schedules)
+}
+
+// restoreProgress hands a core a chunk of progress. That of a job that is over and gone is to be deleted.
+func (l *leadership) restoreProgress(core *sched.Core, chunk *storedChunk) {
+	if _, _, _, known := core.Counts(chunk.job); !known {
+		l.staleKeys.add(chunk.key)
+		return
+	}
+	core.SetProgress(chunk.job, chunk.index, chunk.text)
+	l.progress.record(chunk.job, chunk.index, chunk.version)
 }
 
 // endReaders is how many ends are read at a time at a takeover.
 const endReaders = 8
 
+// missingEndError says that a job has ended, and that its end could not be found all the same.
+type missingEndError struct{ key string }
+
+func (e missingEndError) Error() string { return e.key + " is missing" }
+
 // readEnds reads the ends of those of the jobs that have ended. Which have is asked
 // for many at a time, by a transaction that only compares; their ends are read side
 // by side: after a flood of small jobs hundreds may wait to be tidied up, and a
 // takeover must not ask for one after the other.
-func (c *Controller) readEnds(ctx context.Context, jobs []wire.KeyValue) (ends []wire.KeyValue, err error) {
-	var ids, keys []string
-	for _, e := range jobs {
-		ids = append(ids, strings.TrimPrefix(e.Key, jobPrefix))
+func (c *Controller) readEnds(ctx context.Context, jobs []wire.KeyValue) ([]wire.KeyValue, error) {
+	ids := make([]string, len(jobs))
+	for i, entry := range jobs {
+		ids[i] = strings.TrimPrefix(entry.Key, jobPrefix)
 	}
-	over, err := c.endedJobs(ctx, ids)
+	ended, err := c.endedJobs(ctx, ids)
 	if err != nil {
 		return nil, err
 	}
+	var keys []string
 	for _, id := range ids {
-		if over[id] {
+		if ended[id] {
 			keys = append(keys, endKey(id))
 		}
 	}
-	ends = make([]wire.KeyValue, len(keys))
+	return c.readKeys(ctx, keys)
+}
+
+// readKeys reads keys that must exist, some at a time.
+func (c *Controller) readKeys(ctx context.Context, keys []string) ([]wire.KeyValue, error) {
+	entries := make([]wire.KeyValue, len(keys))
 	errs := make([]error, len(keys))
-	var all sync.WaitGroup
-	turn := make(chan struct{}, endReaders)
-	for i, k := range keys {
-		turn <- struct{}{}
-		all.Go(func() {
-			defer func() { <-turn }()
+	slots := make(chan struct{}, endReaders)
+	var readers sync.WaitGroup
+	for i, key := range keys {
+		slots <- struct{}{}
+		readers.Go(func() {
+			defer func() { <-slots }()
 			var found bool
-			if ends[i], found, errs[i] = c.store.Get(ctx, k); errs[i] == nil && !found {
-				errs[i] = fmt.Errorf("%s is missing", k)
+			if entries[i], found, errs[i] = c.store.Get(ctx, key); errs[i] == nil && !found {
+				errs[i] = missingEndError{key}
 			}
 		})
 	}
-	all.Wait()
-	return ends, errors.Join(errs...)
-}
-
-// stored is what a takeover reads.
-type stored struct {
-	jobs     []*jobRecord
-	chunks   []storedChunk
-	ledger   map[string]sched.LedgerEntry
-	learned  *sched.Statistics
-	hires    []string // keys
-	schedule []wire.KeyValue
-	config   []wire.KeyValue // of a copy; otherwise it was read already
-	ends     []storedEnd
-	revision uint64
-}
-
-type storedChunk struct {
-	key, id string
-	index   int
-	text    string
-	version uint64
-}
-
-type storedEnd struct {
-	id string
-	endRecord
-}
-
-// storedOf sorts what a copy has.
-func storedOf(c *standby.Copy) *stored {
-	s := &stored{ledger: map[string]sched.LedgerEntry{}, revision: c.Revision()}
-	for _, k := range c.Under(jobPrefix) {
-		it, _ := c.Get(k)
-		s.jobs = append(s.jobs, it.Decoded.(*jobRecord))
-		id := strings.TrimPrefix(k, jobPrefix)
-		if e, ok := c.Get(endKey(id)); ok {
-			s.ends = append(s.ends, storedEnd{id, *e.Decoded.(*endRecord)})
-		}
-	}
-	for _, k := range c.Under(progressPrefix) {
-		it, _ := c.Get(k)
-		s.chunk(k, it.Version, it.Decoded.(string), true)
-	}
-	for _, k := range c.Under(ledgerPrefix) {
-		it, _ := c.Get(k)
-		s.ledger[strings.TrimPrefix(k, ledgerPrefix)] = *it.Decoded.(*sched.LedgerEntry)
-	}
-	if it, ok := c.Get(learnedKey); ok {
-		s.learn(it.Value)
-	}
-	s.hires = c.Under(scaleOutPrefix)
-	for _, k := range c.Under(dynconfig.Prefix) {
-		it, _ := c.Get(k)
-		s.config = append(s.config, wire.KeyValue{Key: k, Value: it.Value, Version: it.Version})
-	}
-	for _, k := range c.Under(schedulePrefix) {
-		it, _ := c.Get(k)
-		s.schedule = append(s.schedule, wire.KeyValue{Key: k, Value: it.Value, Version: it.Version})
-	}
-	return s
-}
-
-func (s *stored) learn(value []byte) {
-	var l sched.Statistics
-	if wire.Unmarshal(value, &l) == nil {
-		s.learned = &l
-	}
+	readers.Wait()
+	return entries, errors.Join(errs...)
 }
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -24,83 +24,102 @@
 	}[strings.TrimSuffix(prefix, "/")]
 }
 
-// snapshots writes a copy of the state into the operator's directory from time to
-// time, while this node holds the term. Reads wait for this node's share of the state
-// service's limit, and between pages for more, so that users come first.
-func (l *leadership) snapshots(ctx context.Context) {
-	c := l.controller
-	dir := c.settings.Operator.SnapshotDir
-	if dir == "" {
-		return
-	}
-	every := seconds(*c.settings.Operator.SnapshotEvery)
-	store := paced{c.store, seconds(10 / c.settings.Deployment.State.RPS)}
-	for rest := min(every, time.Minute); ; rest = every {
+const (
+	// firstSnapshotPause is the longest pause before the first snapshot of a term.
+	firstSnapshotPause = time.Minute
+	// snapshotPart: reading a snapshot takes one in so many of the requests that the state service
+	// takes, so that users come first.
+	snapshotPart = 10
+	// copyPart: storing a copy takes one in so many of the changes that it takes.
+	copyPart = 20
+	// copyOps is how many values of a copy one transaction stores at most.
+	copyOps = 4
+)
+
+// snapshotReader returns the state service's client for reading snapshots.
+func (c *Controller) snapshotReader() paced {
+	return paced{c.store, seconds(snapshotPart / c.settings.Deployment.State.RPS)}
+}
+
+// periodically does some work from time to time until the leadership ends, but not while the state
+// service is out of reach or after a stall.
+func (l *leadership) periodically(first, interval time.Duration, work func()) {
+	for pause := first; ; pause = interval {
 		select {
 		case <-l.ctx.Done():
 			return
-		case <-time.After(rest):
-		}
-		if !c.store.Reachable(storeReachableWithin) || !c.owner.ranRecently() {
-			continue
+		case <-time.After(pause):
 		}
-		began := time.Now()
-		snap, err := snapshot.Take(ctx, store, snapshot.All, Ephemeral, c.now)
-		path := ""
-		if err == nil {
-			path, err = snap.Save(dir, c.snapshotKey)
+		if l.controller.store.Reachable(storeReachableWithin) && l.controller.owner.ranRecently() {
+			work()
 		}
-		if err != nil {
-			c.log.Warn("no snapshot was written", "err", err)
-			continue
-		}
-		c.log.Info("snapshot", "file", path, "content", snap.String(), "took_us", time.Since(began).Microseconds())
 	}
 }
 
+// snapshots writes a copy of the state into the operator's directory from time to
+// time, while this controller holds the term.
+func (l *leadership) snapshots(ctx context.Context) {
+	operator := &l.controller.settings.Operator
+	if operator.SnapshotDir == "" {
+		return
+	}
+	interval := seconds(*operator.SnapshotEvery)
+	l.periodically(min(interval, firstSnapshotPause), interval, func() {
+		l.controller.writeSnapshot(ctx, operator.SnapshotDir)
+	})
+}
+
+// writeSnapshot writes a copy of the state into a directory.
+func (c *Controller) writeSnapshot(ctx context.Context, dir string) {
+	began := time.Now()
+	snap, err := snapshot.Take(ctx, c.snapshotReader(), snapshot.All, Ephemeral, c.now)
+	path := ""
+	if err == nil {
+		path, err = snap.Save(dir, c.snapshotKey)
+	}
+	if err != nil {
+		c.log.Warn("no snapshot was written", "err", err)
+		return
+	}
+	c.log.Info("snapshot", "file", path, "content", snap.String(), "took_us", time.Since(began).Microseconds())
+}
+
 // copyPrefixes is what a leader reads when it takes over, but for the ends of jobs.
 var copyPrefixes = []string{jobPrefix, progressPrefix, ledgerPrefix, learnedKey, scaleOutPrefix, schedulePrefix}
 
-func nothing(string) bool { return false }
+// noKeys leaves no key out of a copy.
+func noKeys(string) bool { return false }
 
 // storeSnapshots stores what a takeover needs in the state service from time to time, so that
 // the next leader reads few long values instead of many short ones.
 func (l *leadership) storeSnapshots(ctx context.Context) {
-	c := l.controller
-	every := seconds(*c.settings.Operator.TakeoverCopyS)
-	if every <= 0 {
+	interval := seconds(*l.controller.settings.Operator.TakeoverCopyS)
+	if interval <= 0 {
 		return
 	}
-	d := &c.settings.Deployment.State
-	store := paced{c.store, seconds(10 / d.RPS)}
-	o := snapshot.StoreOptions{Term: l.termCondition(), Ops: min(d.TxnOps, 4), Value: int(d.ValueKB * 1024),
-		Pace: func(ctx context.Context, changes int) bool { // a twentieth of what the service takes
-			select {
-			case <-ctx.Done():
-				return false
-			case <-time.After(seconds(float64(changes) * 20 / d.WriteRPS)):
-				return true
-			}
-		}}
-	for {
-		select {
-		case <-l.ctx.Done():
-			return
-		case <-time.After(every):
-		}
-		if !c.store.Reachable(storeReachableWithin) || !c.owner.ranRecently() {
-			continue
-		}
-		snap, err := snapshot.Take(ctx, store, copyPrefixes, nothing, c.now)
-		if err == nil {
-			err = snap.Store(ctx, store, o)
-		}
-		if err != nil {
-			c.log.Info("no copy for a takeover was stored", "err", err)
-			continue
-		}
-		c.log.Info("copy for a takeover", "content", snap.String())
+	l.periodically(interval, interval, func() { l.storeSnapshot(ctx) })
+}
+
+// storeSnapshot stores a copy of what a takeover needs.
+func (l *leadership) storeSnapshot(ctx context.Context) {
+	c := l.controller
+	limits := &c.settings.Deployment.State
+	store := c.snapshotReader()
+	snap, err := snapshot.Take(ctx, store, copyPrefixes, noKeys, c.now)
+	if err == nil {
+		err = snap.Store(ctx, store, snapshot.StoreOptions{
+			Term: l.termCondition(), Ops: min(limits.TxnOps, copyOps), Value: int(limits.ValueKB * 1024),
+			Pace: func(ctx context.Context, changes int) bool {
+				sleepContext(ctx, seconds(float64(changes)*copyPart/limits.WriteRPS))
+				return ctx.Err() == nil
+			},
+		})
+	}
+	if err != nil {
+		c.log.Info("no copy for a takeover was stored", "err", err)
+		return
 	}
+	c.log.Info("copy for a takeover", "content", snap.String())
 }
 
 // loadCopy returns the stored state as of now from the newest copy and what has
@@ -114,7 +133,7 @@
 	began := time.Now()
 	snap, err := snapshot.Load(l.ctx, c.store)
 	if err == nil {
-		err = snap.Follow(l.ctx, c.store, copyPrefixes, nothing, l.token)
+		err = snap.Follow(l.ctx, c.store, copyPrefixes, noKeys, l.token)
 	}
 	if err != nil {
 		c.log.Info("everything is read", "err", err)
@@ -132,17 +151,17 @@
 	return l.controller.store.List(l.ctx, prefix)
 }
 
-// paced waits before each page.
+// paced waits before each page, so that users come first.
 type paced struct {
 	*kvstore.Client
 	wait time.Duration
 }
 
+// Page reads a page of keys, as kvstore.Client does.
 func (p paced) Page(ctx context.Context, prefix, after string, most int) (page wire.KeyValuePage, err error) {
-	select {
-	case <-ctx.Done():
+	sleepContext(ctx, p.wait)
+	if ctx.Err() != nil {
 		return page, ctx.Err()
-	case <-time.After(p.wait):
 	}
 	return p.Client.Page(ctx, prefix, after, most)
 }
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -54,7 +54,7 @@
 		if r.loadCopy() != nil {
 			t.Fatal("there is no copy yet")
 		}
-		snap, err := snapshot.Take(r.ctx, client, copyPrefixes, nothing, n.now)
+		snap, err := snapshot.Take(r.ctx, client, copyPrefixes, noKeys, n.now)
 		if err == nil {
 			err = snap.Store(r.ctx, client, snapshot.StoreOptions{Term: r.termCondition(), Ops: 4, Value: 200})
 		}
@@ -120,7 +120,7 @@
 	e, _ := svc.Entry(termKey)
 	r := newLeadership(context.Background(), n, e.Version, &lease{})
 	if copies {
-		snap, err := snapshot.Take(r.ctx, n.store, copyPrefixes, nothing, n.now)
+		snap, err := snapshot.Take(r.ctx, n.store, copyPrefixes, noKeys, n.now)
 		if err == nil {
 			err = snap.Store(r.ctx, n.store, snapshot.StoreOptions{Term: r.termCondition(), Ops: 4, Value: 16 << 10})
 		}
