--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -75,7 +75,7 @@
 // its entries are created once, so that only one copy can ever be applied.
 func (c *committer) store(batch *sched.Commit) commitOutcome {
 	l, controller := c.leadership, c.leadership.controller
-	txn := CommitTxn(batch, l.termCondition(), generationCond(batch.Generation))
+	txn := CommitTxn(batch, l.termCondition(), generationCondition(batch.Generation))
 	txn.Conditions = controller.withArchiveGuards(txn.Conditions, batch.Jobs...)
 	unknown := false
 	for l.ctx.Err() == nil {
@@ -158,7 +158,7 @@
 		}
 	case key == dynconfig.GenerationKey:
 		// Decided by a configuration that is in force no more: decided anew.
-		controller.config.refused.Add(1)
+		controller.config.rejectedBatches.Add(1)
 		if controller.config.refresh(l.ctx) != nil {
 			return conflictUnreadable
 		}
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -15,274 +15,292 @@
 	"dalefront/wire"
 )
 
-// activeConfig is the configuration that this node decides by. It is never changed, only replaced.
+const (
+	configWatchTimeout = 30 * time.Second // for so long the store holds a watch open
+	configRetryPause   = 300 * time.Millisecond
+	configPage         = 1000
+	configReadTries    = 5 // to read documents while they change
+
+	// requestsPerConfigWatch: one in so many of the store's requests may open the watch again. A
+	// burst of changes comes together.
+	requestsPerConfigWatch = 8
+)
+
+// errConfigChanging means that the configuration could not be read as of one moment.
+var errConfigChanging = errors.New("the configuration changes faster than it can be read")
+
+// activeConfig is the configuration that this controller decides by. It is never changed, only
+// replaced.
 type activeConfig struct {
-	settings *config.Settings // of the platform, with the documents merged
-	cordons  []dynconfig.Cordon
-	number   uint64 // of the generation
-	version  uint64 // of the generation's key
-	known    bool   // it was read since this process began
-	since    int64  // when this node took the generation: microseconds, time of day
-	unknown  []string
+	settings          *config.Settings // of the platform, with the documents merged
+	cordons           []dynconfig.Cordon
+	generation        uint64
+	generationVersion uint64   // of the generation's key
+	known             bool     // it was read since this process began
+	since             int64    // when this controller took the generation: microseconds, time of day
+	unusable          []string // documents that this controller can't use
 }
 
-// configuration follows the stored configuration. Being behind costs time and never safety:
-// launches are stored on condition of the generation that they were decided by.
-type configuration struct {
-	n       *Controller
-	active  atomic.Pointer[activeConfig]
-	refused atomic.Int64  // batches decided by a generation that was no longer in force
-	behind  chan struct{} // a peer has shown a newer generation
+// configFollower follows the stored configuration. Being late costs time and never safety: launches
+// are stored on condition of the generation that they were decided by.
+type configFollower struct {
+	controller      *Controller
+	active          atomic.Pointer[activeConfig]
+	rejectedBatches atomic.Int64  // batches decided by a generation that was no longer in force
+	refreshNeeded   chan struct{} // a peer has shown a newer generation
 
-	mu       sync.Mutex
-	state    *dynconfig.State // nil: not read, or not followed without a gap
-	revision uint64           // up to which the watch has told
-	earlier  map[string]bool  // peers of a version that knows no such configuration
+	mu             sync.Mutex
+	state          *dynconfig.State // nil: not read, or not followed without a gap
+	revision       uint64           // up to which the watch has brought changes
+	withoutSupport map[string]bool  // peers of a version that knows no such configuration
 }
 
-func newConfiguration(n *Controller) *configuration {
-	c := &configuration{n: n, behind: make(chan struct{}, 1), earlier: map[string]bool{}}
-	c.active.Store(&activeConfig{settings: n.settings})
-	return c
+// newConfigFollower returns a follower that has read nothing yet; run starts it.
+func newConfigFollower(c *Controller) *configFollower {
+	f := &configFollower{controller: c, refreshNeeded: make(chan struct{}, 1), withoutSupport: map[string]bool{}}
+	f.active.Store(&activeConfig{settings: c.settings})
+	return f
 }
 
 // current is the configuration to decide by.
-func (c *configuration) current() *activeConfig { return c.active.Load() }
+func (f *configFollower) current() *activeConfig { return f.active.Load() }
 
-// generationCond makes a transaction fail once the configuration has changed.
-func generationCond(version uint64) wire.Condition {
+// generationCondition makes a transaction fail once the configuration has changed.
+func generationCondition(version uint64) wire.Condition {
 	return wire.Condition{Key: dynconfig.GenerationKey, Version: version}
 }
 
-const (
-	configHold  = 30 * time.Second // of a watch
-	configPause = 300 * time.Millisecond
-	configPage  = 1000
-	configReads = 5 // tries to read documents while they change
-)
-
-// follow keeps up with the configuration until the context ends.
-func (c *configuration) follow(ctx context.Context) {
-	// Each opening of the watch is a request: a burst of changes is told together.
-	every := time.Duration(8 / max(c.n.settings.Deployment.State.RPS, 1) * float64(time.Second))
-	go c.catchUp(ctx)
+// run keeps up with the configuration until the context ends.
+func (f *configFollower) run(ctx context.Context) {
+	var refresher sync.WaitGroup
+	refresher.Go(func() { f.refreshOnRequest(ctx) })
+	defer refresher.Wait()
+	interval := seconds(requestsPerConfigWatch / max(f.controller.settings.Deployment.State.RPS, 1))
 	for ctx.Err() == nil {
-		c.mu.Lock()
-		followed, revision := c.state != nil, c.revision
-		c.mu.Unlock()
-		if !followed {
-			if c.refresh(ctx) != nil {
-				sleepContext(ctx, configPause)
-			}
-			continue
+		f.mu.Lock()
+		followed, revision := f.state != nil, f.revision
+		f.mu.Unlock()
+		if followed {
+			f.watch(ctx, revision, interval)
+		} else if f.refresh(ctx) != nil {
+			sleepContext(ctx, configRetryPause)
 		}
-		events, err := c.n.store.Watch(ctx, dynconfig.Prefix, revision, configHold)
-		switch {
-		case errors.Is(err, kvstore.ErrCompacted):
-			c.markUnknown()
-		case err != nil:
-			sleepContext(ctx, configPause)
-		default:
-			c.applyEvents(revision, events)
-			if len(events.Events) > 0 {
-				sleepContext(ctx, every)
-			}
+	}
+}
+
+// watch waits for the next changes after a revision and takes them. After changes it waits for the
+// interval before it returns.
+func (f *configFollower) watch(ctx context.Context, revision uint64, interval time.Duration) {
+	events, err := f.controller.store.Watch(ctx, dynconfig.Prefix, revision, configWatchTimeout)
+	switch {
+	case errors.Is(err, kvstore.ErrCompacted):
+		f.markUnknown()
+	case err != nil:
+		sleepContext(ctx, configRetryPause)
+	default:
+		f.applyEvents(revision, events)
+		if len(events.Events) > 0 {
+			sleepContext(ctx, interval)
 		}
 	}
 }
 
-// catchUp reads the configuration when a peer has shown a newer one than the watch brought.
-func (c *configuration) catchUp(ctx context.Context) {
+// refreshOnRequest reads the configuration when a peer has shown a newer one than the watch brought.
+func (f *configFollower) refreshOnRequest(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.behind:
+		case <-f.refreshNeeded:
 		}
-		if c.refresh(ctx) != nil {
-			sleepContext(ctx, configPause)
+		if f.refresh(ctx) != nil {
+			sleepContext(ctx, configRetryPause)
 		}
 	}
 }
 
 // markUnknown forgets what was followed: it is to be read again.
-func (c *configuration) markUnknown() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.state = nil
+func (f *configFollower) markUnknown() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.state = nil
 }
 
 // applyEvents takes the answer of a watch that was opened at a revision.
-func (c *configuration) applyEvents(from uint64, events wire.Events) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.state == nil || c.revision != from {
-		return // read anew meanwhile
+func (f *configFollower) applyEvents(from uint64, events wire.Events) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.state == nil || f.revision != from {
+		return // read again meanwhile
 	}
-	c.revision = max(from, events.Revision)
+	f.revision = max(from, events.Revision)
 	if len(events.Events) == 0 {
 		return
 	}
-	next, err := c.state.Apply(events.Events)
+	next, err := f.state.Apply(events.Events)
 	if err != nil {
-		c.n.log.Error("configuration", "err", err)
-		c.state = nil
+		f.controller.log.Error("configuration", "err", err)
+		f.state = nil
 		return
 	}
-	c.install(next)
+	f.setState(next)
 }
 
 // refresh reads the whole configuration and takes it, unless what is followed is newer.
-func (c *configuration) refresh(ctx context.Context) error {
-	read, revision, err := c.read(ctx)
+func (f *configFollower) refresh(ctx context.Context) error {
+	read, revision, err := f.readState(ctx)
 	if err != nil {
 		return err
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.state == nil || revision >= c.revision {
-		c.revision = revision
-		c.install(read)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.state == nil || revision >= f.revision {
+		f.revision = revision
+		f.setState(read)
 	}
 	return nil
 }
 
-// follows takes the configuration as a copy of the stored state has it at a revision, unless
-// what is followed is newer.
-func (c *configuration) follows(entries []wire.KeyValue, revision uint64) error {
-	if len(entries) == 0 && c.current().known {
+// adopt takes the configuration as a copy of the stored state has it at a revision, unless what is
+// followed is newer.
+func (f *configFollower) adopt(entries []wire.KeyValue, revision uint64) error {
+	if len(entries) == 0 && f.current().known {
 		return nil
 	}
-	s, err := dynconfig.NewState(entries)
+	copied, err := dynconfig.NewState(entries)
 	if err != nil {
 		return err
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.state == nil || revision > c.revision {
-		c.revision = revision
-		c.install(s)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.state == nil || revision > f.revision {
+		f.revision = revision
+		f.setState(copied)
 	}
 	return nil
 }
 
-var errConfigMoves = errors.New("the configuration changes faster than it can be read")
-
-// read reads the configuration as of one moment, and the revision from which a watch misses
-// nothing. A page is of one moment; if it takes several, the generation must be the same before
-// and after, as nothing that is in force changes without it.
-func (c *configuration) read(ctx context.Context) (*dynconfig.State, uint64, error) {
-	store := c.n.store
-	for range configReads {
+// readState reads the configuration as of one moment, and the revision from which a watch misses
+// nothing. A page is of one moment; if it takes several, the generation must be the same before and
+// after, as nothing that is in force changes without it.
+func (f *configFollower) readState(ctx context.Context) (*dynconfig.State, uint64, error) {
+	store := f.controller.store
+	for range configReadTries {
 		page, err := store.Page(ctx, dynconfig.Prefix, "", configPage)
 		if err != nil {
 			return nil, 0, err
 		}
 		entries, revision := page.Items, page.Revision
-		before := uint64(0)
+		versionBefore := uint64(0)
 		if page.More {
-			e, _, err := store.Get(ctx, dynconfig.GenerationKey)
+			generation, _, err := store.Get(ctx, dynconfig.GenerationKey)
 			if err != nil {
 				return nil, 0, err
 			}
-			before = e.Version
+			versionBefore = generation.Version
 			if entries, revision, err = store.List(ctx, dynconfig.Prefix); err != nil {
 				return nil, 0, err
 			}
 		}
-		s, err := dynconfig.NewState(entries)
+		state, err := dynconfig.NewState(entries)
 		if err != nil {
 			return nil, 0, err
 		}
-		if !page.More || s.GenerationVersion == before {
-			return s, revision, nil
+		if !page.More || state.GenerationVersion == versionBefore {
+			return state, revision, nil
 		}
 	}
-	return nil, 0, errConfigMoves
+	return nil, 0, errConfigChanging
 }
 
-// install takes a state and tells the core. The lock is held, so that the core is told of
-// states in their order.
-func (c *configuration) install(s *dynconfig.State) {
-	old := c.current()
-	c.state = s
-	if old.known && old.version == s.GenerationVersion {
+// setState takes a state and has the core configured by it. The lock is held, so that the core is
+// configured by states in their order.
+func (f *configFollower) setState(state *dynconfig.State) {
+	c := f.controller
+	old := f.current()
+	f.state = state
+	if old.known && old.generationVersion == state.GenerationVersion {
 		return
 	}
-	next := &activeConfig{number: s.Generation.Number, version: s.GenerationVersion, known: true, since: c.n.now()}
-	next.settings, next.cordons, next.unknown = dynconfig.Merge(c.n.settings, s.Documents())
-	if old.known && old.number == next.number {
+	next := &activeConfig{generation: state.Generation.Number, generationVersion: state.GenerationVersion, known: true, since: c.now()}
+	next.settings, next.cordons, next.unusable = dynconfig.Merge(c.settings, state.Documents())
+	if old.known && old.generation == next.generation {
 		next.since = old.since
-	} else if next.number > 0 {
-		c.n.log.Info("configuration", "generation", next.number, "cordons", len(next.cordons), "not_usable", next.unknown)
+	} else if next.generation > 0 {
+		c.log.Info("configuration", "generation", next.generation, "cordons", len(next.cordons), "not_usable", next.unusable)
 	}
-	c.active.Store(next)
-	go c.n.owner.post(c.configureCore)
+	f.active.Store(next)
+	go c.owner.post(f.configureCore) // the owner's queue may be full, and the owner may wait for the lock
 }
 
 // configureCore hands the newest configuration to the core. Owner goroutine.
-func (c *configuration) configureCore() {
-	r := c.n.owner.leadership
-	if r == nil {
+func (f *configFollower) configureCore() {
+	owner := f.controller.owner
+	if owner.leadership == nil {
 		return
 	}
-	now := c.current()
-	r.core.Configure(now.settings, now.cordons, now.version, c.n.now())
-	c.n.owner.requestPass()
+	active := f.current()
+	owner.leadership.core.Configure(active.settings, active.cordons, active.generationVersion, f.controller.now())
+	owner.requestPass()
 }
 
-// recordPeerConfig takes what a peer's hello says of the configuration.
-func (c *configuration) recordPeerConfig(label string, h *peer.Heartbeat) {
-	c.mu.Lock()
-	c.earlier[label] = !h.SupportsConfig
-	c.mu.Unlock()
-	if now := c.current(); h.Generation > now.number {
-		select {
-		case c.behind <- struct{}{}:
-		default:
-		}
+// recordPeer takes what a peer's heartbeat says of the configuration.
+func (f *configFollower) recordPeer(label string, heartbeat *peer.Heartbeat) {
+	f.mu.Lock()
+	f.withoutSupport[label] = !heartbeat.SupportsConfig
+	f.mu.Unlock()
+	if heartbeat.Generation <= f.current().generation {
+		return
+	}
+	select {
+	case f.refreshNeeded <- struct{}{}:
+	default: // it is requested already
 	}
 }
 
-// earlierPeers are the peers of a version that knows no such configuration, as they said last.
-func (c *configuration) earlierPeers() (out []string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for label, is := range c.earlier {
-		if is && c.n.peers[label] != nil {
-			out = append(out, label)
+// peersWithoutSupport lists the peers of a version that knows no such configuration, as they said
+// last.
+func (f *configFollower) peersWithoutSupport() []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	var labels []string
+	for label, without := range f.withoutSupport {
+		if without && f.controller.peers[label] != nil {
+			labels = append(labels, label)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(labels)
+	return labels
+}
+
+// readHistory reads what is kept of the generations up to that of a state, the newest first.
+func (f *configFollower) readHistory(ctx context.Context, state *dynconfig.State) ([]dynconfig.History, error) {
+	entries, _, err := f.controller.store.List(ctx, dynconfig.HistoryPrefix)
+	if err != nil {
+		return nil, err
+	}
+	return dynconfig.ReadHistory(entries, state.Generation.Number)
 }
 
 // PeerConfigStatus implements peer.Server.
 func (c *Controller) PeerConfigStatus(context.Context, *peer.ConfigStatusRequest) (*peer.ConfigStatusResponse, error) {
-	now := c.config.current()
-	return &peer.ConfigStatusResponse{Label: c.settings.Label, Known: now.known, Generation: now.number, Since: now.since, Unknown: now.unknown}, nil
+	active := c.config.current()
+	return &peer.ConfigStatusResponse{
+		Label: c.settings.Label, Known: active.known, Generation: active.generation, Since: active.since, Unknown: active.unusable,
+	}, nil
 }
 
 // PeerConfigRead implements peer.Server.
-func (c *Controller) PeerConfigRead(ctx context.Context, q *peer.ConfigReadRequest) (*peer.ConfigReadResponse, error) {
-	s, _, err := c.config.read(ctx)
+func (c *Controller) PeerConfigRead(ctx context.Context, request *peer.ConfigReadRequest) (*peer.ConfigReadResponse, error) {
+	state, _, err := c.config.readState(ctx)
 	if err != nil {
 		return &peer.ConfigReadResponse{Reason: err.Error()}, nil
 	}
-	a := &peer.ConfigReadResponse{Generation: s.Generation.Number, Documents: s.Documents()}
-	if q.History {
-		if a.History, err = c.config.history(ctx, s); err != nil {
+	response := &peer.ConfigReadResponse{Generation: state.Generation.Number, Documents: state.Documents()}
+	if request.History {
+		if response.History, err = c.config.readHistory(ctx, state); err != nil {
 			return &peer.ConfigReadResponse{Reason: err.Error()}, nil
 		}
 	}
-	return a, nil
-}
-
-// history reads what is kept of the generations up to that of a state, the newest first.
-func (c *configuration) history(ctx context.Context, s *dynconfig.State) ([]dynconfig.History, error) {
-	entries, _, err := c.n.store.List(ctx, dynconfig.HistoryPrefix)
-	if err != nil {
-		return nil, err
-	}
-	return dynconfig.ReadHistory(entries, s.Generation.Number)
+	return response, nil
 }
--- a/internal/controller/configapply.go
+++ b/internal/controller/configapply.go
@@ -13,228 +13,281 @@
 	"dalefront/wire"
 )
 
-// applier carries out one apply: it reads, plans, and stores the plan on condition that
-// nothing has changed since it read; otherwise it begins again.
-type applier struct {
-	n     *Controller
-	q     *dynconfig.Request
-	ask   *peer.ConfigApplyRequest
-	first uint64 // generation at the first read; 0: not read yet
+const (
+	applyRetryPause = 60 * time.Millisecond
+	oldestHistory   = 8 // so many of the oldest keys of the history are looked at, to be deleted
+)
+
+// errNoConfigSupport means that a controller would not obey the configuration.
+var errNoConfigSupport = errors.New("runs a version that knows no configuration at run time: update it first")
+
+// rejection is an error that ends an apply: nothing was changed, and trying again doesn't help.
+type rejection struct {
+	outcome    string // one of peer's outcomes
+	generation uint64 // that is in force, 0 if that doesn't matter
+	err        error
+}
 
-	// The version of the generation's key that a switch without an answer was conditional on.
-	// It may yet arrive as long as that is the key's version.
-	unknown *uint64
+// Error implements error.
+func (r *rejection) Error() string { return r.err.Error() }
+
+// Unwrap returns the reason.
+func (r *rejection) Unwrap() error { return r.err }
+
+// response is the answer to a request that is rejected.
+func (r *rejection) response() *peer.ConfigApplyResponse {
+	return &peer.ConfigApplyResponse{Outcome: r.outcome, Generation: r.generation, Reason: r.err.Error()}
 }
 
-var errEarlierVersion = errors.New("runs a version that knows no configuration at run time: update it first")
+// errApplyUnnamed means that an apply has no id to know it again by.
+var errApplyUnnamed = errors.New("the apply has no name")
 
 // PeerConfigApply implements peer.Server.
-func (c *Controller) PeerConfigApply(ctx context.Context, ask *peer.ConfigApplyRequest) (*peer.ConfigApplyResponse, error) {
+func (c *Controller) PeerConfigApply(ctx context.Context, request *peer.ConfigApplyRequest) (*peer.ConfigApplyResponse, error) {
 	ctx, cancel := context.WithTimeout(kvstore.Urgent(ctx), peer.ApplyLimit)
 	defer cancel()
-	if ask.ID == "" {
-		return &peer.ConfigApplyResponse{Outcome: peer.ConfigInvalid, Reason: "the apply has no name"}, nil
+	if err := c.checkApply(request); err != nil {
+		return (&rejection{outcome: peer.ConfigInvalid, err: err}).response(), nil
 	}
-	for i := range ask.Changes {
-		if err := dynconfig.Check(c.settings, &ask.Changes[i]); err != nil {
-			return &peer.ConfigApplyResponse{Outcome: peer.ConfigInvalid, Reason: err.Error()}, nil
-		}
+	a := &configApplier{
+		controller: c,
+		request:    request,
+		change:     &dynconfig.Request{ID: request.ID, By: request.By, Changes: request.Changes, IfGeneration: request.IfGeneration, At: c.now()},
 	}
-	a := &applier{n: c, ask: ask, q: &dynconfig.Request{ID: ask.ID, By: ask.By, Changes: ask.Changes, IfGeneration: ask.IfGeneration, At: c.now()}}
 	return a.run(ctx), nil
 }
 
-// applyPause is how long an apply waits before it tries again.
-const applyPause = 60 * time.Millisecond
+// checkApply returns what is wrong with a request, whatever is stored.
+func (c *Controller) checkApply(request *peer.ConfigApplyRequest) error {
+	if request.ID == "" {
+		return errApplyUnnamed
+	}
+	for i := range request.Changes {
+		if err := dynconfig.Check(c.settings, &request.Changes[i]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// configApplier carries out one apply: it reads, plans, and stores the plan on condition that nothing
+// has changed since it read; otherwise it begins again.
+type configApplier struct {
+	controller      *Controller
+	request         *peer.ConfigApplyRequest
+	change          *dynconfig.Request // as it is planned
+	firstGeneration uint64             // the first one that can be of this apply; 0: nothing was read yet
+
+	// unresolvedVersion is the version of the generation's key that a switch without an answer was
+	// conditional on. The switch may yet be applied as long as that is the key's version.
+	unresolvedVersion *uint64
+}
 
-func (a *applier) run(ctx context.Context) *peer.ConfigApplyResponse {
+// run tries until there is an outcome or the context ends.
+func (a *configApplier) run(ctx context.Context) *peer.ConfigApplyResponse {
 	var last error
 	for ctx.Err() == nil {
-		answer, err := a.try(ctx)
-		if answer != nil {
-			return answer
+		response, err := a.attempt(ctx)
+		if err == nil {
+			return response
+		}
+		var rejected *rejection
+		if errors.As(err, &rejected) {
+			return rejected.response()
 		}
 		last = err
-		sleepContext(ctx, applyPause)
+		sleepContext(ctx, applyRetryPause)
 	}
-	if a.unknown != nil {
+	if a.unresolvedVersion != nil {
 		return &peer.ConfigApplyResponse{Outcome: peer.ConfigUnknown, Reason: "the state service gave no answer: it may have been applied, or may yet be"}
 	}
 	return &peer.ConfigApplyResponse{Outcome: peer.ConfigRefused, Reason: fmt.Sprint(last)}
 }
 
-// try reads and stores once. It returns no answer if it is to be tried again.
-func (a *applier) try(ctx context.Context) (*peer.ConfigApplyResponse, error) {
-	s, _, err := a.n.config.read(ctx)
+// attempt reads and stores once. After an error that is no rejection it is to be tried again.
+func (a *configApplier) attempt(ctx context.Context) (*peer.ConfigApplyResponse, error) {
+	state, _, err := a.controller.config.readState(ctx)
 	if err != nil {
 		return nil, err
 	}
 	// The history is read after the state: what the state shows applied is in it.
-	done, keys, err := a.history(ctx, s)
-	if err != nil || done != nil {
-		return done, err
+	applied, historyKeys, err := a.findApplied(ctx, state)
+	if err != nil {
+		return nil, err
+	}
+	if applied != nil {
+		return appliedResponse(applied.Generation, applied.Changes), nil
 	}
-	if a.unknown != nil && *a.unknown != s.GenerationVersion {
-		a.unknown = nil // it failed its condition, and always will
+	if a.unresolvedVersion != nil && *a.unresolvedVersion != state.GenerationVersion {
+		a.unresolvedVersion = nil // it failed its condition, and always will
 	}
-	if by := s.Generation.Staging; by != "" && by != a.q.ID {
-		// What it has written until it is taken over, history too, is to be read after that.
-		return nil, errors.Join(dynconfig.ErrStaging, a.claim(ctx, s))
+	if by := state.Generation.Staging; by != "" && by != a.change.ID {
+		// What the other apply writes until it is taken over, history too, is to be read after that.
+		return nil, errors.Join(dynconfig.ErrStaging, a.claim(ctx, state))
 	}
-	if a.ask.RollBack != nil {
-		if answer, err := a.rollBack(ctx, s); answer != nil || err != nil {
-			return answer, err
+	return a.planAndStore(ctx, state, historyKeys)
+}
+
+// planAndStore plans the change against a state and stores it.
+func (a *configApplier) planAndStore(ctx context.Context, state *dynconfig.State, historyKeys []string) (*peer.ConfigApplyResponse, error) {
+	if a.request.RollBack != nil {
+		if err := a.planRollback(ctx, state, *a.request.RollBack); err != nil {
+			return nil, err
 		}
 	}
-	plan, err := s.Plan(a.q, keys, a.n.settings.TxnLimits())
+	plan, err := state.Plan(a.change, historyKeys, a.controller.settings.TxnLimits())
 	if err != nil {
-		return a.unplanned(s, err)
+		return nil, a.planError(state, err)
 	}
-	term, err := a.term(ctx)
-	if errors.Is(err, errEarlierVersion) {
-		return &peer.ConfigApplyResponse{Outcome: peer.ConfigRefused, Reason: err.Error()}, nil
-	} else if err != nil {
+	term, err := a.termCondition(ctx)
+	if err != nil {
 		return nil, err
 	}
-	if a.ask.DryRun {
-		return &peer.ConfigApplyResponse{Outcome: peer.ConfigApplied, Generation: plan.Generation, Changes: plan.Changes}, nil
+	if a.request.DryRun {
+		return appliedResponse(plan.Generation, plan.Changes), nil
 	}
-	if err := a.store(ctx, s, plan, term); err != nil {
+	if err := a.store(ctx, state, plan, term); err != nil {
 		return nil, err
 	}
-	a.tidy(plan.Tidy)
-	_ = a.n.config.refresh(ctx) // the watch brings it all the same
-	return &peer.ConfigApplyResponse{Outcome: peer.ConfigApplied, Generation: plan.Generation, Changes: plan.Changes}, nil
+	a.deleteHistory(plan.Tidy)
+	_ = a.controller.config.refresh(ctx) // the watch brings it all the same
+	return appliedResponse(plan.Generation, plan.Changes), nil
 }
 
-// unplanned answers a request that can't be planned, or lets it be tried again: while an
-// earlier transaction of it may yet arrive nothing is final.
-func (a *applier) unplanned(s *dynconfig.State, err error) (*peer.ConfigApplyResponse, error) {
+func appliedResponse(generation uint64, changes []dynconfig.HistoryChange) *peer.ConfigApplyResponse {
+	return &peer.ConfigApplyResponse{Outcome: peer.ConfigApplied, Generation: generation, Changes: changes}
+}
+
+// planError makes a rejection of what a plan failed for, unless it is to be tried again: while an
+// earlier transaction of the apply may yet be applied nothing is final.
+func (a *configApplier) planError(state *dynconfig.State, err error) error {
+	if errors.Is(err, dynconfig.ErrStaging) || a.unresolvedVersion != nil {
+		return err
+	}
 	outcome := peer.ConfigInvalid
 	switch {
-	case errors.Is(err, dynconfig.ErrStaging):
-		return nil, err
 	case errors.Is(err, dynconfig.ErrNoChange):
 		outcome = peer.ConfigUnchanged
 	case errors.Is(err, dynconfig.ErrGeneration):
 		outcome = peer.ConfigStale
 	}
-	if a.unknown != nil {
-		return nil, err
-	}
-	return &peer.ConfigApplyResponse{Outcome: outcome, Generation: s.Generation.Number, Reason: err.Error()}, nil
+	return &rejection{outcome: outcome, generation: state.Generation.Number, err: err}
 }
 
-// oldestHistory is how many of the oldest keys of the history are looked at, to be tidied.
-const oldestHistory = 8
-
-// history looks whether this apply is in force already, and returns the oldest and newest
-// keys of the history. An apply that is asked for the first time can only be there since its
-// first read.
-func (a *applier) history(ctx context.Context, s *dynconfig.State) (*peer.ConfigApplyResponse, []string, error) {
-	oldest, err := a.n.store.Page(ctx, dynconfig.HistoryPrefix, "", oldestHistory)
+// findApplied returns the generation of this apply, if it is in force already, and otherwise the
+// oldest and newest keys of the history. An apply that is requested for the first time can only be
+// there since its first read.
+func (a *configApplier) findApplied(ctx context.Context, state *dynconfig.State) (*dynconfig.History, []string, error) {
+	store := a.controller.store
+	oldest, err := store.Page(ctx, dynconfig.HistoryPrefix, "", oldestHistory)
 	if err != nil {
 		return nil, nil, err
 	}
-	if a.first == 0 {
-		a.first = s.Generation.Number + 1
+	if a.firstGeneration == 0 {
+		a.firstGeneration = state.Generation.Number + 1
 	}
-	from := a.first
-	if a.ask.Again {
+	from := a.firstGeneration
+	if a.request.Again {
 		from = 0
 	}
-	newest, err := a.n.store.Page(ctx, dynconfig.HistoryPrefix, dynconfig.HistoryBefore(from), configPage)
+	newest, err := store.Page(ctx, dynconfig.HistoryPrefix, dynconfig.HistoryBefore(from), configPage)
 	if err != nil {
 		return nil, nil, err
 	}
-	history, err := dynconfig.ReadHistory(newest.Items, s.Generation.Number)
+	history, err := dynconfig.ReadHistory(newest.Items, state.Generation.Number)
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, h := range history {
-		if h.Apply == a.q.ID {
-			return &peer.ConfigApplyResponse{Outcome: peer.ConfigApplied, Generation: h.Generation, Changes: h.Changes}, nil, nil
+	for i := range history {
+		if history[i].Apply == a.change.ID {
+			return &history[i], nil, nil
 		}
 	}
 	return nil, dynconfig.HistoryKeys(append(oldest.Items, newest.Items...)), nil
 }
 
-// claim takes the generation's key over from an apply that is writing, or that ended while it
-// wrote.
-func (a *applier) claim(ctx context.Context, s *dynconfig.State) error {
-	_, err := a.n.store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCond(s.GenerationVersion)}, Mutations: s.Claim(a.q.ID)})
+// claim takes the generation's key over from an apply that is writing, or that ended while it wrote.
+func (a *configApplier) claim(ctx context.Context, state *dynconfig.State) error {
+	_, err := a.controller.store.Txn(ctx, wire.Txn{
+		Conditions: []wire.Condition{generationCondition(state.GenerationVersion)},
+		Mutations:  state.Claim(a.change.ID),
+	})
 	return err
 }
 
-// rollBack makes the request's changes those that lead back to a generation.
-func (a *applier) rollBack(ctx context.Context, s *dynconfig.State) (*peer.ConfigApplyResponse, error) {
-	history, err := a.n.config.history(ctx, s)
+// planRollback makes the changes those that lead back to a generation.
+func (a *configApplier) planRollback(ctx context.Context, state *dynconfig.State, to uint64) error {
+	history, err := a.controller.config.readHistory(ctx, state)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	if a.q.Changes, err = dynconfig.RollBack(history, *a.ask.RollBack); err != nil {
-		return &peer.ConfigApplyResponse{Outcome: peer.ConfigInvalid, Reason: err.Error()}, nil
+	if a.change.Changes, err = dynconfig.RollBack(history, to); err != nil {
+		return &rejection{outcome: peer.ConfigInvalid, err: err}
 	}
-	return nil, nil
+	return nil
 }
 
-// term is the condition that the leader, if there is one, stores launches on condition of the
-// generation, and stays the leader until the change is stored.
-func (a *applier) term(ctx context.Context) (wire.Condition, error) {
-	e, found, err := a.n.store.Get(ctx, termKey)
+// termCondition is the condition that the leader, if there is one, stores launches on condition of
+// the generation, and stays the leader until the change is stored. It is rejected while a controller
+// doesn't support that.
+func (a *configApplier) termCondition(ctx context.Context) (wire.Condition, error) {
+	entry, found, err := a.controller.store.Get(ctx, termKey)
 	if err != nil {
 		return wire.Condition{}, err
 	}
-	old := a.n.config.earlierPeers()
+	unsupporting := a.controller.config.peersWithoutSupport()
 	if found {
-		var t termRecord
-		if err := wire.Unmarshal(e.Value, &t); err != nil {
+		var term termRecord
+		if err := wire.Unmarshal(entry.Value, &term); err != nil {
 			return wire.Condition{}, err
 		}
-		if !t.SupportsConfig {
-			old = []string{t.Node}
+		if !term.SupportsConfig {
+			unsupporting = []string{term.Node}
 		}
 	}
-	if len(old) > 0 {
-		return wire.Condition{}, fmt.Errorf("%s %w", strings.Join(old, ", "), errEarlierVersion)
+	if len(unsupporting) > 0 {
+		err := fmt.Errorf("%s %w", strings.Join(unsupporting, ", "), errNoConfigSupport)
+		return wire.Condition{}, &rejection{outcome: peer.ConfigRefused, err: err}
 	}
-	return wire.Condition{Key: termKey, Version: e.Version}, nil // version 0: there is none, and none may come
+	return wire.Condition{Key: termKey, Version: entry.Version}, nil // version 0: there is no term, and none may begin
 }
 
 // store carries a plan out. Whatever of it has no answer is found by reading again.
-func (a *applier) store(ctx context.Context, s *dynconfig.State, plan *dynconfig.Plan, term wire.Condition) error {
-	version := s.GenerationVersion
+func (a *configApplier) store(ctx context.Context, state *dynconfig.State, plan *dynconfig.Plan, term wire.Condition) error {
+	store := a.controller.store
+	version := state.GenerationVersion
 	if plan.Stage != nil {
-		answer, err := a.n.store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCond(version)}, Mutations: plan.Stage})
+		response, err := store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCondition(version)}, Mutations: plan.Stage})
 		if err != nil {
 			return err
 		}
-		version = answer.Revision
+		version = response.Revision
 	}
 	for _, batch := range plan.Batches {
-		if _, err := a.n.store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCond(version)}, Mutations: batch}); err != nil {
+		if _, err := store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCondition(version)}, Mutations: batch}); err != nil {
 			return err
 		}
 	}
-	_, err := a.n.store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCond(version), term}, Mutations: plan.Switch})
+	_, err := store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCondition(version), term}, Mutations: plan.Switch})
 	if errors.Is(err, kvstore.ErrOutcomeUnknown) {
-		a.unknown = &version
+		a.unresolvedVersion = &version
 	}
 	return err
 }
 
-// tidy deletes old history, in the background: nothing depends on when.
-func (a *applier) tidy(keys []string) {
+// deleteHistory deletes old history in the background: nothing depends on when, and the next apply
+// finds what is left.
+func (a *configApplier) deleteHistory(keys []string) {
 	if len(keys) == 0 {
 		return
 	}
 	var txn wire.Txn
-	for _, k := range keys[:min(len(keys), a.n.settings.Deployment.State.TxnOps)] {
-		txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: k})
+	for _, key := range keys[:min(len(keys), a.controller.settings.Deployment.State.TxnOps)] {
+		txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: key})
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), peer.ApplyLimit)
 		defer cancel()
-		_, _ = a.n.store.Txn(ctx, txn) // the next apply finds what is left
+		_, _ = a.controller.store.Txn(ctx, txn)
 	}()
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -48,7 +48,7 @@
 	owner       *ownerLoop
 	follower    *follower
 	leaderWatch *leaderWatch
-	config      *configuration
+	config      *configFollower
 
 	term           termTracker
 	peerTable      *peerTable
@@ -105,7 +105,7 @@
 	n.lookups = newLookupBatcher(set, n.store, n.archive, n.statuses, n.taskCounts)
 	n.follower = &follower{controller: n}
 	n.leaderWatch = newLeaderWatch(n)
-	n.config = newConfiguration(n)
+	n.config = newConfigFollower(n)
 	if file := set.Operator.Calendar; file != "" {
 		var err error
 		if n.calendar, err = calendar.Load(file); err != nil {
@@ -157,7 +157,7 @@
 	go c.electionLoop(ctx)
 	go c.probeStore(ctx)
 	go c.follower.run(ctx)
-	go c.config.follow(ctx)
+	go c.config.run(ctx)
 	go c.leaderWatch.run(ctx)
 	go c.warmArchive(ctx)
 	go c.lookups.run(ctx)
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -84,8 +84,8 @@
 		help string
 		read func() float64
 	}{
-		"config_generation":      {"Generation of the configuration that this node decides by.", func() float64 { return float64(c.config.current().number) }},
-		"config_refused_batches": {"Batches of launches that were decided anew since the configuration had changed.", func() float64 { return float64(c.config.refused.Load()) }},
+		"config_generation":      {"Generation of the configuration that this node decides by.", func() float64 { return float64(c.config.current().generation) }},
+		"config_refused_batches": {"Batches of launches that were decided anew since the configuration had changed.", func() float64 { return float64(c.config.rejectedBatches.Load()) }},
 	} {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "dalefront", Name: name, Help: x.help}, x.read))
 	}
--- a/internal/controller/peerheartbeat.go
+++ b/internal/controller/peerheartbeat.go
@@ -31,7 +31,7 @@
 // started anew lately.
 func (c *Controller) handlePeerHeartbeat(label string, h *peer.Heartbeat) int {
 	c.recordTermOf(h)
-	c.config.recordPeerConfig(label, h)
+	c.config.recordPeer(label, h)
 	c.leaderWatch.recordAlive(label, h.ProcessID)
 	return c.recordPeerProcess(label, h.ProcessID, time.Now())
 }
@@ -58,7 +58,7 @@
 	term := c.term.view()
 	h := &peer.Heartbeat{From: c.settings.Label, Leader: term.leader, Token: term.token, ProcessID: c.processID, Leading: term.isLeading() && term.leading == term.token}
 	h.CannotFollow = c.follower.unfit()
-	h.SupportsConfig, h.Generation = true, c.config.current().number
+	h.SupportsConfig, h.Generation = true, c.config.current().generation
 	if view := c.peerTable.standbyView(); view.Token > 0 {
 		h.StandbyView = &view
 	}
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -148,12 +148,12 @@
 	c := l.controller
 	cat, _ := c.machineTypes()
 	now := c.now()
-	if err := c.config.follows(s.config, s.revision); err != nil {
+	if err := c.config.adopt(s.config, s.revision); err != nil {
 		return nil, err
 	}
 	inForce := c.config.current()
 	core := sched.New(inForce.settings, l.token, now, cat, func(msg string, args ...any) { c.log.Info(msg, args...) })
-	core.Configure(inForce.settings, inForce.cordons, inForce.version, now)
+	core.Configure(inForce.settings, inForce.cordons, inForce.generationVersion, now)
 	l.staleKeys.keys = nil
 	l.progress.reset()
 	for _, rec := range s.jobs {
