--- a/cmd/dalefront/config.go
+++ b/cmd/dalefront/config.go
@@ -67,7 +67,7 @@
 			err = errors.New(a.Reason)
 		}
 		// It may have been carried out, or may yet be: the next one looks for it first.
-		q.Again, last = true, err
+		q.Retry, last = true, err
 	}
 	return nil, &exitError{exitLater, fmt.Errorf("no controller could say that it is applied (%w): config history shows whether %s is; with --if-generation it can be repeated safely", last, q.ID)}
 }
@@ -126,7 +126,7 @@
 }
 
 func (f *changeFlags) request() *peer.ConfigApplyRequest {
-	q := &peer.ConfigApplyRequest{ID: fmt.Sprintf("%x-%08x", time.Now().UnixMicro(), rand.Uint32()), By: f.by, DryRun: f.dryRun}
+	q := &peer.ConfigApplyRequest{ID: fmt.Sprintf("%x-%08x", time.Now().UnixMicro(), rand.Uint32()), Author: f.by, DryRun: f.dryRun}
 	if f.ifGeneration >= 0 {
 		generation := uint64(f.ifGeneration)
 		q.IfGeneration = &generation
@@ -203,7 +203,7 @@
 				return fmt.Errorf("%q is not the number of a generation", args[0])
 			}
 			q := f.request()
-			q.RollBack = &to
+			q.RollbackTo = &to
 			return f.send(cmd, c, q)
 		})}
 	f.add(cmd)
@@ -332,8 +332,8 @@
 		if err != nil {
 			continue
 		}
-		since := time.UnixMicro(a.Since).UTC()
-		out[i] = controllerConfig{Label: c.labels[i], Answers: true, Known: a.Known, Generation: a.Generation, Since: &since, Unknown: a.Unknown}
+		since := time.UnixMicro(a.ActiveSince).UTC()
+		out[i] = controllerConfig{Label: c.labels[i], Answers: true, Known: a.Loaded, Generation: a.Generation, Since: &since, Unknown: a.UnusableDocuments}
 	}
 	return out
 }
--- a/cmd/dalefront/handover.go
+++ b/cmd/dalefront/handover.go
@@ -35,7 +35,7 @@
 			ctx, cancel := context.WithTimeout(cmd.Context(), wait)
 			defer cancel()
 			c, err := peer.ChangeLeader(ctx, addrs)
-			if errors.Is(err, peer.ErrNoLeader) || errors.Is(err, peer.ErrNobody) {
+			if errors.Is(err, peer.ErrNoLeader) || errors.Is(err, peer.ErrNoNewLeader) {
 				return &exitError{exitLater, fmt.Errorf("handover: %w", err)}
 			}
 			if err != nil {
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -260,7 +260,7 @@
 // PeerConfigStatus implements peer.Server.
 func (c *Controller) PeerConfigStatus(context.Context, *peer.ConfigStatusRequest) (*peer.ConfigStatusResponse, error) {
 	now := c.config.current()
-	return &peer.ConfigStatusResponse{Label: c.settings.Label, Known: now.known, Generation: now.number, Since: now.since, Unknown: now.unknown}, nil
+	return &peer.ConfigStatusResponse{Label: c.settings.Label, Loaded: now.known, Generation: now.number, ActiveSince: now.since, UnusableDocuments: now.unknown}, nil
 }
 
 // PeerConfigRead implements peer.Server.
--- a/internal/controller/configapply.go
+++ b/internal/controller/configapply.go
@@ -30,7 +30,7 @@
 
 // PeerConfigApply implements peer.Server.
 func (c *Controller) PeerConfigApply(ctx context.Context, ask *peer.ConfigApplyRequest) (*peer.ConfigApplyResponse, error) {
-	ctx, cancel := context.WithTimeout(kvstore.Urgent(ctx), peer.ApplyLimit)
+	ctx, cancel := context.WithTimeout(kvstore.Urgent(ctx), peer.ApplyTimeout)
 	defer cancel()
 	if ask.ID == "" {
 		return &peer.ConfigApplyResponse{Outcome: peer.ConfigInvalid, Reason: "the apply has no name"}, nil
@@ -40,7 +40,7 @@
 			return &peer.ConfigApplyResponse{Outcome: peer.ConfigInvalid, Reason: err.Error()}, nil
 		}
 	}
-	a := &applier{n: c, ask: ask, q: &dynconfig.Request{ID: ask.ID, By: ask.By, Changes: ask.Changes, IfGeneration: ask.IfGeneration, At: c.now()}}
+	a := &applier{n: c, ask: ask, q: &dynconfig.Request{ID: ask.ID, By: ask.Author, Changes: ask.Changes, IfGeneration: ask.IfGeneration, At: c.now()}}
 	return a.run(ctx), nil
 }
 
@@ -81,7 +81,7 @@
 		// What it has written until it is taken over, history too, is to be read after that.
 		return nil, errors.Join(dynconfig.ErrStaging, a.claim(ctx, s))
 	}
-	if a.ask.RollBack != nil {
+	if a.ask.RollbackTo != nil {
 		if answer, err := a.rollBack(ctx, s); answer != nil || err != nil {
 			return answer, err
 		}
@@ -140,7 +140,7 @@
 		a.first = s.Generation.Number + 1
 	}
 	from := a.first
-	if a.ask.Again {
+	if a.ask.Retry {
 		from = 0
 	}
 	newest, err := a.n.store.Page(ctx, dynconfig.HistoryPrefix, dynconfig.HistoryBefore(from), configPage)
@@ -172,7 +172,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if a.q.Changes, err = dynconfig.RollBack(history, *a.ask.RollBack); err != nil {
+	if a.q.Changes, err = dynconfig.RollBack(history, *a.ask.RollbackTo); err != nil {
 		return &peer.ConfigApplyResponse{Outcome: peer.ConfigInvalid, Reason: err.Error()}, nil
 	}
 	return nil, nil
@@ -233,7 +233,7 @@
 		txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: k})
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), peer.ApplyLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), peer.ApplyTimeout)
 		defer cancel()
 		_, _ = a.n.store.Txn(ctx, txn) // the next apply finds what is left
 	}()
--- a/internal/controller/workercontacts.go
+++ b/internal/controller/workercontacts.go
@@ -46,9 +46,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	if _, known := w.seenAt[host]; !known && len(w.seenAt) >= peer.MostHeard {
+	if _, known := w.seenAt[host]; !known && len(w.seenAt) >= peer.MaxContacts {
 		w.expire(now)
-		if len(w.seenAt) >= peer.MostHeard {
+		if len(w.seenAt) >= peer.MaxContacts {
 			return
 		}
 	}
--- /dev/null
+++ b/internal/peer/client.go
@@ -0,0 +1,81 @@
+package peer
+
+import (
+	"context"
+	"time"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/backoff"
+	"google.golang.org/grpc/connectivity"
+	"google.golang.org/grpc/credentials/insecure"
+)
+
+// maxResponseBytes is the largest response. The largest needed is the configuration's
+// history: 200 generations, each of which may have changed many documents. It is sent to
+// operators' commands; responses between controllers stay below a megabyte.
+const maxResponseBytes = 32 << 20
+
+const (
+	heartbeatTimeout = 800 * time.Millisecond
+	probeTimeout     = 150 * time.Millisecond
+	relayTimeout     = 1500 * time.Millisecond
+	countsTimeout    = 400 * time.Millisecond
+	connectTimeout   = time.Second // least time to give an attempt to connect
+)
+
+// reconnectBackoff is the delay between attempts to connect.
+var reconnectBackoff = backoff.Config{BaseDelay: 200 * time.Millisecond, Multiplier: 1.5, Jitter: 0.2, MaxDelay: time.Second}
+
+// Client is a connection to one peer. It is safe for use by several goroutines.
+type Client struct{ conn *grpc.ClientConn }
+
+// Dial returns a client; it connects when first used.
+func Dial(addr string) (*Client, error) {
+	conn, err := grpc.NewClient("passthrough:///"+addr,
+		grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithDefaultCallOptions(grpc.CallContentSubtype(codecName), grpc.MaxCallRecvMsgSize(maxResponseBytes)),
+		grpc.WithReadBufferSize(bufferBytes), grpc.WithWriteBufferSize(bufferBytes),
+		grpc.WithIdleTimeout(0), grpc.WithDisableServiceConfig(),
+		grpc.WithConnectParams(grpc.ConnectParams{Backoff: reconnectBackoff, MinConnectTimeout: connectTimeout}))
+	if err != nil {
+		return nil, err
+	}
+	return &Client{conn}, nil
+}
+
+// Close closes the connection.
+func (c *Client) Close() error { return c.conn.Close() }
+
+// call invokes a method of the peer within a time limit.
+func call[Out any](ctx context.Context, c *Client, timeout time.Duration, method string, in any) (*Out, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	out := new(Out)
+	return out, c.conn.Invoke(ctx, "/"+serviceName+"/"+method, in, out)
+}
+
+// Heartbeat exchanges what is known about the term.
+func (c *Client) Heartbeat(ctx context.Context, heartbeat *Heartbeat) (*Heartbeat, error) {
+	return call[Heartbeat](ctx, c, heartbeatTimeout, methodHeartbeat, heartbeat)
+}
+
+// Probe is a heartbeat with a short timeout, to find out whether a process answers.
+func (c *Client) Probe(ctx context.Context, heartbeat *Heartbeat) (*Heartbeat, error) {
+	return call[Heartbeat](ctx, c, probeTimeout, methodHeartbeat, heartbeat)
+}
+
+// Connected reports whether the connection works, as far as is known.
+func (c *Client) Connected() bool { return c.conn.GetState() == connectivity.Ready }
+
+// ResetBackoff lets the next call try to connect at once, whatever failed before.
+func (c *Client) ResetBackoff() { c.conn.ResetConnectBackoff() }
+
+// Relay passes a worker's heartbeat to the leader.
+func (c *Client) Relay(ctx context.Context, request *RelayRequest) (*RelayResponse, error) {
+	return call[RelayResponse](ctx, c, relayTimeout, methodRelay, request)
+}
+
+// Counts asks for the task counts of jobs.
+func (c *Client) Counts(ctx context.Context, jobIDs []string) (*CountsResponse, error) {
+	return call[CountsResponse](ctx, c, countsTimeout, methodCounts, &CountsRequest{JobIDs: jobIDs})
+}
--- a/internal/peer/config.go
+++ b/internal/peer/config.go
@@ -9,28 +9,31 @@
 
 // ConfigApplyRequest asks a controller to change the configuration.
 type ConfigApplyRequest struct {
-	ID           string             `msgpack:"i"` // names the apply; repeated, it takes effect once
-	By           string             `msgpack:"b"`
+	ID           string             `msgpack:"i"` // idempotency key: repeated requests with it take effect once
+	Author       string             `msgpack:"b"`
 	Changes      []dynconfig.Change `msgpack:"c"`
-	RollBack     *uint64            `msgpack:"r,omitempty"` // to this generation, instead of the changes
-	IfGeneration *uint64            `msgpack:"g,omitempty"`
-	Again        bool               `msgpack:"a,omitempty"` // it was asked for before, and the answer was lost
+	RollbackTo   *uint64            `msgpack:"r,omitempty"` // a generation, instead of the changes
+	IfGeneration *uint64            `msgpack:"g,omitempty"` // apply only if this generation is in force
+	Retry        bool               `msgpack:"a,omitempty"` // it was sent before, and the response was lost
 	DryRun       bool               `msgpack:"d,omitempty"`
 }
 
+// ConfigOutcome is what became of an apply.
+type ConfigOutcome string
+
 // Outcomes of an apply.
 const (
-	ConfigApplied   = "applied"
-	ConfigUnchanged = "unchanged" // all documents are as wanted
-	ConfigInvalid   = "invalid"   // nothing was changed; asking again doesn't help
-	ConfigStale     = "stale"     // another generation is in force than the one asked for
-	ConfigRefused   = "refused"   // nothing was changed; later it may be
-	ConfigUnknown   = "unknown"   // it may have been applied, or may yet be
+	ConfigApplied   ConfigOutcome = "applied"
+	ConfigUnchanged ConfigOutcome = "unchanged" // all documents are as wanted
+	ConfigInvalid   ConfigOutcome = "invalid"   // nothing was changed; a retry doesn't help
+	ConfigStale     ConfigOutcome = "stale"     // another generation is in force than IfGeneration
+	ConfigRefused   ConfigOutcome = "refused"   // nothing was changed; a later retry may succeed
+	ConfigUnknown   ConfigOutcome = "unknown"   // it may have been applied, or may yet be
 )
 
-// ConfigApplyResponse says what became of it.
+// ConfigApplyResponse is the answer to an apply.
 type ConfigApplyResponse struct {
-	Outcome    string                    `msgpack:"o"`
+	Outcome    ConfigOutcome             `msgpack:"o"`
 	Generation uint64                    `msgpack:"g"` // that is in force because of it, or would be
 	Changes    []dynconfig.HistoryChange `msgpack:"c"`
 	Reason     string                    `msgpack:"w,omitempty"`
@@ -38,48 +41,48 @@
 
 // ConfigReadRequest asks for the configuration as the state service has it.
 type ConfigReadRequest struct {
-	History bool `msgpack:"h,omitempty"` // of the generations that are kept, too
+	History bool `msgpack:"h,omitempty"` // include the history that is kept
 }
 
 // ConfigReadResponse is the configuration in force.
 type ConfigReadResponse struct {
 	Generation uint64               `msgpack:"g"`
 	Documents  []dynconfig.Document `msgpack:"d"`
-	History    []dynconfig.History  `msgpack:"h,omitempty"` // the newest first
+	History    []dynconfig.History  `msgpack:"h,omitempty"` // newest first
 	Reason     string               `msgpack:"w,omitempty"` // why it can't be read
 }
 
-// ConfigStatusRequest asks for what a controller decides by.
+// ConfigStatusRequest asks which configuration a controller decides by.
 type ConfigStatusRequest struct{}
 
 // ConfigStatusResponse is the generation that a controller decides by.
 type ConfigStatusResponse struct {
-	Label      string   `msgpack:"l"`
-	Known      bool     `msgpack:"k"` // it has read the configuration since it was started
-	Generation uint64   `msgpack:"g"`
-	Since      int64    `msgpack:"s"`           // microseconds, time of day
-	Unknown    []string `msgpack:"u,omitempty"` // documents that it can't use
+	Label             string   `msgpack:"l"`
+	Loaded            bool     `msgpack:"k"` // it has read the configuration since it was started
+	Generation        uint64   `msgpack:"g"`
+	ActiveSince       int64    `msgpack:"s"`           // microseconds, time of day
+	UnusableDocuments []string `msgpack:"u,omitempty"` // of kinds it doesn't know, or that it can't read
 }
 
 const (
-	// ApplyLimit is for how long a controller tries to carry out an apply.
-	ApplyLimit       = 10 * time.Second
-	configReadLimit  = 5 * time.Second
-	configStatLimit  = time.Second
-	applyAnswerLimit = ApplyLimit + 2*time.Second
+	// ApplyTimeout is for how long a controller tries to carry out an apply.
+	ApplyTimeout         = 10 * time.Second
+	applyResponseTimeout = ApplyTimeout + 2*time.Second
+	configReadTimeout    = 5 * time.Second
+	configStatusTimeout  = time.Second
 )
 
 // ConfigApply asks for a change of configuration.
-func (c *Client) ConfigApply(ctx context.Context, q *ConfigApplyRequest) (*ConfigApplyResponse, error) {
-	return call[ConfigApplyResponse](c, applyAnswerLimit, ctx, "ConfigApply", q)
+func (c *Client) ConfigApply(ctx context.Context, request *ConfigApplyRequest) (*ConfigApplyResponse, error) {
+	return call[ConfigApplyResponse](ctx, c, applyResponseTimeout, methodApply, request)
 }
 
 // ConfigRead asks for the stored configuration.
-func (c *Client) ConfigRead(ctx context.Context, q *ConfigReadRequest) (*ConfigReadResponse, error) {
-	return call[ConfigReadResponse](c, configReadLimit, ctx, "ConfigRead", q)
+func (c *Client) ConfigRead(ctx context.Context, request *ConfigReadRequest) (*ConfigReadResponse, error) {
+	return call[ConfigReadResponse](ctx, c, configReadTimeout, methodReadConfig, request)
 }
 
-// ConfigStatus asks for what the controller decides by.
+// ConfigStatus asks which configuration the controller decides by.
 func (c *Client) ConfigStatus(ctx context.Context) (*ConfigStatusResponse, error) {
-	return call[ConfigStatusResponse](c, configStatLimit, ctx, "ConfigStatus", &ConfigStatusRequest{})
+	return call[ConfigStatusResponse](ctx, c, configStatusTimeout, methodStatus, &ConfigStatusRequest{})
 }
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -33,12 +33,12 @@
 // The methods' names, the outcomes of an apply, and the codec that both sides name.
 func TestMethodsStayAsTheyAre(t *testing.T) {
 	var out []string
-	for _, m := range desc.Methods {
-		out = append(out, "/"+desc.ServiceName+"/"+m.MethodName)
+	for _, m := range serviceDescription.Methods {
+		out = append(out, "/"+serviceDescription.ServiceName+"/"+m.MethodName)
 	}
 	out = append(out, "codec "+codec{}.Name())
-	for _, outcome := range []string{ConfigApplied, ConfigUnchanged, ConfigInvalid, ConfigStale, ConfigRefused, ConfigUnknown} {
-		out = append(out, "outcome "+outcome)
+	for _, outcome := range []ConfigOutcome{ConfigApplied, ConfigUnchanged, ConfigInvalid, ConfigStale, ConfigRefused, ConfigUnknown} {
+		out = append(out, "outcome "+string(outcome))
 	}
 	golden.Text(t, "methods.golden", strings.Join(out, "\n")+"\n")
 	if encoding.GetCodecV2("msgpack") == nil && encoding.GetCodec("msgpack") == nil {
--- a/internal/peer/limits_test.go
+++ b/internal/peer/limits_test.go
@@ -12,24 +12,24 @@
 	"dalefront/wire"
 )
 
-// answering answers with what it was given.
-type answering struct {
+// fakeServer answers with the messages it was given.
+type fakeServer struct {
 	Server
-	read  *ConfigReadResponse
-	hello *Heartbeat
-	got   *ConfigApplyRequest
+	configRead *ConfigReadResponse
+	heartbeat  *Heartbeat
+	applied    *ConfigApplyRequest
 }
 
-func (a *answering) PeerConfigRead(context.Context, *ConfigReadRequest) (*ConfigReadResponse, error) {
-	return a.read, nil
+func (f *fakeServer) PeerConfigRead(context.Context, *ConfigReadRequest) (*ConfigReadResponse, error) {
+	return f.configRead, nil
 }
 
-func (a *answering) PeerHeartbeat(context.Context, *Heartbeat) (*Heartbeat, error) {
-	return a.hello, nil
+func (f *fakeServer) PeerHeartbeat(context.Context, *Heartbeat) (*Heartbeat, error) {
+	return f.heartbeat, nil
 }
 
-func (a *answering) PeerConfigApply(_ context.Context, q *ConfigApplyRequest) (*ConfigApplyResponse, error) {
-	a.got = q
+func (f *fakeServer) PeerConfigApply(_ context.Context, q *ConfigApplyRequest) (*ConfigApplyResponse, error) {
+	f.applied = q
 	return &ConfigApplyResponse{Outcome: ConfigApplied}, nil
 }
 
@@ -43,12 +43,12 @@
 	srv := NewServer(s, 800)
 	go func() { _ = srv.Serve(lis) }()
 	t.Cleanup(srv.Stop)
-	c, err := Dial(lis.Addr().String())
+	client, err := Dial(lis.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = c.Close() })
-	return c
+	t.Cleanup(func() { _ = client.Close() })
+	return client
 }
 
 // cordons are so many of the largest documents that make sense.
@@ -66,23 +66,23 @@
 }
 
 // What grows with a site goes through in one message: an apply of as many documents as there may
-// be, the configuration with all of its history, and all workers that were heard.
+// be, the configuration with all of its history, and all workers that were heard from.
 func TestLargestMessages(t *testing.T) {
-	s := &answering{}
-	c := connect(t, s)
+	server := &fakeServer{}
+	client := connect(t, server)
 	changes := cordons(t, dynconfig.MaxDocuments)
 	t.Run("apply", func(t *testing.T) {
-		if _, err := c.ConfigApply(t.Context(), &ConfigApplyRequest{ID: "a", Changes: changes}); err != nil {
+		if _, err := client.ConfigApply(t.Context(), &ConfigApplyRequest{ID: "a", Changes: changes}); err != nil {
 			t.Fatal(err)
 		}
-		if len(s.got.Changes) != len(changes) {
-			t.Errorf("%d of %d documents arrived", len(s.got.Changes), len(changes))
+		if len(server.applied.Changes) != len(changes) {
+			t.Errorf("%d of %d documents arrived", len(server.applied.Changes), len(changes))
 		}
 	})
 	t.Run("history", func(t *testing.T) {
-		s.read = &ConfigReadResponse{}
+		server.configRead = &ConfigReadResponse{}
 		for _, change := range changes {
-			s.read.Documents = append(s.read.Documents, change.Document)
+			server.configRead.Documents = append(server.configRead.Documents, change.Document)
 		}
 		const each = 200 // documents that a generation changes: a row of machines, cordoned or not
 		for g := range dynconfig.KeptHistory {
@@ -90,13 +90,13 @@
 			for _, change := range changes[:each] {
 				h.Changes = append(h.Changes, dynconfig.HistoryChange{Kind: change.Kind, Name: change.Name, After: change.Body})
 			}
-			s.read.History = append(s.read.History, h)
+			server.configRead.History = append(server.configRead.History, h)
 		}
-		b, err := wire.Marshal(s.read)
+		b, err := wire.Marshal(server.configRead)
 		if err != nil || len(b) < 4<<20 {
 			t.Fatalf("%d bytes, no more than one message has without a limit of ours: %v", len(b), err)
 		}
-		a, err := c.ConfigRead(t.Context(), &ConfigReadRequest{History: true})
+		a, err := client.ConfigRead(t.Context(), &ConfigReadRequest{History: true})
 		if err != nil {
 			t.Fatalf("%d bytes: %v", len(b), err)
 		}
@@ -105,15 +105,15 @@
 		}
 	})
 	t.Run("heard", func(t *testing.T) {
-		s.hello = &Heartbeat{StandbyView: &standby.View{}}
-		for i := range MostHeard {
-			s.hello.Contacts = append(s.hello.Contacts, Contact{Host: fmt.Sprintf("n-%038d", i), AgeMicros: 1 << 30})
+		server.heartbeat = &Heartbeat{StandbyView: &standby.View{}}
+		for i := range MaxContacts {
+			server.heartbeat.Contacts = append(server.heartbeat.Contacts, Contact{Host: fmt.Sprintf("n-%038d", i), AgeMicros: 1 << 30})
 		}
-		a, err := c.Heartbeat(t.Context(), &Heartbeat{WantContacts: true})
-		if err != nil || len(a.Contacts) != MostHeard {
-			t.Fatalf("%d of %d workers arrived: %v", len(a.Contacts), MostHeard, err)
+		a, err := client.Heartbeat(t.Context(), &Heartbeat{WantContacts: true})
+		if err != nil || len(a.Contacts) != MaxContacts {
+			t.Fatalf("%d of %d workers arrived: %v", len(a.Contacts), MaxContacts, err)
 		}
-		if b, _ := wire.Marshal(s.hello); len(b) > maxRequest {
+		if b, _ := wire.Marshal(server.heartbeat); len(b) > maxRequestBytes {
 			t.Errorf("%d bytes, more than an earlier version's limit of a request", len(b))
 		}
 	})
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -8,8 +8,8 @@
 	"dalefront/wire"
 )
 
-// earlier is a hello as earlier versions know it.
-type earlier struct {
+// earlierHeartbeat is a heartbeat as earlier versions know it.
+type earlierHeartbeat struct {
 	From   string    `msgpack:"f"`
 	Leader string    `msgpack:"l"`
 	Token  uint64    `msgpack:"t"`
@@ -20,15 +20,15 @@
 // Controllers of two versions understand each other, both ways: while they are upgraded
 // one after the other, an earlier one says nothing of processes, views and cancellations,
 // and does not answer whether it reaches another one, so that it is never evidence.
-func TestHelloOfAnotherVersion(t *testing.T) {
+func TestHeartbeatOfAnotherVersion(t *testing.T) {
 	full := Heartbeat{From: "a", Leader: "b", Token: 7, WantContacts: true, Contacts: []Contact{{"n-1", 5}}, Leading: true, ProcessID: 9, RecentRestarts: 2, RenewalToken: 6,
 		StandbyView: &standby.View{Token: 7, Number: 2, Standbys: []string{"c"}}, CannotFollow: true, Probe: "b", ProbeProcessID: 4, Reached: true}
 	b, err := wire.Marshal(full)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var old earlier
-	if err := wire.Unmarshal(b, &old); err != nil || !reflect.DeepEqual(old, earlier{"a", "b", 7, true, []Contact{{"n-1", 5}}}) {
+	var old earlierHeartbeat
+	if err := wire.Unmarshal(b, &old); err != nil || !reflect.DeepEqual(old, earlierHeartbeat{"a", "b", 7, true, []Contact{{"n-1", 5}}}) {
 		t.Errorf("an earlier version reads %+v: %v", old, err)
 	}
 	if b, err = wire.Marshal(old); err != nil {
@@ -36,7 +36,7 @@
 	}
 	var back Heartbeat
 	if err := wire.Unmarshal(b, &back); err != nil || !reflect.DeepEqual(back, Heartbeat{From: "a", Leader: "b", Token: 7, WantContacts: true, Contacts: []Contact{{"n-1", 5}}}) {
-		t.Errorf("an earlier version's hello is read as %+v: %v", back, err)
+		t.Errorf("an earlier version's heartbeat is read as %+v: %v", back, err)
 	}
 	var again Heartbeat
 	if b, err = wire.Marshal(full); err != nil || wire.Unmarshal(b, &again) != nil || !reflect.DeepEqual(again, full) {
--- a/internal/scaletest/config.go
+++ b/internal/scaletest/config.go
@@ -89,7 +89,7 @@
 	}
 	ctx, cancel := context.WithTimeout(c.r.ctx, time.Minute)
 	defer cancel()
-	q := &peer.ConfigApplyRequest{ID: fmt.Sprintf("scale-%d-%d", c.r.gen.prefix, i), By: "scale run", Changes: []dynconfig.Change{{Document: d}}}
+	q := &peer.ConfigApplyRequest{ID: fmt.Sprintf("scale-%d-%d", c.r.gen.prefix, i), Author: "scale run", Changes: []dynconfig.Change{{Document: d}}}
 	begun := time.Now()
 	for k := range c.clients {
 		a, err := c.clients[(i+k)%len(c.clients)].ConfigApply(ctx, q)
@@ -99,7 +99,7 @@
 			c.awaitInForce(ctx, a.Generation)
 			return
 		}
-		q.Again = true
+		q.Retry = true
 	}
 	c.count(func(r *ConfigResult) { r.Failed++ })
 }
@@ -110,7 +110,7 @@
 	for _, client := range c.clients {
 		for {
 			a, err := client.ConfigStatus(ctx)
-			if err == nil && a.Known && a.Generation >= generation {
+			if err == nil && a.Loaded && a.Generation >= generation {
 				break
 			}
 			if time.Since(begun) > inForceLimit {
--- a/internal/simulation/config_test.go
+++ b/internal/simulation/config_test.go
@@ -159,14 +159,15 @@
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
 		in, out := input.(configCall), output.(string)
+		outcome := peer.ConfigOutcome(out)
 		switch {
 		case in.op == "get" && out == state:
 			return []any{state}
 		case in.op == "get":
 			return nil
-		case out == peer.ConfigApplied, out == peer.ConfigUnchanged && state == in.value:
+		case outcome == peer.ConfigApplied, outcome == peer.ConfigUnchanged && state == in.value:
 			return []any{in.value}
-		case out == peer.ConfigUnknown:
+		case outcome == peer.ConfigUnknown:
 			return []any{state, in.value}
 		}
 		return nil
@@ -186,7 +187,7 @@
 
 func (o *operators) record(client int, in configCall, out string, from time.Time) {
 	to := time.Since(o.begin).Nanoseconds()
-	if out == peer.ConfigUnknown {
+	if peer.ConfigOutcome(out) == peer.ConfigUnknown {
 		to = 1 << 62
 	}
 	o.mu.Lock()
@@ -196,7 +197,7 @@
 
 // apply stores the cordon, with a zone that covers the machine or another. A lost answer is
 // asked for again at the next node, under the same name.
-func (o *operators) apply(client int, zone, value string) string {
+func (o *operators) apply(client int, zone, value string) peer.ConfigOutcome {
 	change := dynconfig.Change{Document: document(dynconfig.KindCordon, "a", dynconfig.Cordon{Zone: zone, Reason: value})}
 	q := &peer.ConfigApplyRequest{ID: value, Changes: []dynconfig.Change{change}}
 	from := time.Now()
@@ -211,7 +212,7 @@
 		if out = a.Outcome; out != peer.ConfigRefused && out != peer.ConfigUnknown {
 			break
 		}
-		q.Again = true
+		q.Retry = true
 	}
 	switch out {
 	case peer.ConfigApplied, peer.ConfigUnchanged:
@@ -222,7 +223,7 @@
 	default:
 		o.c.t.Errorf("an apply was %s", out)
 	}
-	o.record(client, configCall{"apply", value}, out, from)
+	o.record(client, configCall{"apply", value}, string(out), from)
 	return out
 }
 
--- a/internal/simulation/controllerconfig_test.go
+++ b/internal/simulation/controllerconfig_test.go
@@ -34,7 +34,7 @@
 		defer cancel()
 		var err error
 		a, err = c.nodes[i].PeerConfigApply(ctx, q)
-		q.Again = true
+		q.Retry = true
 		return err == nil && (a.Outcome == peer.ConfigApplied || a.Outcome == peer.ConfigUnchanged)
 	})
 	return a
@@ -43,7 +43,7 @@
 // generation is what a node decides by.
 func (c *cluster) generation(i int) uint64 {
 	a, err := c.nodes[i].PeerConfigStatus(context.Background(), &peer.ConfigStatusRequest{})
-	if err != nil || !a.Known {
+	if err != nil || !a.Loaded {
 		return 0
 	}
 	return a.Generation
@@ -137,7 +137,7 @@
 	}
 	c.svc.SetDown(false)
 	q := cordonX("a")
-	q.Again = true
+	q.Retry = true
 	c.applied(1, q)
 	if g := c.applied(2, q).Generation; g != 1 {
 		t.Errorf("asked for again it is generation %d", g)
--- a/internal/simulation/warm_test.go
+++ b/internal/simulation/warm_test.go
@@ -126,7 +126,7 @@
 	c.until("it shows", func() bool { chief = c.chief(); return chief >= 0 })
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	if _, err := peer.ChangeLeader(ctx, []string{mesh[chief]}); !errors.Is(err, peer.ErrAlone) {
+	if _, err := peer.ChangeLeader(ctx, []string{mesh[chief]}); !errors.Is(err, peer.ErrNoSuccessor) {
 		t.Errorf("with nobody else: %v", err)
 	}
 	if _, err := peer.ChangeLeader(ctx, []string{mesh[(chief+1)%3], mesh[(chief+2)%3]}); !errors.Is(err, peer.ErrNoLeader) {
