--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -286,7 +286,7 @@
 func (c *Controller) PeerConfigStatus(context.Context, *peer.ConfigStatusRequest) (*peer.ConfigStatusResponse, error) {
 	active := c.config.current()
 	return &peer.ConfigStatusResponse{
-		Label: c.settings.Label, Known: active.known, Generation: active.generation, Since: active.since, Unknown: active.unusable,
+		Label: c.settings.Label, Loaded: active.known, Generation: active.generation, ActiveSince: active.since, UnusableDocuments: active.unusable,
 	}, nil
 }
 
--- a/internal/controller/configapply.go
+++ b/internal/controller/configapply.go
@@ -23,7 +23,7 @@
 
 // rejection is an error that ends an apply: nothing was changed, and trying again doesn't help.
 type rejection struct {
-	outcome    string // one of peer's outcomes
+	outcome    peer.ConfigOutcome
 	generation uint64 // that is in force, 0 if that doesn't matter
 	err        error
 }
@@ -44,7 +44,7 @@
 
 // PeerConfigApply implements peer.Server.
 func (c *Controller) PeerConfigApply(ctx context.Context, request *peer.ConfigApplyRequest) (*peer.ConfigApplyResponse, error) {
-	ctx, cancel := context.WithTimeout(kvstore.Urgent(ctx), peer.ApplyLimit)
+	ctx, cancel := context.WithTimeout(kvstore.Urgent(ctx), peer.ApplyTimeout)
 	defer cancel()
 	if err := c.checkApply(request); err != nil {
 		return (&rejection{outcome: peer.ConfigInvalid, err: err}).response(), nil
@@ -52,7 +52,7 @@
 	a := &configApplier{
 		controller: c,
 		request:    request,
-		change:     &dynconfig.Request{ID: request.ID, By: request.By, Changes: request.Changes, IfGeneration: request.IfGeneration, At: c.now()},
+		change:     &dynconfig.Request{ID: request.ID, By: request.Author, Changes: request.Changes, IfGeneration: request.IfGeneration, At: c.now()},
 	}
 	return a.run(ctx), nil
 }
@@ -130,8 +130,8 @@
 
 // planAndStore plans the change against a state and stores it.
 func (a *configApplier) planAndStore(ctx context.Context, state *dynconfig.State, historyKeys []string) (*peer.ConfigApplyResponse, error) {
-	if a.request.RollBack != nil {
-		if err := a.planRollback(ctx, state, *a.request.RollBack); err != nil {
+	if a.request.RollbackTo != nil {
+		if err := a.planRollback(ctx, state, *a.request.RollbackTo); err != nil {
 			return nil, err
 		}
 	}
@@ -187,7 +187,7 @@
 		a.firstGeneration = state.Generation.Number + 1
 	}
 	from := a.firstGeneration
-	if a.request.Again {
+	if a.request.Retry {
 		from = 0
 	}
 	newest, err := store.Page(ctx, dynconfig.HistoryPrefix, dynconfig.HistoryBefore(from), configPage)
@@ -286,7 +286,7 @@
 		txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: key})
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), peer.ApplyLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), peer.ApplyTimeout)
 		defer cancel()
 		_, _ = a.controller.store.Txn(ctx, txn)
 	}()
