--- a/internal/sched/explain.go
+++ b/internal/sched/explain.go
@@ -1,7 +1,8 @@
 package sched
 
 import (
-	"sort"
+	"maps"
+	"slices"
 
 	"dalefront/internal/dynconfig"
 )
@@ -13,71 +14,67 @@
 	Age              Micros // since its submission
 	Reason           string
 	Room             int // tasks for which there is room now, in the best zone for a gang
-	Reserved         int // machines kept for it
+	Reserved         int // machines reserved for it
 }
 
-// WaitingJobs explains the jobs that have waited longest, up to most of them. It says
+// WaitingJobs explains the jobs that have waited longest, up to limit of them. It says
 // what the last pass saw.
-func (c *Core) WaitingJobs(most int) []WaitingJob {
-	var js []*job
+func (c *Core) WaitingJobs(limit int) []WaitingJob {
+	var waiting []*job
 	for j := range c.jobs.all() {
 		if j.pendingCount() > 0 {
-			js = append(js, j)
+			waiting = append(waiting, j)
 		}
 	}
-	sort.Slice(js, func(a, b int) bool {
-		if js[a].arrival != js[b].arrival {
-			return js[a].arrival < js[b].arrival
-		}
-		return js[a].id < js[b].id
-	})
-	var out []WaitingJob
-	for _, j := range js[:min(most, len(js))] {
-		out = append(out, c.lastPass.explainWait(j))
+	slices.SortFunc(waiting, compareArrival)
+	var explained []WaitingJob
+	for _, j := range waiting[:min(limit, len(waiting))] {
+		explained = append(explained, c.lastPass.explainWait(j))
 	}
-	return out
+	return explained
 }
 
+// explainWait says why a job waits.
 func (ps *pass) explainWait(j *job) WaitingJob {
-	w := WaitingJob{Job: j.id, Class: j.spec.Class, Team: j.spec.Team, Tasks: j.pendingCount(), Age: ps.core.now - j.arrival}
-	used := j.tasksByZone()
+	wait := WaitingJob{Job: j.id, Class: j.spec.Class, Team: j.spec.Team, Tasks: j.pendingCount(), Age: ps.core.now - j.arrival}
+	tasksByZone := j.tasksByZone()
 	room := map[string]int{}
 	for _, m := range ps.schedulable {
 		if m.reservedFor == j {
-			w.Reserved++
+			wait.Reserved++
 		}
-		z := ""
-		if j.isGang() && j.spec.OneZone {
-			z = m.zone
+		zone := ""
+		if j.isGang() {
+			zone = j.gangZone(m)
 		}
-		room[z] += ps.slotsOn(j, m, used)
+		room[zone] += ps.slotsOn(j, m, tasksByZone)
 	}
 	for _, n := range room {
-		w.Room = max(w.Room, n)
-	}
-	leaving := false
-	for p := range j.placements {
-		leaving = leaving || p.stopping
+		wait.Room = max(wait.Room, n)
 	}
+	wait.Reason = ps.core.waitReason(j, wait.Room)
+	return wait
+}
+
+// waitReason says why a job waits for which there is so much room. The texts are those of the
+// operators' pages.
+func (c *Core) waitReason(j *job, room int) string {
 	switch {
-	case ps.core.now < j.backoffUntil:
-		w.Reason = "its tasks failed"
-		if j.isSuspect() {
-			w.Reason = "it fails on every machine"
-		}
-	case j.isGang() && (j.gangBroken || leaving || j.gangStarted && len(j.placements) > 0):
-		w.Reason = "the last attempt is still leaving"
+	case c.now < j.backoffUntil && j.isSuspect():
+		return "it fails on every machine"
+	case c.now < j.backoffUntil:
+		return "its tasks failed"
+	case j.isGang() && (j.gangBroken || j.isLeaving() || j.gangStarted && len(j.placements) > 0):
+		return "the last attempt is still leaving"
 	case j.atTeamLimit():
-		w.Reason = "its team's limit"
-	case w.Room == 0 || j.isGang() && w.Room < w.Tasks:
-		w.Reason = "no room"
-		if x := ps.core.cordonedOff(j); x != nil {
-			w.Reason = "no room outside the cordon " + x.Name
-		}
-	default:
-		w.Reason = "next pass"
+		return "its team's limit"
+	case room > 0 && (!j.isGang() || room >= j.pendingCount()):
+		return "next pass"
+	}
+	if cordon := c.cordonedOff(j); cordon != nil {
+		return "no room outside the cordon " + cordon.Name
 	}
-	return w
+	return "no room"
 }
 
 // Waiting reports how many jobs wait, and tasks of theirs, for logs and metrics.
@@ -110,43 +107,45 @@
 	Tasks    int // running, or on their way
 	Up       int // machines of the type that may get launches
 	Idle     int // of these, without tasks
-	Reserved int // of these, kept for a gang
+	Reserved int // of these, reserved for a gang
 	Free     float64
 }
 
+// usageTable collects usages by name.
+type usageTable map[string]*Usage
+
+func (t usageTable) of(name string) *Usage {
+	if t[name] == nil {
+		t[name] = &Usage{Name: name}
+	}
+	return t[name]
+}
+
+// sorted returns the usages by name.
+func (t usageTable) sorted() (usages []Usage) {
+	for _, name := range slices.Sorted(maps.Keys(t)) {
+		usages = append(usages, *t[name])
+	}
+	return usages
+}
+
 // Usages sums up what runs, by class, and the machines, by type.
 func (c *Core) Usages() (classes, types []Usage) {
-	by, kinds := map[string]*Usage{}, map[string]*Usage{}
+	byClass, byType := usageTable{}, usageTable{}
 	for j := range c.jobs.all() {
-		u := by[j.spec.Class]
-		if u == nil {
-			u = &Usage{Name: j.spec.Class}
-			by[j.spec.Class] = u
-		}
-		u.Tasks += len(j.placements)
+		byClass.of(j.spec.Class).Tasks += len(j.placements)
 	}
 	for _, m := range c.lastPass.schedulable {
-		u := kinds[m.machineType.Name]
-		if u == nil {
-			u = &Usage{Name: m.machineType.Name}
-			kinds[m.machineType.Name] = u
-		}
-		u.Up++
-		u.Tasks += m.placementCount
-		u.Free += m.machineType.CPUs - m.usedCPUs
+		usage := byType.of(m.machineType.Name)
+		usage.Up++
+		usage.Tasks += m.placementCount
+		usage.Free += m.machineType.CPUs - m.usedCPUs
 		if m.placementCount == 0 {
-			u.Idle++
+			usage.Idle++
 		}
 		if m.reservedFor != nil {
-			u.Reserved++
-		}
-	}
-	sorted := func(m map[string]*Usage) (out []Usage) {
-		for _, u := range m {
-			out = append(out, *u)
+			usage.Reserved++
 		}
-		sort.Slice(out, func(a, b int) bool { return out[a].Name < out[b].Name })
-		return out
 	}
-	return sorted(by), sorted(kinds)
+	return byClass.sorted(), byType.sorted()
 }
--- a/internal/sched/gpus.go
+++ b/internal/sched/gpus.go
@@ -2,30 +2,25 @@
 
 import "math"
 
-// gpuSummary sums up, once a pass, what graphics tasks need.
+// gpuSummary is what GPU tasks need, summed up once a pass.
 type gpuSummary struct {
-	any       bool
-	rank      int
-	wait      Micros  // the strictest aim for their start, 0 if there is none
-	cpus, mem float64 // the most that a task takes beside one GPU
-	free      float64 // GPUs free on usable machines
-	waiting   float64 // GPUs wanted by waiting tasks
-	rate      float64 // GPUs wanted per second by arrivals
+	any          bool    // jobs with GPUs are known
+	rank         int     // the highest of their priorities
+	waitAim      Micros  // the strictest objective for their start, 0 if there is none
+	cpusPerGPU   float64 // the most that a task takes beside one GPU
+	memPerGPU    float64
+	free         float64 // GPUs free on schedulable machines
+	waiting      float64 // GPUs wanted by waiting tasks
+	arrivalsPerS float64 // GPUs wanted per second by arriving tasks
 }
 
+// summarizeGPUs sums up what GPU tasks need, and which types are wanted by jobs that may not use
+// spot machines.
 func (ps *pass) summarizeGPUs(queue []*job) {
-	v := gpuSummary{rank: -1}
+	summary := gpuSummary{rank: -1}
 	for _, cl := range ps.core.classes.sorted() {
-		if cl.sampleJob == nil || cl.sampleJob.spec.GPUs <= 0 {
-			continue
-		}
-		s := &cl.sampleJob.spec
-		v.any = true
-		v.cpus, v.mem = max(v.cpus, s.CPUs/s.GPUs), max(v.mem, s.MemoryGB/s.GPUs)
-		v.rank = max(v.rank, cl.sampleJob.rank)
-		v.rate += cl.arrivalRate(ps.core.now) * s.GPUs
-		if len(cl.waitObjectives) > 0 && (v.wait == 0 || cl.waitObjectives[0] < v.wait) {
-			v.wait = cl.waitObjectives[0]
+		if cl.sampleJob != nil && cl.sampleJob.spec.GPUs > 0 {
+			summary.addClass(cl, ps.core.now)
 		}
 	}
 	for _, j := range queue {
@@ -34,54 +29,86 @@
 				ps.onDemandTypes[name] = ps.onDemandTypes[name] || fitsType(&j.spec, t)
 			}
 		}
-		v.waiting += float64(j.pendingCount()) * j.spec.GPUs
+		summary.waiting += float64(j.pendingCount()) * j.spec.GPUs
 	}
 	for _, m := range ps.schedulable {
-		v.free += max(0, m.machineType.GPUs-m.usedGPUs)
+		summary.free += max(0, m.machineType.GPUs-m.usedGPUs)
+	}
+	ps.gpus = summary
+}
+
+// addClass takes what a class of GPU tasks needs into account.
+func (g *gpuSummary) addClass(cl *class, now Micros) {
+	spec := &cl.sampleJob.spec
+	g.any = true
+	g.cpusPerGPU, g.memPerGPU = max(g.cpusPerGPU, spec.CPUs/spec.GPUs), max(g.memPerGPU, spec.MemoryGB/spec.GPUs)
+	g.rank = max(g.rank, cl.sampleJob.rank)
+	g.arrivalsPerS += cl.arrivalRate(now) * spec.GPUs
+	if len(cl.waitObjectives) > 0 && (g.waitAim == 0 || cl.waitObjectives[0] < g.waitAim) {
+		g.waitAim = cl.waitObjectives[0]
 	}
-	ps.gpus = v
 }
 
-// keepsGPUMachine says whether a graphics machine is kept for tasks of the job too: they
-// use graphics, rank higher than those that do, or have an aim that watches their
-// start more closely.
+// keepsGPUMachine says whether a GPU machine is kept for tasks of the job too: they use GPUs, rank
+// higher than those that do, or have an objective that watches their start more closely.
 func (ps *pass) keepsGPUMachine(j *job) bool {
-	v := &ps.gpus
-	return !v.any || j.spec.GPUs > 0 || j.rank > v.rank || (j.rank == v.rank && len(j.class.waitObjectives) > 0 && (v.wait == 0 || j.class.waitObjectives[0] < v.wait))
+	g := &ps.gpus
+	if !g.any || j.spec.GPUs > 0 || j.rank > g.rank {
+		return true
+	}
+	aims := j.class.waitObjectives
+	return j.rank == g.rank && len(aims) > 0 && (g.waitAim == 0 || aims[0] < g.waitAim)
 }
 
 // starvationAfter is how long a job may wait with none of its tasks on a machine before whatever
 // room there is will do: nobody is left waiting beside a machine that fits.
 const starvationAfter = 60 * second
 
+// starved says whether the job has waited for so long.
 func (c *Core) starved(j *job) bool {
 	return j.waitingSince > 0 && c.now-max(j.waitingSince, j.lastVacatedAt) > starvationAfter && (j.isGang() || len(j.placements) == 0)
 }
 
-// mayBlockGPUs says whether a task without graphics may go to a graphics
+// mayBlockGPUs says whether a task without GPUs may go to a GPU
 // machine. It may as long as it leaves what the free GPUs' own tasks need beside
-// them. Beyond that it may if it ranks higher or an aim watches its start, or if
-// enough GPUs stay free elsewhere for the graphics tasks that arrive during its
-// stay. Otherwise small tasks fill the processors of the graphics machines and
+// them. Beyond that it may if it ranks higher or an objective watches its start, or if
+// enough GPUs stay free elsewhere for the GPU tasks that arrive during its
+// stay. Otherwise small tasks fill the processors of the GPU machines and
 // their GPUs, the dearest part, stand idle.
 func (ps *pass) mayBlockGPUs(j *job, m *machine) bool {
 	if ps.keepsGPUMachine(j) || ps.core.starved(j) {
 		return true
 	}
-	v := &ps.gpus
-	if m.usedGPUs < epsilon && j.hasNoObjective() {
-		return false // nothing would ever let the dearest machines go
+	if m.usedGPUs < epsilon && ps.core.shouldEmpty(m, j) {
+		return false
 	}
-	if m.usedGPUs < epsilon && ps.core.now-m.gpusIdleSince > ps.core.idleTimeout(m.machineType, true) && !ps.core.allLackCapacity(j) {
-		return false // it empties and goes back: cheaper machines can be had
-	}
-	free := m.machineType.GPUs - m.usedGPUs
-	if m.usedCPUs+j.spec.CPUs+free*v.cpus <= m.machineType.CPUs+epsilon && m.usedMemoryGB+j.spec.MemoryGB+free*v.mem <= m.machineType.MemoryGB+epsilon {
+	if ps.gpus.leavesRoomBeside(j, m) {
 		return true
 	}
 	if ps.core.now > j.dueAt-j.expectedRunTime() && j.spec.DeadlineS != nil {
 		return false // too late anyway: it can wait for a cheaper machine
 	}
-	coming := v.rate * float64(j.expectedRunTime()) / float64(second)
-	return v.waiting == 0 && v.free-free >= coming+math.Sqrt(coming)
+	return ps.gpus.enoughFreeBeside(j, m)
+}
+
+// shouldEmpty says whether a GPU machine without GPU tasks takes no task of the job, so that it goes
+// back: nothing would ever let the dearest machines go for work that no objective watches, and
+// other work can have cheaper ones.
+func (c *Core) shouldEmpty(m *machine, j *job) bool {
+	return j.hasNoObjective() || (c.now-m.gpusIdleSince > c.idleTimeout(m.machineType, true) && !c.allLackCapacity(j))
+}
+
+// leavesRoomBeside says whether the machine has room for a task of the job beside what tasks on its
+// free GPUs need.
+func (g *gpuSummary) leavesRoomBeside(j *job, m *machine) bool {
+	free := m.machineType.GPUs - m.usedGPUs
+	return m.usedCPUs+j.spec.CPUs+free*g.cpusPerGPU <= m.machineType.CPUs+epsilon &&
+		m.usedMemoryGB+j.spec.MemoryGB+free*g.memPerGPU <= m.machineType.MemoryGB+epsilon
+}
+
+// enoughFreeBeside says whether the GPUs that are free on other machines do for the GPU tasks that
+// arrive while a task of the job runs: their mean and one deviation.
+func (g *gpuSummary) enoughFreeBeside(j *job, m *machine) bool {
+	coming := g.arrivalsPerS * float64(j.expectedRunTime()) / float64(second)
+	return g.waiting == 0 && g.free-(m.machineType.GPUs-m.usedGPUs) >= coming+math.Sqrt(coming)
 }
