--- a/internal/sched/gangplan_test.go
+++ b/internal/sched/gangplan_test.go
@@ -19,7 +19,7 @@
 	b.settings.Deployment.State.ValueKB, b.settings.Deployment.State.TxnOps = 1e6, 24
 	tasks := func(n int) {
 		for i := range n {
-			j := spec(fmt.Sprintf("j-%d%04d", len(b.jobs)+1, i), []string{"a", "b"}[r.IntN(2)], []string{wire.Low, wire.Normal, wire.High}[r.IntN(3)], 1+r.IntN(8), float64(1+r.IntN(4)))
+			j := spec(fmt.Sprintf("j-%d%04d", b.jobs.count()+1, i), []string{"a", "b"}[r.IntN(2)], []string{wire.Low, wire.Normal, wire.High}[r.IntN(3)], 1+r.IntN(8), float64(1+r.IntN(4)))
 			j.Class, j.EstimateS = "small", float64(5+r.IntN(90))
 			if r.IntN(2) == 0 {
 				j.CheckpointIntervalS, j.CheckpointDurationS = 10, 2
@@ -36,7 +36,7 @@
 		b.schedule()
 		for i := range machines {
 			h := fmt.Sprintf("n-%04d", i)
-			m := b.machines[h]
+			m := b.machines.find(h)
 			run := b.running(h)
 			if r.IntN(6) == 0 && len(run) > 0 {
 				k := r.IntN(len(run))
@@ -64,7 +64,7 @@
 // kept is all that a plan decides: for whom each machine is kept, until when, who holds
 // others back, and who is stopped how.
 func (b *bed) kept() (out []string) {
-	for _, m := range b.machinesByName {
+	for _, m := range b.machines.all() {
 		s := fmt.Sprint(m.host, " wanted by ", m.claimedByRank)
 		if m.reservedFor != nil {
 			s += fmt.Sprint(" kept for ", m.reservedFor.id, m.reservationStart, m.reservedUntil, m.reservationCheckedAt)
@@ -76,7 +76,7 @@
 		}
 		out = append(out, s)
 	}
-	for _, j := range b.jobsByID(func(*job) bool { return true }) {
+	for _, j := range b.jobs.sorted(func(*job) bool { return true }) {
 		out = append(out, fmt.Sprint(j.id, j.startableSince, j.preemptions))
 	}
 	return out
@@ -88,28 +88,27 @@
 	held, evicted, wanted := 0, 0, 0
 	for seed := uint64(1); seed <= 40; seed++ {
 		fast, plain := gangs(t, seed, 24+int(seed)), gangs(t, seed, 24+int(seed))
-		prepare := func(b *bed) (waiting []*job) {
+		prepare := func(b *bed) (ps *pass, waiting []*job) {
 			b.reconcile()
-			b.refreshSchedulable()
+			ps = b.newPass()
 			queue := b.queue()
-			b.summarizeGPUs(queue)
-			b.prepareClaims(queue)
-			b.filterWithRoom(queue)
-			b.fleetSettled = true
+			ps.prepare(queue)
+			ps.fleetSettled = true
 			for _, j := range queue {
 				if j.isGang() && len(j.placements) == 0 {
 					waiting = append(waiting, j)
 				}
 			}
-			return waiting
+			return ps, waiting
 		}
 		for round := range 3 { // the second and third with what the one before left
-			f, p := prepare(fast), prepare(plain)
+			fastPass, f := prepare(fast)
+			plainPass, p := prepare(plain)
 			before := fast.Stats.Preemptions
-			fast.reserveBelow(f)
-			plain.plainHoldBack(p)
-			fast.planGangs(f)
-			plain.plainPlan(p)
+			fastPass.reserveBelow(f)
+			plainPass.plainHoldBack(p)
+			fastPass.planGangs(f)
+			plainPass.plainPlan(p)
 			got, want := fast.kept(), plain.kept()
 			for i := range want {
 				if got[i] != want[i] {
@@ -117,7 +116,7 @@
 				}
 			}
 			evicted += fast.Stats.Preemptions - before
-			for _, m := range fast.machinesByName {
+			for _, m := range fast.machines.all() {
 				if m.reservedFor != nil {
 					held++
 				}
@@ -135,29 +134,29 @@
 
 // What follows is how plans were made before, as a reference.
 
-func (c *Core) plainHoldBack(gangs []*job) {
-	cleared := map[shape][]int{} // places on each open machine once it is cleared
-	for _, j := range gangs[:min(len(gangs), c.candidateLimit())] {
-		if j.startableSince > 0 && c.now-j.startableSince > 2*holdFor {
+func (ps *pass) plainHoldBack(gangs []*job) {
+	cleared := map[gangShape][]int{} // places on each open machine once it is cleared
+	for _, j := range gangs[:min(len(gangs), ps.candidateLimit())] {
+		if j.startableSince > 0 && ps.core.now-j.startableSince > 2*claimDuration {
 			j.startableSince = 0
 		}
-		if j.startableSince > 0 && c.now-j.startableSince > holdFor {
+		if j.startableSince > 0 && ps.core.now-j.startableSince > claimDuration {
 			continue
 		}
-		places := cleared[j.shape()]
+		places := cleared[j.gangShape()]
 		if places == nil {
-			places = make([]int, len(c.schedulable))
-			for i, m := range c.schedulable {
+			places = make([]int, len(ps.schedulable))
+			for i, m := range ps.schedulable {
 				if allowed(j, m) {
 					u := m.usedBelow(j.rank)
-					places[i] = slotsFor(j, m.machineType, m.usedCPUs-u.cpus, m.usedGPUs-u.gpus, m.usedMemoryGB-u.mem)
+					places[i] = slotsFor(j, m.machineType, resourceUse{m.usedCPUs - u.cpus, m.usedGPUs - u.gpus, m.usedMemoryGB - u.mem})
 				}
 			}
-			cleared[j.shape()] = places
+			cleared[j.gangShape()] = places
 		}
 		used := j.tasksByZone()
 		free := func(i int) int {
-			m := c.schedulable[i]
+			m := ps.schedulable[i]
 			if places[i] == 0 || m.claimedByRank > 0 || !satisfiesZones(j, used, m.zone) || (m.reservedFor != nil && m.reservedFor != j && m.reservedFor.rank >= j.rank) {
 				return 0
 			}
@@ -170,7 +169,7 @@
 			return ""
 		}
 		sum := map[string]int{}
-		for i, m := range c.schedulable {
+		for i, m := range ps.schedulable {
 			sum[zone(m)] += free(i)
 		}
 		missing, in, found := j.pendingCount(), "", false
@@ -184,10 +183,10 @@
 			continue
 		}
 		if j.startableSince == 0 {
-			j.startableSince = c.now
+			j.startableSince = ps.core.now
 		}
 		for _, empty := range []bool{true, false} { // those that need no clearing first
-			for i, m := range c.schedulable {
+			for i, m := range ps.schedulable {
 				if missing <= 0 {
 					break
 				}
@@ -208,14 +207,14 @@
 	cost    Micros
 }
 
-func (c *Core) plainPlan(gangs []*job) {
-	if c.now-c.gangsPlannedAt < planEvery {
+func (ps *pass) plainPlan(gangs []*job) {
+	if ps.core.now-ps.core.gangsPlannedAt < gangPlanInterval {
 		return
 	}
-	c.gangsPlannedAt = c.now
+	ps.core.gangsPlannedAt = ps.core.now
 	late := make(map[*job]bool, len(gangs))
 	for _, j := range gangs {
-		_, late[j] = j.latestStart(c.now, 0)
+		_, late[j] = j.latestStart(ps.core.now, 0)
 	}
 	sort.SliceStable(gangs, func(a, b int) bool {
 		x, y := gangs[a], gangs[b]
@@ -233,26 +232,26 @@
 		return x.arrival < y.arrival
 	})
 	taken := map[string]bool{}
-	for _, j := range gangs[:min(len(gangs), c.candidateLimit())] {
-		c.plainRoom(j, j.pendingCount(), taken)
+	for _, j := range gangs[:min(len(gangs), ps.candidateLimit())] {
+		ps.plainRoom(j, j.pendingCount(), taken)
 	}
 }
 
-func (c *Core) plainRoom(j *job, missing int, taken map[string]bool) {
+func (ps *pass) plainRoom(j *job, missing int, taken map[string]bool) {
 	used := j.tasksByZone()
-	may := c.mayPreempt(j)
+	may := ps.mayPreempt(j)
 	ways := map[string][]plainWay{}
-	for _, m := range c.schedulable {
+	for _, m := range ps.schedulable {
 		if m.reservedFor == j && m.reservationStart > 0 {
 			m.reservedFor = nil // chosen anew
 		}
-		if r := m.reservedFor; r != nil && r != j && c.now < m.reservedUntil && r.rank >= j.rank && !c.isReservedForWait(m) {
+		if r := m.reservedFor; r != nil && r != j && ps.core.now < m.reservedUntil && r.rank >= j.rank && !ps.isReservedForWait(m) {
 			continue
 		}
-		if !allowed(j, m) || !satisfiesZones(j, used, m.zone) || slotsFor(j, m.machineType, 0, 0, 0) == 0 {
+		if !allowed(j, m) || !satisfiesZones(j, used, m.zone) || slotsOnEmpty(j, m.machineType) == 0 {
 			continue
 		}
-		if w, ok := c.plainWayOn(j, m, may); ok {
+		if w, ok := ps.plainWayOn(j, m, may); ok {
 			z := m.zone
 			if !j.spec.OneZone {
 				z = ""
@@ -310,33 +309,33 @@
 		taken[in] = true
 	}
 	// Soft point: a guest's huge job would evict almost everything.
-	if cleared > max(1, len(c.schedulable)/2) {
+	if cleared > max(1, len(ps.schedulable)/2) {
 		return
 	}
 	for _, w := range best {
 		if len(w.victims) > 0 && start <= worthWaiting {
 			// Not before the rest is there: the room would stand idle, or be
 			// filled by others and be cleared once more.
-			c.preempt(j, w.m, w.victims)
+			ps.preempt(j, w.m, w.victims)
 			continue
 		}
-		if w.m.reservedFor == j && w.m.reservationStart == 0 && c.now < w.m.reservedUntil {
+		if w.m.reservedFor == j && w.m.reservationStart == 0 && ps.core.now < w.m.reservedUntil {
 			continue // cleared for it
 		}
-		w.m.reservedFor, w.m.reservationStart, w.m.reservationCheckedAt = j, c.now+max(start, 1), c.now
-		w.m.reservedUntil = c.now + start + 5*second
+		w.m.reservedFor, w.m.reservationStart, w.m.reservationCheckedAt = j, ps.core.now+max(start, 1), ps.core.now
+		w.m.reservedUntil = ps.core.now + start + 5*second
 	}
 }
 
-func (c *Core) plainWayOn(j *job, m *machine, may bool) (plainWay, bool) {
-	w := plainWay{m: m, slots: slotsFor(j, m.machineType, m.usedCPUs, m.usedGPUs, m.usedMemoryGB)}
-	like := Micros(c.placementScore(j, m) * float64(second))
+func (ps *pass) plainWayOn(j *job, m *machine, may bool) (plainWay, bool) {
+	w := plainWay{m: m, slots: slotsFor(j, m.machineType, m.used())}
+	like := Micros(ps.placementScore(j, m) * float64(second))
 	if m.reservedFor == j && m.reservationStart == 0 {
 		like = 0 // cleared for it
 	}
 	if w.slots > 0 {
 		w.cost = like
-		return w, j.spec.GPUs > 0 || m.machineType.GPUs == 0 || c.mayBlockGPUs(j, m)
+		return w, j.spec.GPUs > 0 || m.machineType.GPUs == 0 || ps.mayBlockGPUs(j, m)
 	}
 	// By waiting: the tasks that are expected to end first.
 	type end struct {
@@ -353,9 +352,9 @@
 			left = 3600 * second
 		default:
 			// Later than expected is likely to be a while later still.
-			left = p.job.expectedRunTime() + Micros(c.imageFetchS(p.job, m)*float64(second))
+			left = p.job.expectedRunTime() + Micros(m.imageFetchS(p.job, ps.core.now)*float64(second))
 			if p.runningSince > 0 {
-				left = max(p.job.expectedRunTime()-(c.now-p.runningSince), p.job.expectedRunTime()/4)
+				left = max(p.job.expectedRunTime()-(ps.core.now-p.runningSince), p.job.expectedRunTime()/4)
 			}
 		}
 		ends = append(ends, end{left, p.job})
@@ -364,7 +363,7 @@
 	cpus, gpus, mem := m.usedCPUs, m.usedGPUs, m.usedMemoryGB
 	for _, e := range ends {
 		cpus, gpus, mem = cpus-e.j.spec.CPUs, gpus-e.j.spec.GPUs, mem-e.j.spec.MemoryGB
-		if w.slots = slotsFor(j, m.machineType, cpus, gpus, mem); w.slots > 0 {
+		if w.slots = slotsFor(j, m.machineType, resourceUse{cpus, gpus, mem}); w.slots > 0 {
 			w.after = e.at
 			break
 		}
@@ -376,7 +375,7 @@
 	if !may || w.after <= worthWaiting {
 		return w, true
 	}
-	vs, ok := c.victims(j, m)
+	vs, ok := ps.victims(j, m)
 	if !ok {
 		return w, true
 	}
--- a/internal/sched/scaleout.go
+++ b/internal/sched/scaleout.go
@@ -26,7 +26,7 @@
 	}
 	total := 0
 	var bins []*bin
-	for _, m := range c.machinesByName {
+	for _, m := range c.machines.all() {
 		if m.failed || m.scalingIn {
 			continue
 		}
@@ -109,7 +109,7 @@
 	asked := 0
 	bins = slices.DeleteFunc(bins, taken)
 	inZone := map[string]int{}
-	for _, m := range c.machinesByName {
+	for _, m := range c.machines.all() {
 		inZone[m.zone]++
 	}
 	for i, d := range need {
@@ -128,7 +128,7 @@
 			if b.kind.GPUs > 0 && j.spec.GPUs == 0 && b.fresh {
 				return
 			}
-			k := min(left, slotsFor(j, b.kind, b.cpus, b.gpus, b.me))
+			k := min(left, slotsFor(j, b.kind, resourceUse{b.cpus, b.gpus, b.me}))
 			if j.spec.Spread {
 				k = min(k, j.zoneLimit()-used[b.zone])
 			}
@@ -144,7 +144,7 @@
 			in := map[string]int{}
 			for _, b := range bins {
 				if !b.away && (!b.spot || j.spec.Spot) && fitsType(&j.spec, b.kind) && !(b.kind.GPUs > 0 && j.spec.GPUs == 0 && b.fresh) {
-					in[b.zone] += min(left, slotsFor(j, b.kind, b.cpus, b.gpus, b.me))
+					in[b.zone] += min(left, slotsFor(j, b.kind, resourceUse{b.cpus, b.gpus, b.me}))
 				}
 			}
 			most := -1
@@ -217,7 +217,7 @@
 // smallestRequest is the size of the smallest machine type that some class can use.
 func (c *Core) smallestRequest() float64 {
 	least := 0.0
-	for _, cl := range c.classesByName() {
+	for _, cl := range c.classes.sorted() {
 		for _, t := range c.machineTypes {
 			if cl.sampleJob != nil && fitsType(&cl.sampleJob.spec, t) && (least == 0 || t.CPUs < least) {
 				least = t.CPUs
@@ -251,7 +251,7 @@
 )
 
 // maxDemand is for how many waiting tasks of one job machines are rented at a time.
-func (c *Core) maxDemand() int { return max(minDemand, len(c.machinesByName)) }
+func (c *Core) maxDemand() int { return max(minDemand, c.machines.count()) }
 
 // candidateZones lists the zones in which the job may have machines at all.
 func (c *Core) candidateZones(j *job) []string {
@@ -290,7 +290,7 @@
 	bestPrice := math.Inf(1)
 	cheapest := math.Inf(1)
 	for _, t := range c.machineTypes {
-		if n := slotsFor(j, t, 0, 0, 0); n > 0 && fitsType(&j.spec, t) && t.Price > 0 {
+		if n := slotsOnEmpty(j, t); n > 0 && fitsType(&j.spec, t) && t.Price > 0 {
 			cheapest = min(cheapest, t.Price/float64(n))
 		}
 	}
@@ -304,7 +304,7 @@
 		if !fitsType(&j.spec, t) {
 			continue
 		}
-		k := min(left, slotsFor(j, t, 0, 0, 0))
+		k := min(left, slotsOnEmpty(j, t))
 		if k == 0 {
 			continue
 		}
@@ -316,7 +316,7 @@
 				if (s && !j.spec.Spot) || c.now <= c.outOfCapacity[spotKey(n, z, s)] || hourlyRate(t, s) <= 0 {
 					continue
 				}
-				if per := hourlyRate(t, false) / float64(slotsFor(j, t, 0, 0, 0)); len(j.class.waitObjectives) == 0 && per > dearest*cheapest {
+				if per := hourlyRate(t, false) / float64(slotsOnEmpty(j, t)); len(j.class.waitObjectives) == 0 && per > dearest*cheapest {
 					continue
 				}
 				price := hourlyRate(t, s) / float64(k) * (1 + 0.01*float64(inZone[z]))
