--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -109,8 +109,8 @@
 	return []gauge{
 		{name: "cancellations_waiting", help: "Users that wait here until the tasks of a job that they cancelled are gone.", read: func() float64 { return float64(len(c.cancelSlots)) }},
 		{name: "goroutines", help: "Goroutines of this process.", read: func() float64 { return float64(runtime.NumGoroutine()) }},
-		{name: "config_generation", help: "Generation of the configuration that this node decides by.", read: func() float64 { return float64(c.config.current().number) }},
-		{name: "config_refused_batches", help: "Batches of launches that were decided anew since the configuration had changed.", read: func() float64 { return float64(c.config.refused.Load()) }},
+		{name: "config_generation", help: "Generation of the configuration that this node decides by.", read: func() float64 { return float64(c.config.current().generation) }},
+		{name: "config_refused_batches", help: "Batches of launches that were decided anew since the configuration had changed.", read: func() float64 { return float64(c.config.rejectedBatches.Load()) }},
 		{name: "leader", help: "1 while this node acts as leader.", read: func() float64 { return boolGauge(c.term.view().isLeading()) }},
 	}
 }
--- a/internal/controller/peerheartbeat.go
+++ b/internal/controller/peerheartbeat.go
@@ -35,7 +35,7 @@
 // peer was restarted lately.
 func (c *Controller) handlePeerHeartbeat(label string, heartbeat *peer.Heartbeat) int {
 	c.recordTermOf(heartbeat)
-	c.config.recordPeerConfig(label, heartbeat)
+	c.config.recordPeer(label, heartbeat)
 	c.leaderWatch.recordAlive(label, heartbeat.ProcessID)
 	return c.recordPeerProcess(label, heartbeat.ProcessID, time.Now())
 }
@@ -65,7 +65,7 @@
 		From: c.settings.Label, ProcessID: c.processID,
 		Leader: term.leader, Token: term.token, Leading: term.isLeading() && term.leading == term.token,
 		CannotFollow:   c.follower.unfit(),
-		SupportsConfig: true, Generation: c.config.current().number,
+		SupportsConfig: true, Generation: c.config.current().generation,
 		RenewalToken: c.term.renewalToken(),
 	}
 	if view := c.peerTable.standbyView(); view.Token > 0 {
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -180,13 +180,13 @@
 func (l *leadership) build(state *stored) (*sched.Core, error) {
 	c := l.controller
 	now := c.now()
-	if err := c.config.follows(state.config, state.revision); err != nil {
+	if err := c.config.adopt(state.config, state.revision); err != nil {
 		return nil, err
 	}
 	catalog, _ := c.machineTypes()
 	active := c.config.current()
 	core := sched.New(active.settings, l.token, now, catalog, func(msg string, args ...any) { c.log.Info(msg, args...) })
-	core.Configure(active.settings, active.cordons, active.version, now)
+	core.Configure(active.settings, active.cordons, active.generationVersion, now)
 	l.staleKeys.keys = nil
 	l.progress.reset()
 	for _, record := range state.jobs {
