--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	// minEvents is for how many events the queue of the owner goroutine has room at least. A report
+	// minOwnerQueue is for how many events the queue of the owner goroutine has room at least. A report
 	// that finds it full is not answered.
-	minEvents = 1024
+	minOwnerQueue = 1024
 	// minSubmits is how many submissions may be stored at a time at least.
 	minSubmits = 8
 	// minCancels is how many users may wait for their jobs' tasks to be gone at least.
@@ -34,7 +34,7 @@
 	// cloudShare is the part of the cloud's requests that this controller may use.
 	cloudShare = 0.7
 	// socketsPerIdle: one in so many sockets may be kept for an unused connection to a worker.
-	socketsPerIdle = 16
+	socketsPerIdleConn = 16
 )
 
 // Why a controller is not ready.
@@ -101,9 +101,9 @@
 // age is the time since the start.
 func (c *clock) age() time.Duration { return time.Since(c.startedAt) }
 
-// idleWorkers is how many unused connections to workers are kept. Workers and users that connect
+// idleWorkerConns is how many unused connections to workers are kept. Workers and users that connect
 // get the sockets that are left: past the limit this controller could reach nobody.
-func idleWorkers(sockets int) int { return sockets / socketsPerIdle }
+func idleWorkerConns(sockets int) int { return sockets / socketsPerIdleConn }
 
 // New returns a controller; Run starts it.
 func New(set *config.Settings, log *slog.Logger) (*Controller, error) {
@@ -113,7 +113,7 @@
 		settings: set, log: log, clock: newClock(), processID: newProcessID(),
 		store:          kvstore.New(set.Endpoints.State, deployment.State.RPS, deployment.State.WriteRPS, len(set.Members)+1),
 		cloud:          cloud.New(set.Endpoints.Cloud, deployment.Cloud.RPS, cloudShare),
-		worker:         workerclient.New(idleWorkers(sockets)),
+		worker:         workerclient.New(idleWorkerConns(sockets)),
 		peers:          map[string]*peer.Client{},
 		term:           termTracker{self: set.Label},
 		peerTable:      newPeerTable(set.Label),
@@ -125,7 +125,7 @@
 		cancelSlots: make(chan struct{}, max(minCancels, sockets/4)),
 		drained:     make(chan struct{}),
 	}
-	c.owner = newOwnerLoop(c.now, max(minEvents, sockets))
+	c.owner = newOwnerLoop(c.now, max(minOwnerQueue, sockets))
 	c.archive = archive.NewReader(c.store)
 	c.lookups = newLookupBatcher(set, c.store, c.archive, c.statuses, c.taskCounts)
 	c.follower = &follower{controller: c}
@@ -184,7 +184,7 @@
 		return err
 	}
 	sockets := c.settings.Deployment.Resources.Sockets
-	httpServer := api.NewServer(api.Handler(c, c.metrics()), sockets-idleWorkers(sockets))
+	httpServer := api.NewServer(api.Handler(c, c.metrics()), sockets-idleWorkerConns(sockets))
 	rpcServer := peer.NewServer(c, sockets)
 	failed := make(chan error, 2)
 	go func() { failed <- httpServer.Serve(users) }()
--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// minDirects is how many direct commands may wait to be sent at least. One that finds no room
+	// minDirectCommands is how many direct commands may wait to be sent at least. One that finds no room
 	// goes with the answer to its worker's next report.
-	minDirects = 256
+	minDirectCommands = 256
 	// minSenders and maxSenders are how many direct commands may be on their way at a time; in
 	// between it is one for so many sockets.
 	minSenders, maxSenders = 4, 32
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// deferToStandbys lets those go first that stand by warm and rank before this controller, and says
+// deferToStandbys lets warm standbys go first that rank before this controller, and says
 // whether the term is still free.
 func (e *election) deferToStandbys(ctx context.Context) bool {
 	delay := e.controller.candidateDelay()
@@ -207,7 +207,7 @@
 }
 
 // acquire takes a vacant term under a new lease. A lease is opened only now: those of all the
-// controllers that merely stand by would cost the service more requests than the term itself.
+// controllers that merely wait would cost the service more requests than the term itself.
 func (e *election) acquire(ctx context.Context, free vacancy) (*heldTerm, error) {
 	termLease, err := openLease(ctx, e.controller.store, e.leaseTTL)
 	if err != nil {
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -12,51 +12,52 @@
 )
 
 const (
-	// minWaiters is how many reports may wait for launches at a time at least.
-	minWaiters = 256
-	// launchWait is how long a report waits for launches.
+	// minLaunchWaiters is how many heartbeats may wait for launches at a time at least.
+	minLaunchWaiters = 256
+	// launchWait is how long a heartbeat waits for launches.
 	launchWait = 600 * time.Millisecond
 	// maxWaitPasses is for how many scheduling passes it waits.
 	maxWaitPasses = 4
 
-	// minSendOn is how many workers a second are sent on to another node at least. It serves
-	// minSendOn*workersPerSendOn workers.
-	minSendOn = 40
-	// workersPerSendOn: where more workers report to this node, one in so many is sent on in a second.
-	workersPerSendOn = 12
-	// sendOnBurst is for how many seconds workers may be sent on at once.
-	sendOnBurst = 2
+	// minRedirects is how many workers a second are redirected to another controller at least. It serves
+	// minSendOn*workersPerRedirect workers.
+	minRedirects = 40
+	// workersPerRedirect: where more workers report to this controller, one in so many is redirected in
+	// a second.
+	workersPerRedirect = 12
+	// redirectBurst is for how many seconds workers may be redirected at once.
+	redirectBurst = 2
 )
 
 // Heartbeat implements api.Service: the leader answers itself, other controllers relay
 // to it, so that no worker has to find it.
-func (c *Controller) Heartbeat(ctx context.Context, report *wire.Heartbeat) (wire.HeartbeatResponse, error) {
-	c.workerContacts.record(report.Host)
-	if response, ok := c.handleHeartbeat(ctx, report); ok {
+func (c *Controller) Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat) (wire.HeartbeatResponse, error) {
+	c.workerContacts.record(heartbeat.Host)
+	if response, ok := c.handleHeartbeat(ctx, heartbeat); ok {
 		return response, nil
 	}
 	term := c.term.view()
-	if term.isLeading() || term.leader == "" || term.leader == c.settings.Label || report.FencingToken > term.token {
+	if term.isLeading() || term.leader == "" || term.leader == c.settings.Label || heartbeat.FencingToken > term.token {
 		return wire.HeartbeatResponse{}, api.ErrUnavailable
 	}
 	leader := c.peers[term.leader]
 	if leader == nil {
 		return wire.HeartbeatResponse{}, api.ErrUnavailable
 	}
-	relayed, err := leader.Relay(ctx, &peer.RelayRequest{Report: *report})
+	relayed, err := leader.Relay(ctx, &peer.RelayRequest{Report: *heartbeat})
 	switch {
 	case err != nil:
-		return c.answerWithoutLeader(report, term.leader)
+		return c.answerWithoutLeader(heartbeat, term.leader)
 	case relayed.Status != http.StatusOK:
 		return wire.HeartbeatResponse{}, api.ErrNotLeader
 	}
 	return relayed.Answer, nil
 }
 
-// answerWithoutLeader answers a report that the leader did not take: it renews the worker's lease
-// if it may, or sends the worker on.
-func (c *Controller) answerWithoutLeader(report *wire.Heartbeat, leader string) (wire.HeartbeatResponse, error) {
-	if token, ok := c.mayRenewLease(report); ok {
+// answerWithoutLeader answers a heartbeat that the leader did not take: it renews the worker's lease
+// if it may, or redirects the worker.
+func (c *Controller) answerWithoutLeader(heartbeat *wire.Heartbeat, leader string) (wire.HeartbeatResponse, error) {
+	if token, ok := c.mayRenewLease(heartbeat); ok {
 		return wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}, nil
 	}
 	if target := c.redirectTarget(leader); target != "" {
@@ -65,10 +66,10 @@
 	return wire.HeartbeatResponse{}, api.ErrUnavailable
 }
 
-// redirectTarget names a peer that is alive, for a worker whose report the leader did
+// redirectTarget names a peer that is alive, for a worker whose heartbeat the leader did
 // not take. Left to itself the worker tries the controllers in turn and waits 4 s for
 // each that is silent; behind two such controllers its lease runs out. It bounds how many
-// are sent on, since they come back at once while nobody can act: a part of those that
+// are redirected, since they come back at once while nobody can act: a part of those that
 // report to this controller, or a few at a small site.
 func (c *Controller) redirectTarget(leader string) string {
 	if !c.workerContacts.mayRedirect() {
@@ -82,14 +83,14 @@
 // service is in reach. It carries no commands, and nothing is ever freed because time has
 // passed, so a permission that outlives its leader starts nothing twice, and nobody was told of a
 // cancellation whose tasks it keeps alive.
-func (c *Controller) mayRenewLease(report *wire.Heartbeat) (uint64, bool) {
+func (c *Controller) mayRenewLease(heartbeat *wire.Heartbeat) (uint64, bool) {
 	if c.store.Reachable(storeReachableWithin) {
 		return 0, false // then another leader can be found
 	}
-	return c.term.mayRenew(report.FencingToken)
+	return c.term.mayRenew(heartbeat.FencingToken)
 }
 
-// PeerRelay implements peer.Server: a peer sends on the report of a worker.
+// PeerRelay implements peer.Server: a peer relays the heartbeat of a worker.
 func (c *Controller) PeerRelay(ctx context.Context, request *peer.RelayRequest) (*peer.RelayResponse, error) {
 	response, ok := c.handleHeartbeat(ctx, &request.Report)
 	if !ok {
@@ -98,22 +99,22 @@
 	return &peer.RelayResponse{Status: http.StatusOK, Answer: response}, nil
 }
 
-// handleHeartbeat hands a report to the core if this controller is entitled to act: it holds
+// handleHeartbeat hands a heartbeat to the core if this controller is entitled to act: it holds
 // the term as far as it knows, and neither the worker nor a peer has shown a
 // higher token. While the state service is out of reach it goes on renewing
 // leases, since it starts nothing without it.
-func (c *Controller) handleHeartbeat(ctx context.Context, report *wire.Heartbeat) (response wire.HeartbeatResponse, ok bool) {
+func (c *Controller) handleHeartbeat(ctx context.Context, heartbeat *wire.Heartbeat) (response wire.HeartbeatResponse, ok bool) {
 	term := c.term.view()
-	if report.FencingToken > term.token {
-		c.observeTerm("", report.FencingToken)
+	if heartbeat.FencingToken > term.token {
+		c.observeTerm("", heartbeat.FencingToken)
 	}
-	if !term.isLeading() || report.FencingToken > term.leading {
+	if !term.isLeading() || heartbeat.FencingToken > term.leading {
 		return response, false
 	}
 	var launches <-chan []wire.Command
 	called := c.owner.call(ctx, func() {
 		if l := c.owner.leadership; l != nil && l.stalledFor == 0 && ctx.Err() == nil {
-			response, launches = l.heartbeat(report)
+			response, launches = l.handleHeartbeat(heartbeat)
 			ok = true
 		}
 	})
@@ -126,24 +127,24 @@
 	return response, c.term.view().leading == response.FencingToken && c.owner.ranRecently()
 }
 
-// heartbeat hands a report to the core. If the machine has room and something waits, the launches
+// handleHeartbeat hands a heartbeat to the core. If the machine has room and something waits, the launches
 // that a pass decides upon are to be waited for. Owner goroutine.
-func (l *leadership) heartbeat(report *wire.Heartbeat) (response wire.HeartbeatResponse, launches <-chan []wire.Command) {
+func (l *leadership) handleHeartbeat(heartbeat *wire.Heartbeat) (response wire.HeartbeatResponse, launches <-chan []wire.Command) {
 	owner := l.controller.owner
-	response = l.core.Heartbeat(report, l.controller.now())
-	wantsLaunches := l.core.WantsLaunches(report.Host)
+	response = l.core.Heartbeat(heartbeat, l.controller.now())
+	wantsLaunches := l.core.WantsLaunches(heartbeat.Host)
 	if wantsLaunches {
 		owner.requestPass()
 	}
 	owner.requestPassIf(l.core.TakePassNeeded)
 	if wantsLaunches {
-		launches = l.launchWaiters.add(report.Host)
+		launches = l.launchWaiters.add(heartbeat.Host)
 	}
 	return response, launches
 }
 
 // awaitLaunches waits a moment for launches: those that are being stored right now go with this
-// answer instead of the next one, a report interval later.
+// answer instead of the next one, a heartbeat later.
 func awaitLaunches(ctx context.Context, launches <-chan []wire.Command, response *wire.HeartbeatResponse) {
 	timeout := time.NewTimer(launchWait)
 	defer timeout.Stop()
@@ -161,24 +162,24 @@
 	}
 }
 
-// launchWaiter is a report whose answer waits a moment for launches.
+// launchWaiter is a heartbeat whose answer waits a moment for launches.
 type launchWaiter struct {
 	host     string
 	since    int // number of the scheduling pass before it
 	launches chan<- []wire.Command
 }
 
-// launchWaiters are the reports that wait for launches. Owner goroutine.
+// launchWaiters are the heartbeats that wait for launches. Owner goroutine.
 type launchWaiters struct {
 	limit   int // how many may wait: each holds a socket here or at a peer
 	passes  int // scheduling passes so far
 	waiting []launchWaiter
 }
 
-// maxLaunchWaiters is how many reports may wait where there are so many sockets.
-func maxLaunchWaiters(sockets int) int { return max(minWaiters, sockets/2) }
+// maxLaunchWaiters is how many heartbeats may wait where there are so many sockets.
+func maxLaunchWaiters(sockets int) int { return max(minLaunchWaiters, sockets/2) }
 
-// add has a host's report wait; nil means that too many wait.
+// add has a host's heartbeat wait; nil means that too many wait.
 func (w *launchWaiters) add(host string) <-chan []wire.Command {
 	if len(w.waiting) >= w.limit {
 		return nil
@@ -188,7 +189,7 @@
 	return launches
 }
 
-// serve answers the reports whose machines a pass has considered and whose launches are stored.
+// serve answers the heartbeats whose machines a pass has considered and whose launches are stored.
 func (w *launchWaiters) serve(core *sched.Core) {
 	kept := w.waiting[:0]
 	for _, waiter := range w.waiting {
--- a/internal/controller/instability.go
+++ b/internal/controller/instability.go
@@ -23,7 +23,7 @@
 // newProcessID names this process; it is never 0.
 func newProcessID() uint64 { return rand.Uint64() | 1 }
 
-// recordPeerProcess takes which process of a peer said hello, and returns how often the peer was
+// recordPeerProcess takes which process of a peer sent a heartbeat, and returns how often the peer was
 // restarted lately. A process of no member, or of a version that doesn't name it, is not counted.
 func (c *Controller) recordPeerProcess(label string, processID uint64, now time.Time) int {
 	if processID == 0 || c.peers[label] == nil {
--- a/internal/controller/instability_test.go
+++ b/internal/controller/instability_test.go
@@ -12,12 +12,12 @@
 	"dalefront/wire"
 )
 
-// store is a state service with a term key and holds, which counts.
+// store is a state service with a term key and leases, which counts.
 type store struct {
-	mu    sync.Mutex
-	term  *wire.KeyValue
-	rev   uint64
-	holds uint64
+	mu     sync.Mutex
+	term   *wire.KeyValue
+	rev    uint64
+	leases uint64
 }
 
 func (s *store) serve(w http.ResponseWriter, r *http.Request) {
@@ -30,8 +30,8 @@
 	}
 	switch {
 	case r.URL.Path == "/holds":
-		s.holds++
-		put(200, wire.Lease{ID: s.holds})
+		s.leases++
+		put(200, wire.Lease{ID: s.leases})
 	case r.URL.Path == "/multi":
 		b := make([]byte, r.ContentLength)
 		_, _ = r.Body.Read(b)
@@ -97,98 +97,119 @@
 	return t, version
 }
 
-// A process that finds the term of an earlier process of its node replaces it without
-// waiting for its lease to run out, under a higher token; that of another node it leaves.
-// One that others have seen end again and again gives it up instead, and lets them go
+// A process that finds the term of an earlier process of its controller replaces it without
+// waiting for its lease to run out, under a higher token; that of another controller it leaves.
+// One that its peers have seen restarted again and again gives it up instead, and lets them go
 // first, for a bounded time.
-func TestEarlierProcess(t *testing.T) {
-	for _, c := range []struct {
-		name, node string
-		ends       int
-		takes      bool
-	}{{"its own", "a", 1, true}, {"another's", "b", 0, false}, {"its own, but it keeps ending", "a", 4, false}} {
-		s := &store{rev: 40}
-		s.leave(c.node)
-		_, before := s.holder()
-		f := 1.0
-		n := testNode(t, s.serve, func(set *config.Settings) {
-			set.Operator.EvictAfterS, set.Operator.CheckpointMBS = &f, &f
+func TestTermOfEarlierProcess(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		holder   string // label of the controller that the term names
+		restarts int    // of this controller lately, as a peer says
+		takes    bool
+	}{
+		{"its own", "a", 1, true},
+		{"another's", "b", 0, false},
+		{"its own, but it keeps ending", "a", 4, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			s := &store{rev: 40}
+			s.leave(test.holder)
+			_, before := s.holder()
+			one := 1.0
+			c := testNode(t, s.serve, func(set *config.Settings) {
+				set.Operator.EvictAfterS, set.Operator.CheckpointMBS = &one, &one
+			})
+			addPeer(t, c, "b")
+			c.peerTable.recordSeen("b", time.Now())
+			c.peerTable.recordOwnRestarts(test.restarts, time.Now())
+			c.catalog.set(wire.Catalog{})
+			ctx, cancel := context.WithCancel(context.Background())
+			defer cancel()
+			go c.owner.run(ctx)
+			go newElection(c).run(ctx)
+			looks := 500
+			if test.holder == "b" {
+				looks = 20 // it has looked at the term a few times by then
+			}
+			var got termRecord
+			var version uint64
+			for i := 0; i < looks && (i == 0 || version == before); i++ {
+				time.Sleep(5 * time.Millisecond)
+				got, version = s.holder()
+			}
+			switch {
+			case test.takes && (version <= before || got.Node != "a" || got.Mark == "a.1.1"):
+				t.Errorf("the term is %+v at %d", got, version)
+			case !test.takes && test.holder == "b" && version != before:
+				t.Errorf("the term was changed to %+v", got)
+			case !test.takes && test.holder == "a" && got.Node != "":
+				t.Errorf("it was not given up: %+v", got)
+			}
 		})
-		p, err := peer.Dial("127.0.0.1:1")
-		if err != nil {
-			t.Fatal(err)
-		}
-		n.peers["b"] = p
-		n.peerTable.recordSeen("b", time.Now())
-		n.peerTable.recordOwnRestarts(c.ends, time.Now())
-		n.catalog.set(wire.Catalog{})
-		ctx, cancel := context.WithCancel(context.Background())
-		go n.owner.run(ctx)
-		go newElection(n).run(ctx)
-		var got termRecord
-		var version uint64
-		most := 500
-		if c.node == "b" {
-			most = 20 // it has looked at the term a few times by then
-		}
-		for i := 0; i < most && (i == 0 || version == before); i++ {
-			time.Sleep(5 * time.Millisecond)
-			got, version = s.holder()
-		}
-		cancel()
-		switch {
-		case c.takes && (version <= before || got.Node != "a" || got.Mark == "a.1.1"):
-			t.Errorf("%s: the term is %+v at %d", c.name, got, version)
-		case !c.takes && c.node == "b" && version != before:
-			t.Errorf("%s: the term was changed to %+v", c.name, got)
-		case !c.takes && c.node == "a" && got.Node != "":
-			t.Errorf("%s: it was not given up: %+v", c.name, got)
-		}
 	}
 }
 
-// Peers count how often a node is started anew, whatever its clock says; they forget it
-// after a minute, and a node that hears of it lets those go first that end less often.
-func TestFlapping(t *testing.T) {
-	n := testNode(t, func(http.ResponseWriter, *http.Request) {})
-	p, _ := peer.Dial("127.0.0.1:1")
-	n.peers["b"] = p
+// addPeer makes a controller a peer that nobody can reach.
+func addPeer(t *testing.T, c *Controller, label string) {
+	t.Helper()
+	client, err := peer.Dial("127.0.0.1:1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.peers[label] = client
+}
+
+// Peers count how often a controller is restarted, whatever its clock says, and forget it
+// after a minute.
+func TestRestartsAreCounted(t *testing.T) {
+	c := testNode(t, func(http.ResponseWriter, *http.Request) {})
+	addPeer(t, c, "b")
 	now := time.Now()
-	ends := 0
-	for i, born := range []uint64{5, 5, 9, 9, 5, 7} { // a number that came before is another process too
-		ends = n.recordPeerProcess("b", born, now.Add(time.Duration(i)*time.Second))
+	restarts := 0
+	for i, processID := range []uint64{5, 5, 9, 9, 5, 7} { // a number that came before is another process too
+		restarts = c.recordPeerProcess("b", processID, now.Add(time.Duration(i)*time.Second))
 	}
-	if ends != 3 {
-		t.Errorf("%d ends were counted, not 3", ends)
+	if restarts != 3 {
+		t.Errorf("%d restarts were counted, not 3", restarts)
 	}
-	if got := n.recordPeerProcess("b", 7, now.Add(restartWindow+3*time.Second)); got != 2 {
-		t.Errorf("%d ends are remembered after a minute", got)
+	if got := c.recordPeerProcess("b", 7, now.Add(restartWindow+3*time.Second)); got != 2 {
+		t.Errorf("%d restarts are remembered after a minute", got)
 	}
 	for i := range 100 {
-		n.recordPeerProcess("b", uint64(100+i), now.Add(restartWindow))
+		c.recordPeerProcess("b", uint64(100+i), now.Add(restartWindow))
 	}
-	if got := n.recordPeerProcess("b", 199, now.Add(restartWindow)); got > maxCountedRestarts {
-		t.Errorf("%d ends are kept", got)
+	if got := c.recordPeerProcess("b", 199, now.Add(restartWindow)); got > maxCountedRestarts {
+		t.Errorf("%d restarts are kept", got)
 	}
-	if n.recordPeerProcess("nobody", 3, now) != 0 || len(n.peerTable.states) != 1 {
-		t.Error("a node that is no member is counted")
+	if c.recordPeerProcess("nobody", 3, now) != 0 || len(c.peerTable.states) != 1 {
+		t.Error("a controller that is no member is counted")
 	}
+}
 
+// A controller that hears that it was restarted often lets those go first that were restarted less
+// often, for a bounded time, and forgets it after a minute.
+func TestUnstableControllerYields(t *testing.T) {
+	c := testNode(t, func(http.ResponseWriter, *http.Request) {})
+	addPeer(t, c, "b")
 	ctx := context.Background()
-	n.peerTable.recordOwnRestarts(maxCountedRestarts, time.Now())
-	if n.yieldsElection(ctx) {
+	for i := range maxCountedRestarts + 1 {
+		c.recordPeerProcess("b", uint64(100+i), time.Now())
+	}
+	c.peerTable.recordOwnRestarts(maxCountedRestarts, time.Now())
+	if c.yieldsElection(ctx) {
 		t.Error("it lets others go first though none is there")
 	}
-	n.peerTable.recordSeen("b", time.Now())
-	if n.yieldsElection(ctx) {
-		t.Error("it lets one go first that ends as often")
+	c.peerTable.recordSeen("b", time.Now())
+	if c.yieldsElection(ctx) {
+		t.Error("it lets one go first that was restarted as often")
 	}
-	n.peerTable.states["b"].restarts = nil
-	if !n.yieldsElection(ctx) || n.peerTable.yieldDuration() > 2*time.Second {
-		t.Errorf("it does not let others go first, or for %v", n.peerTable.yieldDuration())
+	c.peerTable.states["b"].restarts = nil
+	if !c.yieldsElection(ctx) || c.peerTable.yieldDuration() > 2*time.Second {
+		t.Errorf("it does not let others go first, or for %v", c.peerTable.yieldDuration())
 	}
-	n.peerTable.ownRestartsAt = time.Now().Add(-2 * restartWindow)
-	if n.yieldsElection(ctx) {
+	c.peerTable.ownRestartsAt = time.Now().Add(-2 * restartWindow)
+	if c.yieldsElection(ctx) {
 		t.Error("what was counted is never forgotten")
 	}
 }
--- a/internal/controller/keydeleter.go
+++ b/internal/controller/keydeleter.go
@@ -10,9 +10,9 @@
 
 const (
 	// tidyPart: a write that deletes what is of no more use takes one in so many of a second's changes.
-	tidyPart = 6
-	// tidyPause is the pause after it.
-	tidyPause = time.Second
+	staleKeyWriteShare = 6
+	// staleKeyPause is the pause after it.
+	staleKeyPause = time.Second
 	// cancelledRetry is the pause after records of cancelled jobs could not be deleted.
 	cancelledRetry = 100 * time.Millisecond
 )
@@ -34,10 +34,10 @@
 	}
 	limits := &d.leadership.controller.settings.Deployment.State
 	var batch []string
-	batch, d.keys = cut(d.keys, min(limits.TxnOps, max(1, int(limits.WriteRPS/tidyPart))))
+	batch, d.keys = cut(d.keys, min(limits.TxnOps, max(1, int(limits.WriteRPS/staleKeyWriteShare))))
 	d.leadership.startTask(&d.task, func() func() {
 		err := d.leadership.deleteUnderTerm(batch)
-		time.Sleep(tidyPause)
+		time.Sleep(staleKeyPause)
 		if err == nil || errors.Is(err, kvstore.ErrConflict) {
 			return nil
 		}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -53,7 +53,7 @@
 	sockets := c.settings.Deployment.Resources.Sockets
 	l := &leadership{
 		controller: c, token: token, lease: termLease, ctx: ctx, cancel: cancel,
-		directCommands: make(chan sched.DirectCommand, max(minDirects, sockets/4)),
+		directCommands: make(chan sched.DirectCommand, max(minDirectCommands, sockets/4)),
 		launchWaiters:  launchWaiters{limit: maxLaunchWaiters(sockets)},
 	}
 	l.commits.leadership = l
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -138,13 +138,13 @@
 	s.jobs, s.tasks = l.core.Waiting()
 	s.machines, s.up = l.core.FleetSize()
 	s.silent, s.zonesCut = l.core.SilentMachines()
-	s.served = l.core.ServiceShares(mostServed)
+	s.served = l.core.ServiceShares(maxServiceShares)
 	l.controller.gauges.Store(&s)
 }
 
-// mostServed bounds the classes that are shown, since users choose their names. Teams are those
+// maxServiceShares bounds the classes that are shown, since users choose their names. Teams are those
 // of the settings, and all are shown.
-const mostServed = 50
+const maxServiceShares = 50
 
 // serviceShares collects how much of what each class and team asked for is served.
 type serviceShares struct{ controller *Controller }
@@ -170,7 +170,7 @@
 		}
 	}
 	for _, share := range s.controller.currentGauges().served {
-		kind, name := kindOf(&share), strings.ToValidUTF8(share.Name, "?")
+		kind, name := shareKind(&share), strings.ToValidUTF8(share.Name, "?")
 		for _, count := range []struct {
 			what string
 			jobs int
@@ -189,8 +189,8 @@
 	}
 }
 
-// kindOf says whose a share is, as the metrics and the log name it.
-func kindOf(s *sched.ServiceShare) string {
+// shareKind says whose a share is, as the metrics and the log name it.
+func shareKind(s *sched.ServiceShare) string {
 	if s.Team {
 		return "team"
 	}
--- a/internal/controller/peertable.go
+++ b/internal/controller/peertable.go
@@ -16,7 +16,7 @@
 
 	// peerAlive is for how long after its last answer a peer is taken for alive when others go first.
 	peerAlive = 2 * time.Second
-	// redirectAlive is the same when workers are sent on to it.
+	// redirectAlive is the same when workers are redirected to it.
 	redirectAlive = 2500 * time.Millisecond
 )
 
@@ -24,7 +24,7 @@
 type peerState struct {
 	seenAt    time.Time   // when it last answered, zero if it never did
 	unfitAt   time.Time   // when it last said that it could not follow the stored state
-	processID uint64      // of the process that last said hello, 0 if none did
+	processID uint64      // of the process that last sent a heartbeat, 0 if none did
 	restarts  []time.Time // when it was found to be another process than before, the oldest first
 }
 
@@ -89,7 +89,7 @@
 	t.state(label).unfitAt = now
 }
 
-// recordProcess notes which process of a peer said hello, and returns how often the peer was
+// recordProcess notes which process of a peer sent a heartbeat, and returns how often the peer was
 // restarted lately.
 func (t *peerTable) recordProcess(label string, processID uint64, now time.Time) int {
 	t.mu.Lock()
@@ -102,7 +102,7 @@
 	return s.recentRestarts(now)
 }
 
-// process is the process of a peer that last said hello, 0 if none did.
+// process is the process of a peer that last sent a heartbeat, 0 if none did.
 func (t *peerTable) process(label string) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -153,7 +153,7 @@
 }
 
 // nextAlive names the peer that follows this controller in the ring of those that are alive, but
-// for one; "" if there is none. Workers that are sent on from one to the next meet all.
+// for one; "" if there is none. Workers that are redirected from one to the next meet all.
 func (t *peerTable) nextAlive(except string, now time.Time) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -175,14 +175,14 @@
 	return next
 }
 
-// standbyView is the newest known view of who stands by.
+// standbyView is the newest known view of which controllers are standbys.
 func (t *peerTable) standbyView() standby.View {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.standbys
 }
 
-// standbyRank is this controller's place among those that stand by, -1 if it is none.
+// standbyRank is this controller's place among the standbys, -1 if it is none.
 func (t *peerTable) standbyRank() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -215,7 +215,7 @@
 	return before
 }
 
-// chooseStandbys chooses which of the members stand by under a leader's token, and says whether
+// chooseStandbys chooses which of the members are standbys under a leader's token, and says whether
 // that has changed.
 func (t *peerTable) chooseStandbys(choosing *standby.Choosing, token uint64, members []config.Member, now config.Micros) (standby.View, bool) {
 	t.mu.Lock()
--- a/internal/controller/progresswriter.go
+++ b/internal/controller/progresswriter.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// progressPart is of a second's changes one write of progress may take one in so many.
-	progressPart = 10
+	// progressWriteShare: one write of progress takes at most one in so many of a second's changes.
+	progressWriteShare = 10
 	// progressPause is the pause after a write of progress. What completes meanwhile goes with the
 	// next one. Launches wait for every change stored before them, and a result that is not
 	// stored yet is only reported once more.
@@ -58,7 +58,7 @@
 		return
 	}
 	limits := &w.leadership.controller.settings.Deployment.State
-	chunks := w.leadership.core.ProgressToStore(min(limits.TxnOps, max(1, int(limits.WriteRPS/progressPart))))
+	chunks := w.leadership.core.ProgressToStore(min(limits.TxnOps, max(1, int(limits.WriteRPS/progressWriteShare))))
 	if len(chunks) == 0 {
 		return
 	}
--- a/internal/controller/queuewatch.go
+++ b/internal/controller/queuewatch.go
@@ -14,8 +14,8 @@
 	queueWatchHold = 5 * time.Second
 	// queueWatchRetry is the pause after one that failed.
 	queueWatchRetry = 200 * time.Millisecond
-	// queueWatchPart: watching takes one in so many of the requests that the state service takes.
-	queueWatchPart = 8
+	// queueWatchShare: watching takes one in so many of the requests that the state service takes.
+	queueWatchShare = 8
 )
 
 // watchQueue brings accepted and ended jobs to the core, until the leadership ends.
@@ -24,7 +24,7 @@
 	from := l.revision
 	// Each opening of the watch is a request: in a flood of small jobs every change
 	// would cost one.
-	pace := time.Duration(queueWatchPart / max(c.settings.Deployment.State.RPS, 1) * float64(time.Second))
+	pace := time.Duration(queueWatchShare / max(c.settings.Deployment.State.RPS, 1) * float64(time.Second))
 	for l.ctx.Err() == nil {
 		events, err := c.store.Watch(l.ctx, queuePrefix, from, queueWatchHold)
 		if errors.Is(err, kvstore.ErrCompacted) {
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// minListS is how many seconds lie between two lists of machines at least.
-	minListS = 2
+	// minListSeconds is how many seconds lie between two lists of machines at least.
+	minListSeconds = 2
 	// listShare: lists take one in so many of the requests that the cloud takes.
 	listShare = 4
 	// minCloudRPS is the least number of requests a second that the cloud is taken to answer.
@@ -83,7 +83,7 @@
 	limits := &f.leadership.controller.settings.Deployment.Cloud
 	known, _ := f.leadership.core.FleetSize()
 	pages := float64(known/cloud.ListPage + 1)
-	interval := int64(max(minListS, limits.ListLagS/2, listShare*pages/max(limits.RPS, minCloudRPS)) * 1e6)
+	interval := int64(max(minListSeconds, limits.ListLagS/2, listShare*pages/max(limits.RPS, minCloudRPS)) * 1e6)
 	if now-f.listedAt < interval {
 		return false
 	}
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -27,18 +27,18 @@
 const (
 	// firstSnapshotPause is the longest pause before the first snapshot of a term.
 	firstSnapshotPause = time.Minute
-	// snapshotPart: reading a snapshot takes one in so many of the requests that the state service
+	// snapshotReadShare: reading a snapshot takes one in so many of the requests that the state service
 	// takes, so that users come first.
-	snapshotPart = 10
-	// copyPart: storing a copy takes one in so many of the changes that it takes.
-	copyPart = 20
+	snapshotReadShare = 10
+	// copyWriteShare: storing a copy takes one in so many of the changes that it takes.
+	copyWriteShare = 20
 	// copyOps is how many values of a copy one transaction stores at most.
 	copyOps = 4
 )
 
 // snapshotReader returns the state service's client for reading snapshots.
 func (c *Controller) snapshotReader() paced {
-	return paced{c.store, seconds(snapshotPart / c.settings.Deployment.State.RPS)}
+	return paced{c.store, seconds(snapshotReadShare / c.settings.Deployment.State.RPS)}
 }
 
 // periodically does some work from time to time until the leadership ends, but not while the state
@@ -110,7 +110,7 @@
 		err = snap.Store(ctx, store, snapshot.StoreOptions{
 			Term: l.termCondition(), Ops: min(limits.TxnOps, copyOps), Value: int(limits.ValueKB * 1024),
 			Pace: func(ctx context.Context, changes int) bool {
-				sleepContext(ctx, seconds(float64(changes)*copyPart/limits.WriteRPS))
+				sleepContext(ctx, seconds(float64(changes)*copyWriteShare/limits.WriteRPS))
 				return ctx.Err() == nil
 			},
 		})
--- a/internal/controller/stall_test.go
+++ b/internal/controller/stall_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net/http"
 	"testing"
 	"time"
@@ -11,45 +12,47 @@
 	"dalefront/wire"
 )
 
-// A controller that stood still must not answer for its term, nor return machines,
+// A controller that stalled must not answer for its term, nor return machines,
 // before it has read the term again: another may have taken it. Found again, it
 // goes on; otherwise it stops acting for good.
-func TestStandstill(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		term uint64
-		acts bool
+func TestStalledLeaderReadsTermFirst(t *testing.T) {
+	for _, test := range []struct {
+		name  string
+		term  uint64
+		leads bool
 	}{{"kept", 5, true}, {"taken", 6, false}} {
-		f := 1.0
-		n := testNode(t, func(w http.ResponseWriter, r *http.Request) {
-			b, _ := wire.Marshal(wire.KeyValue{Key: termKey, Version: c.term, Value: []byte{0x80}})
-			_, _ = w.Write(b)
-		}, func(set *config.Settings) {
-			set.Operator.EvictAfterS, set.Operator.CheckpointMBS = &f, &f
+		t.Run(test.name, func(t *testing.T) {
+			one := 1.0
+			c := testNode(t, func(w http.ResponseWriter, _ *http.Request) {
+				body, _ := wire.Marshal(wire.KeyValue{Key: termKey, Version: test.term, Value: []byte{0x80}})
+				_, _ = w.Write(body)
+			}, func(set *config.Settings) {
+				set.Operator.EvictAfterS, set.Operator.CheckpointMBS = &one, &one
+			})
+			ctx, cancel := context.WithCancel(context.Background())
+			defer cancel()
+			l := newLeadership(ctx, c, 5, &lease{})
+			l.core = sched.New(c.settings, 5, c.now(), wire.Catalog{}, func(string, ...any) {})
+			c.owner.leadership = l
+			c.term.observe("", 5)
+			c.term.startLeading(5)
+			c.owner.lastRun.Store(c.now() - 25*stallThreshold)
+			if c.owner.ranRecently() || l.holdsTerm() {
+				t.Error("what woke before the owner goroutine may act")
+			}
+			c.owner.detectStall()
+			heartbeat := wire.Heartbeat{Host: "n-1", Type: "s", Zone: "x", Incarnation: 1, Sequence: 1, FencingToken: 5}
+			if _, ok := c.handleHeartbeat(ctx, &heartbeat); ok {
+				t.Error("a heartbeat was answered before the term was read")
+			}
+			if l.schedule(); l.launchWaiters.passes > 0 {
+				t.Error("scheduled before the term was read")
+			}
+			(<-c.owner.queue)() // what reading the term leads to
+			if leading := c.term.view().leading; (leading == 5) != test.leads || (c.owner.leadership == l) != test.leads {
+				t.Errorf("leads under %d", leading)
+			}
 		})
-		ctx, cancel := context.WithCancel(context.Background())
-		defer cancel()
-		r := newLeadership(ctx, n, 5, &lease{})
-		r.core = sched.New(n.settings, 5, n.now(), wire.Catalog{}, func(string, ...any) {})
-		n.owner.leadership = r
-		n.term.observe("", 5)
-		n.term.startLeading(5)
-		n.owner.lastRun.Store(n.now() - 25*stallThreshold)
-		if n.owner.ranRecently() || r.holdsTerm() {
-			t.Errorf("%s: what woke before the owner goroutine may act", c.name)
-		}
-		n.owner.detectStall()
-		rep := wire.Heartbeat{Host: "n-1", Type: "s", Zone: "x", Incarnation: 1, Sequence: 1, FencingToken: 5}
-		if _, ok := n.handleHeartbeat(ctx, &rep); ok {
-			t.Errorf("%s: a report was answered before the term was read", c.name)
-		}
-		if r.schedule(); r.launchWaiters.passes > 0 {
-			t.Errorf("%s: scheduled before the term was read", c.name)
-		}
-		(<-n.owner.queue)() // what reading the term leads to
-		if leading := n.term.view().leading; (leading == 5) != c.acts || (n.owner.leadership == r) != c.acts {
-			t.Errorf("%s: acts under %d", c.name, leading)
-		}
 	}
 }
 
@@ -57,47 +60,50 @@
 // refuses, or doesn't answer, may have been replaced, and machines that work for the next one
 // look silent to it. It returns none, however long that lasts. It once returned any as soon as
 // it had been refused for three seconds.
-func TestNothingIsReturnedUnderATermInDoubt(t *testing.T) {
-	for _, code := range []int{200, 409, 429, 503, 0} {
-		n := testNode(t, func(w http.ResponseWriter, r *http.Request) {
-			if code == 0 {
-				panic(http.ErrAbortHandler)
+func TestNoScaleInUnderUnconfirmedTerm(t *testing.T) {
+	const noAnswer = 0
+	for _, code := range []int{http.StatusOK, http.StatusConflict, http.StatusTooManyRequests, http.StatusServiceUnavailable, noAnswer} {
+		t.Run(fmt.Sprint(code), func(t *testing.T) {
+			c := testNode(t, func(w http.ResponseWriter, _ *http.Request) {
+				if code == noAnswer {
+					panic(http.ErrAbortHandler)
+				}
+				w.WriteHeader(code)
+				_, _ = w.Write([]byte{0x80})
+			})
+			ctx, cancel := context.WithCancel(context.Background())
+			defer cancel()
+			l := newLeadership(ctx, c, 5, &lease{})
+			c.owner.lastRun.Store(c.now())
+			if got := l.holdsTerm(); got != (code == http.StatusOK) {
+				t.Errorf("may return machines %v", got)
 			}
-			w.WriteHeader(code)
-			_, _ = w.Write([]byte{0x80})
 		})
-		ctx, cancel := context.WithCancel(context.Background())
-		defer cancel()
-		r := newLeadership(ctx, n, 5, &lease{})
-		n.owner.lastRun.Store(n.now())
-		if got := r.holdsTerm(); got != (code == 200) {
-			t.Errorf("the service answers %d: may return machines %v", code, got)
-		}
 	}
 }
 
-// A worker whose report nobody can take is sent on to a node that is alive: left to
+// A worker whose heartbeat nobody can take is redirected to a controller that is alive: left to
 // try them in turn it may meet two silent ones, and its lease runs out.
-func TestSentPastSilentNodes(t *testing.T) {
-	n := testNode(t, func(http.ResponseWriter, *http.Request) {}, func(set *config.Settings) { set.Label = "c" })
+func TestRedirectSkipsSilentControllers(t *testing.T) {
+	c := testNode(t, func(http.ResponseWriter, *http.Request) {}, func(set *config.Settings) { set.Label = "c" })
 	now := time.Now()
 	for _, label := range []string{"a", "b", "e"} {
-		n.peerTable.recordSeen(label, now)
+		c.peerTable.recordSeen(label, now)
 	}
-	n.peerTable.recordSeen("d", now.Add(-time.Minute))
-	if to := n.redirectTarget("e"); to != "a" {
-		t.Errorf("sent to %q past the silent d and the leader e", to)
+	c.peerTable.recordSeen("d", now.Add(-time.Minute))
+	if target := c.redirectTarget("e"); target != "a" {
+		t.Errorf("redirected to %q past the silent d and the leader e", target)
 	}
-	if to := n.redirectTarget("a"); to != "e" {
-		t.Errorf("sent to %q, not to the next that is alive", to)
+	if target := c.redirectTarget("a"); target != "e" {
+		t.Errorf("redirected to %q, not to the next that is alive", target)
 	}
-	sent := 0
-	for i := 0; i < 1000; i++ {
-		if n.redirectTarget("a") != "" {
-			sent++
+	redirected := 0
+	for range 1000 {
+		if c.redirectTarget("a") != "" {
+			redirected++
 		}
 	}
-	if sent > 500 {
-		t.Errorf("%d of 1000 were sent on at once", sent)
+	if redirected > 500 {
+		t.Errorf("%d of 1000 were redirected at once", redirected)
 	}
 }
--- a/internal/controller/statuslog.go
+++ b/internal/controller/statuslog.go
@@ -35,10 +35,10 @@
 // logServiceShares logs what each class and team has had, and warns of those that are underserved.
 func (l *leadership) logServiceShares() {
 	log := l.controller.log
-	for _, s := range l.core.ServiceShares(mostServed) {
-		log.Info("served", "of", kindOf(&s), "name", s.Name, "submitted", s.Submitted, "begun", s.Started, "done", s.Done, "late", s.Late, "cancelled", s.Cancelled, "waiting", s.Waiting, "share", s.Share)
+	for _, s := range l.core.ServiceShares(maxServiceShares) {
+		log.Info("served", "of", shareKind(&s), "name", s.Name, "submitted", s.Submitted, "begun", s.Started, "done", s.Done, "late", s.Late, "cancelled", s.Cancelled, "waiting", s.Waiting, "share", s.Share)
 		if s.Underserved {
-			log.Warn(kindOf(&s)+" starves", "name", s.Name, "share", s.Share, "for_us", s.UnderservedFor, "why", s.WaitReason)
+			log.Warn(shareKind(&s)+" starves", "name", s.Name, "share", s.Share, "for_us", s.UnderservedFor, "why", s.WaitReason)
 		}
 	}
 }
--- a/internal/controller/workercontacts.go
+++ b/internal/controller/workercontacts.go
@@ -22,7 +22,7 @@
 const redirectPace = time.Second
 
 // workerContacts keeps when a worker last reported to this controller, and how many workers may be
-// sent on to another one: a share of those that report here. What each controller has heard is all
+// redirected to another one: a share of those that report here. What each controller has heard is all
 // that is left of it when a leader ends. All methods may be called concurrently.
 type workerContacts struct {
 	lease time.Duration // of workers
@@ -37,7 +37,7 @@
 	return &workerContacts{
 		lease:   lease,
 		seenAt:  map[string]time.Time{},
-		limiter: rate.NewLimiter(minSendOn, sendOnBurst*minSendOn),
+		limiter: rate.NewLimiter(minRedirects, redirectBurst*minRedirects),
 	}
 }
 
@@ -65,7 +65,7 @@
 	}
 }
 
-// setRedirectRate sets, once a second, how many workers may be sent on by how many reported within
+// setRedirectRate sets, once a second, how many workers may be redirected by how many reported within
 // a lease. The lock is held.
 func (w *workerContacts) setRedirectRate(now time.Time) {
 	if now.Sub(w.pacedAt) < redirectPace {
@@ -78,12 +78,12 @@
 			reporting++
 		}
 	}
-	limit := sendOnRate(reporting)
+	limit := redirectRate(reporting)
 	w.limiter.SetLimit(rate.Limit(limit))
-	w.limiter.SetBurst(sendOnBurst * limit)
+	w.limiter.SetBurst(redirectBurst * limit)
 }
 
-// mayRedirect says whether one more worker may be sent on to another controller now.
+// mayRedirect says whether one more worker may be redirected to another controller now.
 func (w *workerContacts) mayRedirect() bool { return w.limiter.Allow() }
 
 // recent lists the workers that reported, and how long ago.
@@ -100,8 +100,8 @@
 	return contacts
 }
 
-// sendOnRate is how many workers a second may be sent on if so many report to this controller.
-func sendOnRate(heard int) int { return max(minSendOn, heard/workersPerSendOn) }
+// redirectRate is how many workers a second may be redirected if so many report to this controller.
+func redirectRate(reporting int) int { return max(minRedirects, reporting/workersPerRedirect) }
 
 // gatherWorkerContacts is when this controller and its peers last heard of each worker. Peers that
 // don't answer at once are left out: it is evidence, and proves nothing.
@@ -121,9 +121,9 @@
 	var requests sync.WaitGroup
 	for _, client := range c.peers {
 		requests.Go(func() {
-			hello := c.newHeartbeat()
-			hello.WantContacts = true
-			if answer, err := client.Heartbeat(ctx, hello); err == nil {
+			request := c.newHeartbeat()
+			request.WantContacts = true
+			if answer, err := client.Heartbeat(ctx, request); err == nil {
 				merge(answer.Contacts)
 			}
 		})
