--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -36,9 +36,8 @@
 	gangsPlannedAt    Micros // when it was last decided what is kept for gangs
 	fairnessUpdatedAt Micros // when it was last found out who is underserved
 
-	listedAt        Micros            // when the cloud's list last came
-	outOfCapacity   map[string]Micros // type/zone/spot without capacity, until
-	pendingScaleOut map[string]int    // machines asked for, by type
+	listedAt Micros // when the cloud's list last came
+	cloud    cloudCapacity
 
 	log func(msg string, args ...any)
 
@@ -54,21 +53,20 @@
 // New returns the core of a term. The token rises with every term.
 func New(settings *config.Settings, token uint64, now Micros, machineTypes wire.Catalog, log func(string, ...any)) *Core {
 	c := &Core{
-		clock:           clock{now: now, termStart: now},
-		policy:          newPolicy(settings),
-		sequence:        termSequence{token: token},
-		machineTypes:    catalog{},
-		machines:        newInventory(),
-		jobs:            newJobTable(),
-		teams:           newTeamTable(settings.Deployment.Teams),
-		classes:         newClassTable(),
-		ledger:          newLedger(),
-		detector:        newFailureMonitor(settings, now),
-		boots:           bootHistory{},
-		bandwidth:       newCheckpointBandwidth(*settings.Operator.CheckpointMBS),
-		outOfCapacity:   map[string]Micros{},
-		pendingScaleOut: map[string]int{},
-		log:             log,
+		clock:        clock{now: now, termStart: now},
+		policy:       newPolicy(settings),
+		sequence:     termSequence{token: token},
+		machineTypes: catalog{},
+		machines:     newInventory(),
+		jobs:         newJobTable(),
+		teams:        newTeamTable(settings.Deployment.Teams),
+		classes:      newClassTable(),
+		ledger:       newLedger(),
+		detector:     newFailureMonitor(settings, now),
+		boots:        bootHistory{},
+		bandwidth:    newCheckpointBandwidth(*settings.Operator.CheckpointMBS),
+		cloud:        newCloudCapacity(),
+		log:          log,
 	}
 	c.lastPass = emptyPass(c)
 	c.SetCatalog(machineTypes)
--- a/internal/sched/fleet_test.go
+++ b/internal/sched/fleet_test.go
@@ -122,7 +122,9 @@
 	if ps.mayBlockGPUs(small, m) {
 		t.Error("small tasks keep a graphics machine whose GPUs have idled")
 	}
-	b.outOfCapacity[spotKey("s", "x", false)], b.outOfCapacity[spotKey("s", "y", false)] = b.now, b.now
+	for _, zone := range []string{"x", "y"} {
+		b.cloud.exhaustedUntil[machineKind{"s", zone, false}] = b.now
+	}
 	if !ps.mayBlockGPUs(small, m) {
 		t.Error("a graphics machine stands empty though ordinary ones are sold out")
 	}
@@ -154,7 +156,7 @@
 		b := newBed(t, config.Team{Name: "a"})
 		b.settings.Deployment.Objectives = []config.Objective{{Kind: "wait", Class: "cj-1", WithinS: within}}
 		b.AddJob(spec("j-1", "a", wire.Normal, 30, 1), b.now, b.now) // type s boots in 20 s
-		if got := len(b.expectedDemand(b.now)) > 0; got != want {
+		if got := len(b.expectedDemand()) > 0; got != want {
 			t.Errorf("an aim of %.0f s: room is kept %v", within, got)
 		}
 	}
--- a/internal/sched/replacement.go
+++ b/internal/sched/replacement.go
@@ -13,9 +13,9 @@
 // their tasks could start on others.
 type rescheduleCosts struct {
 	c    *Core
-	free map[*class]int    // places that nobody waits for
-	boot map[*class]Micros // until a rented machine could take one, -1 if none can be had
-	need map[string]bool   // whether room on such a machine would be used
+	free map[*class]int       // places that nobody waits for
+	boot map[*class]Micros    // until a rented machine could take one, -1 if none can be had
+	need map[machineKind]bool // whether room on such a machine would be used
 }
 
 // delay is how long a task of a returned machine would wait until it runs again: it
@@ -164,11 +164,11 @@
 
 // needs says whether room on the machine would be used if it were there now.
 func (e *rescheduleCosts) needs(m *machine) bool {
-	k := spotKey(m.machineType.Name, m.zone, m.spot)
+	k := m.kind()
 	need, ok := e.need[k]
 	if !ok {
 		if e.need == nil {
-			e.need = map[string]bool{}
+			e.need = map[machineKind]bool{}
 		}
 		need = e.c.needs(m)
 		e.need[k] = need
@@ -182,5 +182,5 @@
 			return true
 		}
 	}
-	return c.expectedTasks(m.machineType) > 0 || (c.standbyDemand() > 0 && c.serves(m.machineType, m.zone, m.spot) > 0)
+	return c.expectedMachines(m.machineType) > 0 || (c.standbyDemand() > 0 && c.serves(m.machineType, m.zone, m.spot) > 0)
 }
--- a/internal/sched/scaleout.go
+++ b/internal/sched/scaleout.go
@@ -1,330 +1,452 @@
 package sched
 
 import (
+	"maps"
 	"math"
 	"slices"
-	"sort"
 
 	"dalefront/internal/config"
 	"dalefront/wire"
 )
 
+const (
+	// perKind bounds one rental request, so that a round spreads over zones and
+	// kinds instead of finding out one by one which are empty. When hundreds of
+	// machines are wanted it grows, so that a few rounds rent them.
+	perKind   = 6
+	perHire   = 50   // the protocol's limit
+	mostAsked = 2000 // machines thought of in a round, of which the cloud's rate lets fewer through
+
+	// requestsForAll is of how many requests a round consists that rents all that is wanted.
+	requestsForAll = 16
+
+	// minDemand is for how many waiting tasks of one job machines are rented at a time at a site of
+	// up to so many machines. At a larger one it is a task for each machine, so that a large array
+	// doesn't take more rounds of renting and booting there.
+	minDemand = 2000
+
+	// scaleOutDelay is how long a new leader waits to learn which machines there are.
+	scaleOutDelay = 3 * second
+)
+
+// maxDemand is for how many waiting tasks of one job machines are rented at a time.
+func (c *Core) maxDemand() int { return max(minDemand, c.machines.count()) }
+
 // ScaleOut returns the rental requests that the waiting tasks and the spare room
-// call for; at most a few at a time.
+// call for; at most a few at a time, and one round of requests at a time.
 func (c *Core) ScaleOut(now Micros) []wire.ScaleOutRequest {
 	c.now = now
-	if now-c.termStart < 3*second || c.listedAt == 0 {
-		return nil // first learn which machines there are
-	}
-	type bin struct {
-		kind           *wire.MachineType
-		zone           string
-		spot           bool
-		cpus, gpus, me float64
-		fresh          bool
-		away           bool // silent, and not expected back before another would be up
-	}
-	total := 0
-	var bins []*bin
-	for _, m := range c.machines.all() {
-		if m.failed || m.scalingIn {
-			continue
-		}
-		total++
-		if m.reclaimAt > 0 || m.quarantined || m.cordon != nil {
-			continue
-		}
-		overdue := !m.registered && now-m.rentedAt > config.Micro(2*m.machineType.BootS)+10*second
-		if overdue {
-			continue // don't count on it
-		}
-		b := &bin{kind: m.machineType, zone: m.zone, spot: m.spot, cpus: m.usedCPUs, gpus: m.usedGPUs, me: m.usedMemoryGB, away: c.unreachable(m)}
-		m.eachPlacement(func(p *placement) {
-			if c.endsWithin(p, config.Micro(0.8*m.machineType.BootS)) && p.job.spec.GPUs > 0 {
-				// Free again before another machine would be up.
-				b.cpus -= p.job.spec.CPUs
-				b.gpus -= p.job.spec.GPUs
-				b.me -= p.job.spec.MemoryGB
-			}
-		})
-		bins = append(bins, b)
+	if now-c.termStart < scaleOutDelay || c.listedAt == 0 || c.cloud.isPending() {
+		return nil
 	}
-	for _, n := range c.pendingScaleOut {
-		if n > 0 {
-			return nil // one round of requests at a time
-		}
+	round := newScaleOutRound(c)
+	waiting := c.waitingDemand()
+	wanted := round.withStandby(slices.Concat(waiting, c.expectedDemand()))
+	round.limitRequests(wanted)
+	for i, d := range wanted {
+		round.serve(newRoomSearch(d, i < len(waiting)))
 	}
-	var need []demand
-	maxDemand := c.maxDemand()
+	return round.takeRequests()
+}
+
+// waitingDemand is what the tasks that wait need machines for, in the queue's order.
+func (c *Core) waitingDemand() (waiting []demand) {
+	limit := c.maxDemand()
 	for _, j := range c.queue() {
-		n := min(j.pendingCount(), c.concurrencyLimit(j))
+		tasks := min(j.pendingCount(), c.concurrencyLimit(j))
 		if !c.mayScaleOutFor(j) {
 			continue
 		}
 		if !j.isGang() {
-			// Tasks shorter than a boot can run one after another.
-			est := float64(j.expectedRunTime()) / float64(second)
-			if est > 0 {
-				n = int(math.Ceil(float64(n) * min(1, (est+5)/(est+15))))
-			}
-			for lim := n; lim > 0 && !j.team.withinLimit(float64(lim)*j.spec.CPUs, float64(lim)*j.spec.GPUs); lim-- {
-				n = lim - 1
-			}
+			tasks = j.concurrentTasks(tasks)
 		}
-		need = append(need, demand{j, min(n, maxDemand)})
+		waiting = append(waiting, demand{j, min(tasks, limit)})
 	}
-	waiting := len(need) // what follows is room kept ready: what is away will do for it
-	need = append(need, c.expectedDemand(now)...)
-	if short := c.standbyDemand(); short > 0 {
-		for _, b := range bins {
-			short -= c.serves(b.kind, b.zone, b.spot)
-		}
-		if j := c.heaviestJob(now); j != nil && short >= j.spec.CPUs {
-			used := 0 // beyond what waits and the spare room
-			for _, d := range need {
-				used += d.slots
-			}
-			if k := int(short / j.spec.CPUs); k > used {
-				need = append(need, demand{j, k - used})
-			}
-		}
+	return waiting
+}
+
+const (
+	// A task that takes estimate seconds counts for (estimate+reuseS)/(estimate+startS) of a place.
+	reuseS = 5
+	startS = 15
+)
+
+// concurrentTasks is how many of the job's waiting tasks should have a place at a time: those
+// shorter than a boot can run one after another, and its team's limit bounds them.
+func (j *job) concurrentTasks(tasks int) int {
+	if estimate := float64(j.expectedRunTime()) / float64(second); estimate > 0 {
+		tasks = int(math.Ceil(float64(tasks) * min(1, (estimate+reuseS)/(estimate+startS))))
+	}
+	for tasks > 0 && !j.team.withinLimit(float64(tasks)*j.spec.CPUs, float64(tasks)*j.spec.GPUs) {
+		tasks--
+	}
+	return tasks
+}
+
+// plannedMachine is a machine that is there, boots, or is to be rented, with what is going to be
+// used of it.
+type plannedMachine struct {
+	machineType *wire.MachineType
+	zone        string
+	spot        bool
+	used        resourceUse
+	toBeRented  bool
+	unreachable bool // silent, and not expected back before another would be up
+}
+
+// scaleOutRound is the state of one call of ScaleOut.
+type scaleOutRound struct {
+	core     *Core
+	types    []*wire.MachineType // by name
+	machines []*plannedMachine   // but those without room for anything that is wanted
+	smallest minimumRequest      // of all that is wanted
+	known    int                 // machines that are there, boot, or are to be rented
+	inZone   map[string]int      // machines by zone
+	rented   int                 // machines thought of in this round
+
+	perRequest int // machines that one request asks for at most
+	requests   []*wire.ScaleOutRequest
+	byKind     map[machineKind]*wire.ScaleOutRequest
+	full       map[machineKind]bool // kinds of which no more are asked for in this round
+}
+
+// newScaleOutRound lists the machines that can be counted on.
+func newScaleOutRound(c *Core) *scaleOutRound {
+	r := &scaleOutRound{core: c, inZone: map[string]int{}, byKind: map[machineKind]*wire.ScaleOutRequest{}, full: map[machineKind]bool{}}
+	for _, name := range slices.Sorted(maps.Keys(c.machineTypes)) {
+		r.types = append(r.types, c.machineTypes[name])
 	}
-	count := map[string]*wire.ScaleOutRequest{}
-	var order, full []string
-	wanted := 0.0
-	for _, d := range need {
-		wanted += float64(d.slots) * d.job.spec.CPUs
-	}
-	atOnce := perKind
-	if least := c.smallestRequest(); least > 0 {
-		atOnce = min(perHire, max(perKind, int(wanted/least/16)))
-	}
-	// Bins that have no room for even the least of these are left out: they only get
-	// fuller. At a full site nearly all are, and each job would look at all of them.
-	smallest := emptyRequest()
-	for _, d := range need {
-		smallest.add(d.job)
-	}
-	taken := func(b *bin) bool { return !smallest.fits(b.kind, b.cpus, b.me) }
-	asked := 0
-	bins = slices.DeleteFunc(bins, taken)
-	inZone := map[string]int{}
 	for _, m := range c.machines.all() {
-		inZone[m.zone]++
-	}
-	for i, d := range need {
-		left := d.slots
-		j := d.job
-		only := ""
-		// Room in a zone that may take no more of the job's tasks doesn't help it.
-		used := map[string]int{}
-		if i < waiting && (j.spec.OneZone || j.spec.Spread) {
-			used = j.tasksByZone()
-		}
-		fill := func(b *bin) {
-			if left == 0 || !satisfiesZones(j, used, b.zone) || (b.away && i < waiting) || (only != "" && b.zone != only) || (b.spot && !j.spec.Spot) || !fitsType(&j.spec, b.kind) || (j.spec.Zone != nil && *j.spec.Zone != b.zone) {
-				return
-			}
-			if b.kind.GPUs > 0 && j.spec.GPUs == 0 && b.fresh {
-				return
-			}
-			k := min(left, slotsFor(j, b.kind, resourceUse{b.cpus, b.gpus, b.me}))
-			if j.spec.Spread {
-				k = min(k, j.zoneLimit()-used[b.zone])
-			}
-			left -= k
-			used[b.zone] += k
-			b.cpus += float64(k) * j.spec.CPUs
-			b.gpus += float64(k) * j.spec.GPUs
-			b.me += float64(k) * j.spec.MemoryGB
-		}
-		if j.spec.OneZone && j.isGang() && left > 1 {
-			// Machines spread over zones don't help it: the zone that has most room
-			// for it, now or soon, gets what is still missing.
-			in := map[string]int{}
-			for _, b := range bins {
-				if !b.away && (!b.spot || j.spec.Spot) && fitsType(&j.spec, b.kind) && !(b.kind.GPUs > 0 && j.spec.GPUs == 0 && b.fresh) {
-					in[b.zone] += min(left, slotsFor(j, b.kind, resourceUse{b.cpus, b.gpus, b.me}))
-				}
-			}
-			most := -1
-			for _, z := range c.candidateZones(j) {
-				n := in[z]
-				if n < left && !c.canScaleOut(j, z) {
-					n -= 1 << 20
-				}
-				if only == "" || n > most {
-					only, most = z, n
-				}
-			}
-		}
-		filled := 0
-		for _, b := range bins {
-			if left == 0 {
-				break
-			}
-			fill(b)
-			if taken(b) {
-				filled++
-			}
+		r.inZone[m.zone]++
+		if m.failed || m.scalingIn {
+			continue
 		}
-		if filled > len(bins)/8 {
-			bins = slices.DeleteFunc(bins, taken)
+		r.known++
+		if m.reclaimAt == 0 && !m.quarantined && m.cordon == nil && !c.isBootOverdue(m) {
+			r.machines = append(r.machines, c.plan(m))
 		}
-		for left > 0 && total < *c.settings.Operator.MaxMachines && asked < mostAsked {
-			t, zone, spot, ok := c.chooseType(j, left, only, used, inZone)
-			if !ok {
-				break
-			}
-			b := &bin{kind: t, zone: zone, spot: spot, fresh: true}
-			bins = append(bins, b)
-			asked++
-			total++
-			before := left
-			b.fresh = false
-			fill(b)
-			b.fresh = true
-			if left == before {
-				break
-			}
-			k := spotKey(t.Name, zone, spot)
-			if count[k] == nil {
-				count[k] = &wire.ScaleOutRequest{Type: t.Name, Zone: zone, Spot: spot}
-				order = append(order, k)
-			}
-			count[k].Count++
-			if count[k].Count == atOnce {
-				c.outOfCapacity[k] = now // full for this round: go on with the next kind
-				full = append(full, k)
-			}
+	}
+	return r
+}
+
+const (
+	// overdueBoots and overdueDelay are after how many boot times, and how much beside, a machine
+	// that has not come up isn't counted on.
+	overdueBoots = 2
+	overdueDelay = 10 * second
+	// usualBoot is the part of its type's boot time in which another machine would be up at the
+	// earliest.
+	usualBoot = 0.8
+)
+
+// isBootOverdue says whether the machine should have come up long ago.
+func (c *Core) isBootOverdue(m *machine) bool {
+	return !m.registered && c.now-m.rentedAt > config.Micro(overdueBoots*m.machineType.BootS)+overdueDelay
+}
+
+// plan is what is going to be used of a machine: without the GPU tasks that end before another
+// machine would be up.
+func (c *Core) plan(m *machine) *plannedMachine {
+	planned := &plannedMachine{machineType: m.machineType, zone: m.zone, spot: m.spot, used: m.used(), unreachable: c.unreachable(m)}
+	m.eachPlacement(func(p *placement) {
+		if p.job.spec.GPUs > 0 && c.endsWithin(p, config.Micro(usualBoot*m.machineType.BootS)) {
+			planned.used.subtract(p.job.taskResources())
 		}
+	})
+	return planned
+}
+
+// withStandby adds what the teams' guarantees call for beyond the machines there are and what is
+// wanted anyway.
+func (r *scaleOutRound) withStandby(wanted []demand) []demand {
+	short := r.core.standbyDemand()
+	if short <= 0 {
+		return wanted
 	}
-	for _, k := range full {
-		delete(c.outOfCapacity, k)
+	for _, m := range r.machines {
+		short -= r.core.serves(m.machineType, m.zone, m.spot)
 	}
-	var out []wire.ScaleOutRequest
-	for _, k := range order {
-		if len(out) == max(2, int(c.settings.Deployment.Cloud.RPS)) {
-			break
-		}
-		h := *count[k]
-		c.pendingScaleOut[h.Type] += h.Count
-		out = append(out, h)
+	j := r.core.heaviestJob()
+	if j == nil || short < j.spec.CPUs {
+		return wanted
+	}
+	slots := 0
+	for _, d := range wanted {
+		slots += d.slots
 	}
-	return out
+	if standby := int(short / j.spec.CPUs); standby > slots {
+		wanted = append(wanted, demand{j, standby - slots})
+	}
+	return wanted
+}
+
+// limitRequests sets how many machines a request asks for, and leaves out the machines that have no
+// room for even the least of what is wanted: they only get fuller. At a full site nearly all are,
+// and each job would look at all of them.
+func (r *scaleOutRound) limitRequests(wanted []demand) {
+	cpus := 0.0
+	r.smallest = emptyRequest()
+	for _, d := range wanted {
+		cpus += float64(d.slots) * d.job.spec.CPUs
+		r.smallest.add(d.job)
+	}
+	r.perRequest = perKind
+	if smallest := r.core.smallestType(); smallest > 0 {
+		r.perRequest = min(perHire, max(perKind, int(cpus/smallest/requestsForAll)))
+	}
+	r.dropFull()
 }
 
-// smallestRequest is the size of the smallest machine type that some class can use.
-func (c *Core) smallestRequest() float64 {
-	least := 0.0
+// isFull says whether the machine has no room for anything that is wanted.
+func (r *scaleOutRound) isFull(m *plannedMachine) bool {
+	return !r.smallest.fits(m.machineType, m.used.cpus, m.used.mem)
+}
+
+// dropFull leaves out the machines that are full by now.
+func (r *scaleOutRound) dropFull() { r.machines = slices.DeleteFunc(r.machines, r.isFull) }
+
+// smallestType is the CPUs of the smallest machine type that some class can use, 0 if there is none.
+func (c *Core) smallestType() (cpus float64) {
 	for _, cl := range c.classes.sorted() {
+		if cl.sampleJob == nil {
+			continue
+		}
 		for _, t := range c.machineTypes {
-			if cl.sampleJob != nil && fitsType(&cl.sampleJob.spec, t) && (least == 0 || t.CPUs < least) {
-				least = t.CPUs
+			if fitsType(&cl.sampleJob.spec, t) && (cpus == 0 || t.CPUs < cpus) {
+				cpus = t.CPUs
 			}
 		}
 	}
-	return least
+	return cpus
 }
 
-// endsWithin says whether a running task is expected to end within the time.
-func (c *Core) endsWithin(p *placement, t Micros) bool {
-	if p.runningSince == 0 || p.job.spec.EstimateS == 0 {
+// roomSearch looks for room for the tasks of one demand.
+type roomSearch struct {
+	job         *job
+	left        int            // tasks without room yet
+	zone        string         // the only one whose room helps, empty if any does
+	tasksByZone map[string]int // of the job, those with room found included
+	waits       bool           // the tasks wait; otherwise what is unreachable now will do for them
+}
+
+// newRoomSearch begins the search. Room in a zone that may take no more of a waiting job's tasks
+// doesn't help it.
+func newRoomSearch(d demand, waits bool) *roomSearch {
+	search := &roomSearch{job: d.job, left: d.slots, tasksByZone: map[string]int{}, waits: waits}
+	if waits && (d.job.spec.OneZone || d.job.spec.Spread) {
+		search.tasksByZone = d.job.tasksByZone()
+	}
+	return search
+}
+
+// mayUse says whether tasks may go to a machine.
+func (s *roomSearch) mayUse(m *plannedMachine) bool {
+	spec := &s.job.spec
+	if !satisfiesZones(s.job, s.tasksByZone, m.zone) || (m.unreachable && s.waits) || (s.zone != "" && m.zone != s.zone) {
 		return false
 	}
-	left := p.job.expectedRunTime() - (c.now - p.runningSince)
-	return left > 0 && left < t
+	return (!m.spot || spec.Spot) && fitsType(spec, m.machineType) && (spec.Zone == nil || *spec.Zone == m.zone)
 }
 
-// perKind bounds one rental request, so that a round spreads over zones and
-// kinds instead of finding out one by one which are empty. When hundreds of
-// machines are wanted it grows, so that a few rounds rent them.
-const (
-	perKind   = 6
-	perHire   = 50   // the protocol's limit
-	mostAsked = 2000 // machines thought of in a round, of which the cloud's rate lets fewer through
+// blocksGPUs says whether the machine is to be rented for GPU tasks, and these have none.
+func (s *roomSearch) blocksGPUs(m *plannedMachine) bool {
+	return m.toBeRented && m.machineType.GPUs > 0 && s.job.spec.GPUs == 0
+}
 
-	// minDemand is for how many waiting tasks of one job machines are rented at a time at a site of
-	// up to so many machines. At a larger one it is a task for each machine, so that a large array
-	// doesn't take more rounds of renting and booting there.
-	minDemand = 2000
-)
+// fill takes as much room of the machine as there is and tasks need.
+func (s *roomSearch) fill(m *plannedMachine) {
+	if s.left == 0 || !s.mayUse(m) {
+		return
+	}
+	slots := min(s.left, slotsFor(s.job, m.machineType, m.used))
+	if s.job.spec.Spread {
+		slots = min(slots, s.job.zoneLimit()-s.tasksByZone[m.zone])
+	}
+	s.left -= slots
+	s.tasksByZone[m.zone] += slots
+	use, n := s.job.taskResources(), float64(slots)
+	m.used.add(resourceUse{n * use.cpus, n * use.gpus, n * use.mem})
+}
 
-// maxDemand is for how many waiting tasks of one job machines are rented at a time.
-func (c *Core) maxDemand() int { return max(minDemand, c.machines.count()) }
+// serve finds room for a demand on the machines there are, and rents what is missing.
+func (r *scaleOutRound) serve(search *roomSearch) {
+	if search.job.spec.OneZone && search.job.isGang() && search.left > 1 {
+		search.zone = r.bestZone(search)
+	}
+	filled := 0
+	for _, m := range r.machines {
+		if search.left == 0 {
+			break
+		}
+		if !search.blocksGPUs(m) {
+			search.fill(m)
+		}
+		if r.isFull(m) {
+			filled++
+		}
+	}
+	if filled > len(r.machines)/8 {
+		r.dropFull()
+	}
+	r.rent(search)
+}
 
-// candidateZones lists the zones in which the job may have machines at all.
-func (c *Core) candidateZones(j *job) []string {
-	var zs []string
-	for _, t := range c.machineTypes {
+// zoneWithoutMachines is what counts against the room of a zone that may have no more machines.
+const zoneWithoutMachines = 1 << 20
+
+// bestZone is the zone that has most room for a gang, now or soon: it gets what is still missing, as
+// machines spread over zones don't help the gang.
+func (r *scaleOutRound) bestZone(search *roomSearch) (best string) {
+	j, room := search.job, map[string]int{}
+	for _, m := range r.machines {
+		if !m.unreachable && (!m.spot || j.spec.Spot) && fitsType(&j.spec, m.machineType) && !search.blocksGPUs(m) {
+			room[m.zone] += min(search.left, slotsFor(j, m.machineType, m.used))
+		}
+	}
+	mostRoom := -1
+	for _, zone := range r.candidateZones(j) {
+		slots := room[zone]
+		if slots < search.left && !r.canRent(j, zone) {
+			slots -= zoneWithoutMachines
+		}
+		if best == "" || slots > mostRoom {
+			best, mostRoom = zone, slots
+		}
+	}
+	return best
+}
+
+// candidateZones lists, by name, the zones in which the job may have machines at all.
+func (r *scaleOutRound) candidateZones(j *job) (zones []string) {
+	for _, t := range r.types {
 		if !fitsType(&j.spec, t) {
 			continue
 		}
-		for _, z := range t.Zones {
-			if (j.spec.Zone == nil || *j.spec.Zone == z) && !slices.Contains(zs, z) {
-				zs = append(zs, z)
+		for _, zone := range t.Zones {
+			if j.spec.Zone == nil || *j.spec.Zone == zone {
+				zones = append(zones, zone)
 			}
 		}
 	}
-	sort.Strings(zs)
-	return zs
+	slices.Sort(zones)
+	return slices.Compact(zones)
 }
 
-// canScaleOut says whether the zone may have machines for the job, as far as known.
-func (c *Core) canScaleOut(j *job, zone string) bool {
-	_, _, _, ok := c.chooseType(j, 1, zone, nil, nil)
+// canRent says whether the zone may have machines for the job, as far as known.
+func (r *scaleOutRound) canRent(j *job, zone string) bool {
+	_, _, ok := r.chooseKind(&roomSearch{job: j, left: 1, zone: zone})
 	return ok
 }
 
-// dearest is how many times the cheapest price per task may be paid for a job
-// whose start no aim watches.
-const dearest = 3
-
-// chooseType picks the type, zone and kind with the least price for a task of the
-// job among those not lately refused, spread over zones, in which so many of its tasks
-// are thought to be.
-func (c *Core) chooseType(j *job, left int, only string, used, inZone map[string]int) (*wire.MachineType, string, bool, bool) {
-	var best *wire.MachineType
-	var zone string
-	var spot bool
-	bestPrice := math.Inf(1)
-	cheapest := math.Inf(1)
-	for _, t := range c.machineTypes {
-		if n := slotsOnEmpty(j, t); n > 0 && fitsType(&j.spec, t) && t.Price > 0 {
-			cheapest = min(cheapest, t.Price/float64(n))
+// rent asks for machines until all tasks have room.
+func (r *scaleOutRound) rent(search *roomSearch) {
+	for search.left > 0 && r.known < *r.core.settings.Operator.MaxMachines && r.rented < mostAsked {
+		t, kind, ok := r.chooseKind(search)
+		if !ok {
+			return
 		}
+		m := &plannedMachine{machineType: t, zone: kind.zone, spot: kind.spot, toBeRented: true}
+		r.machines = append(r.machines, m)
+		r.rented++
+		r.known++
+		before := search.left
+		search.fill(m)
+		if search.left == before {
+			return
+		}
+		r.request(kind)
 	}
-	names := make([]string, 0, len(c.machineTypes))
-	for n := range c.machineTypes {
-		names = append(names, n)
+}
+
+// request asks for one more machine of a kind.
+func (r *scaleOutRound) request(kind machineKind) {
+	request := r.byKind[kind]
+	if request == nil {
+		request = &wire.ScaleOutRequest{Type: kind.typeName, Zone: kind.zone, Spot: kind.spot}
+		r.byKind[kind] = request
+		r.requests = append(r.requests, request)
 	}
-	sort.Strings(names)
-	for _, n := range names {
-		t := c.machineTypes[n]
-		if !fitsType(&j.spec, t) {
+	request.Count++
+	if request.Count == r.perRequest {
+		r.full[kind] = true // go on with the next kind
+	}
+}
+
+// takeRequests returns as many requests as the cloud's rate lets through. What it refused before of
+// the kinds that are asked for in full says nothing any more.
+func (r *scaleOutRound) takeRequests() (requests []wire.ScaleOutRequest) {
+	for kind := range r.full {
+		r.core.cloud.forgetRefusal(kind)
+	}
+	limit := max(2, int(r.core.settings.Deployment.Cloud.RPS))
+	for _, request := range r.requests[:min(limit, len(r.requests))] {
+		r.core.cloud.requested(request)
+		requests = append(requests, *request)
+	}
+	return requests
+}
+
+const (
+	// dearest is how many times the cheapest price per task may be paid for a job
+	// whose start no objective watches.
+	dearest = 3
+	// crowding is what each machine of a zone adds to the prices there, so that machines spread over
+	// zones.
+	crowding = 0.01
+)
+
+// chooseKind picks the kind of machine with the least price for a task of the job among those not
+// lately refused.
+func (r *scaleOutRound) chooseKind(search *roomSearch) (best *wire.MachineType, kind machineKind, ok bool) {
+	j := search.job
+	bestPrice := math.Inf(1)
+	cheapest := r.cheapestPerTask(j)
+	for _, t := range r.types {
+		slots := slotsOnEmpty(j, t)
+		if !fitsType(&j.spec, t) || min(search.left, slots) == 0 {
 			continue
 		}
-		k := min(left, slotsOnEmpty(j, t))
-		if k == 0 {
+		if len(j.class.waitObjectives) == 0 && t.Price/float64(slots) > dearest*cheapest {
 			continue
 		}
-		for _, z := range t.Zones {
-			if (j.spec.Zone != nil && *j.spec.Zone != z) || (only != "" && z != only) || !satisfiesZones(j, used, z) || c.detector.IsCut(z) || !c.mayScaleOutIn(n, z) {
-				continue // what is rented in a zone that is cut off can't be reached
+		for _, candidate := range r.kindsOf(t, search) {
+			price := hourlyRate(t, candidate.spot) / float64(min(search.left, slots)) * (1 + crowding*float64(r.inZone[candidate.zone]))
+			if price < bestPrice {
+				best, kind, bestPrice = t, candidate, price
 			}
-			for _, s := range []bool{true, false} {
-				if (s && !j.spec.Spot) || c.now <= c.outOfCapacity[spotKey(n, z, s)] || hourlyRate(t, s) <= 0 {
-					continue
-				}
-				if per := hourlyRate(t, false) / float64(slotsOnEmpty(j, t)); len(j.class.waitObjectives) == 0 && per > dearest*cheapest {
-					continue
-				}
-				price := hourlyRate(t, s) / float64(k) * (1 + 0.01*float64(inZone[z]))
-				if price < bestPrice {
-					best, zone, spot, bestPrice = t, z, s, price
-				}
+		}
+	}
+	return best, kind, best != nil
+}
+
+// cheapestPerTask is the least price per task of the types that fit the job.
+func (r *scaleOutRound) cheapestPerTask(j *job) float64 {
+	cheapest := math.Inf(1)
+	for _, t := range r.types {
+		if slots := slotsOnEmpty(j, t); slots > 0 && fitsType(&j.spec, t) && t.Price > 0 {
+			cheapest = min(cheapest, t.Price/float64(slots))
+		}
+	}
+	return cheapest
+}
+
+// kindsOf lists the kinds of a type that may be rented for the job, spot machines first. What is
+// rented in a zone that is cut off can't be reached.
+func (r *scaleOutRound) kindsOf(t *wire.MachineType, search *roomSearch) (kinds []machineKind) {
+	c, spec := r.core, &search.job.spec
+	for _, zone := range t.Zones {
+		if (spec.Zone != nil && *spec.Zone != zone) || (search.zone != "" && zone != search.zone) || !satisfiesZones(search.job, search.tasksByZone, zone) {
+			continue
+		}
+		if c.detector.IsCut(zone) || !c.mayScaleOutIn(t.Name, zone) {
+			continue
+		}
+		for _, spot := range []bool{true, false} {
+			kind := machineKind{t.Name, zone, spot}
+			if (!spot || spec.Spot) && !r.full[kind] && !c.cloud.isExhausted(kind, c.now) && hourlyRate(t, spot) > 0 {
+				kinds = append(kinds, kind)
 			}
 		}
 	}
-	return best, zone, spot, best != nil
+	return kinds
 }
