--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -21,10 +21,10 @@
 	watchRetryPause      = 300 * time.Millisecond // after a watch that failed
 	auditInterval        = 2 * time.Second
 	copyRetryPause       = time.Second // after a copy could not be read
-	copyRestartPause     = time.Second // at least, before a copy in doubt is read again
+	copyRestartPause     = time.Second // at least, before an invalid copy is read again
 	copyRestartJitter    = 2 * time.Second
 
-	// A copy that falls into doubt again within copyDoubtWindow makes the standby unfit for
+	// A copy that becomes invalid again within copyDoubtWindow makes the standby unfit for
 	// unfitDuration.
 	copyDoubtWindow = 30 * time.Second
 	unfitDuration   = 10 * time.Second
@@ -66,10 +66,10 @@
 		}
 		f.mu.Lock()
 		stateCopy, pause := f.copy, time.Until(f.pausedUntil)
-		doubt := ""
+		var invalid error
 		var revision uint64
 		if stateCopy != nil {
-			doubt, revision = stateCopy.Doubt(), stateCopy.Revision()
+			invalid, revision = stateCopy.Err(), stateCopy.Revision()
 		}
 		f.mu.Unlock()
 		switch {
@@ -77,8 +77,8 @@
 			sleepContext(ctx, pause)
 		case stateCopy == nil:
 			f.begin(ctx, store)
-		case doubt != "":
-			f.restart(doubt)
+		case invalid != nil:
+			f.restart(invalid)
 			sleepContext(ctx, copyRestartPause+rand.N(copyRestartJitter))
 			f.begin(ctx, store)
 		default:
@@ -112,9 +112,9 @@
 	f.mu.Unlock()
 }
 
-// restart throws a copy away that is in doubt.
-func (f *follower) restart(doubt string) {
-	f.controller.log.Info("standby begins anew", "why", doubt)
+// restart throws an invalid copy away.
+func (f *follower) restart(reason error) {
+	f.controller.log.Info("standby begins anew", "why", reason.Error())
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.copy = nil
@@ -147,22 +147,22 @@
 	case err == nil:
 		stateCopy.Apply(events, f.controller.now())
 	case errors.Is(err, kvstore.ErrCompacted):
-		stateCopy.Lost("the store no longer tells what has changed")
+		stateCopy.Invalidate(standby.ErrHistoryLost)
 	}
 }
 
 // audit compares the next range of a copy with the store.
 func (f *follower) audit(ctx context.Context, stateCopy *standby.Copy) {
 	f.mu.Lock()
-	next := stateCopy.NextAudit(followedPrefixes)
+	next := stateCopy.NextAuditRange(followedPrefixes)
 	f.mu.Unlock()
 	f.compare(ctx, stateCopy, next)
 }
 
 // compare reads a range of the store, brings the copy at least as far and compares it. It returns
-// how many keys were compared; a difference puts the copy in doubt.
+// how many keys were compared; a difference invalidates the copy.
 func (f *follower) compare(ctx context.Context, stateCopy *standby.Copy, keys standby.Range) int {
-	page, err := f.controller.store.Page(ctx, keys.Prefix, keys.After, keys.Most)
+	page, err := f.controller.store.Page(ctx, keys.Prefix, keys.After, keys.Limit)
 	if err != nil || !f.catchUp(ctx, stateCopy, page.Revision) {
 		return 0
 	}
@@ -175,10 +175,10 @@
 func (f *follower) catchUp(ctx context.Context, stateCopy *standby.Copy, revision uint64) bool {
 	for range catchUpTries {
 		f.mu.Lock()
-		current, doubt := stateCopy.Revision(), stateCopy.Doubt()
+		current, invalid := stateCopy.Revision(), stateCopy.Err()
 		f.mu.Unlock()
-		if doubt != "" || current >= revision {
-			return doubt == ""
+		if invalid != nil || current >= revision {
+			return invalid == nil
 		}
 		events, err := f.controller.store.Watch(ctx, "", current, 0)
 		f.applyEvents(stateCopy, events, err)
@@ -204,19 +204,19 @@
 	defer cancel()
 	f.catchUp(ctx, stateCopy, token)
 	f.mu.Lock()
-	sample := stateCopy.Sample([]string{jobPrefix, ledgerPrefix}, rand.New(rand.NewPCG(rand.Uint64(), token)))
+	sample := stateCopy.SampleRange([]string{jobPrefix, ledgerPrefix}, rand.New(rand.NewPCG(rand.Uint64(), token)))
 	f.mu.Unlock()
 	compared := f.compare(ctx, stateCopy, sample)
 	highest := c.term.view().token
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	facts := standby.Facts{
-		Token: token, Highest: highest, Revision: stateCopy.Revision(), Doubt: stateCopy.Doubt(),
-		Compared: compared, Keys: sample.Keys,
-		Awake: c.owner.ranRecently(), Reached: c.store.Reachable(takeoverReachable), Lease: !held.expired.Load(),
+	state := standby.TakeoverState{
+		Token: token, HighestToken: highest, Revision: stateCopy.Revision(), CopyErr: stateCopy.Err(),
+		ComparedKeys: compared, SampleKeys: sample.CopyKeys,
+		RanRecently: c.owner.ranRecently(), StoreReachable: c.store.Reachable(takeoverReachable), LeaseHeld: !held.expired.Load(),
 	}
-	if ok, why := standby.Passes(&facts); !ok {
-		return nil, why
+	if err := standby.RunChecks(&state); err != nil {
+		return nil, err.Error()
 	}
 	f.copy = nil // what was read belongs to the term now
 	return storedOf(stateCopy), ""
@@ -229,21 +229,21 @@
 	return !f.unfitAt.IsZero() && time.Since(f.unfitAt) < unfitDuration
 }
 
-// ready says whether there is a copy that is not in doubt.
+// ready says whether there is a valid copy.
 func (f *follower) ready() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.copy != nil && f.copy.Doubt() == ""
+	return f.copy != nil && f.copy.Err() == nil
 }
 
 // lag returns the size of the copy and for how many microseconds it has not been known to be the
-// newest, and whether there is one that is not in doubt.
+// newest, and whether there is a valid one.
 func (f *follower) lag() (keys, bytes int, lagMicros int64, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.copy == nil || f.copy.Doubt() != "" {
+	if f.copy == nil || f.copy.Err() != nil {
 		return 0, 0, 0, false
 	}
 	keys, bytes = f.copy.Size()
-	return keys, bytes, f.controller.now() - f.copy.Seen(), true
+	return keys, bytes, f.controller.now() - f.copy.CurrentAt(), true
 }
--- a/internal/controller/follower_test.go
+++ b/internal/controller/follower_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"strings"
@@ -122,8 +123,8 @@
 		if w.rng.IntN(4) == 0 {
 			w.follower.audit(w.ctx, c)
 		}
-		if c.Doubt() != "" {
-			w.t.Fatal("a good copy is doubted: ", c.Doubt())
+		if c.Err() != nil {
+			w.t.Fatal("a valid copy became invalid: ", c.Err())
 		}
 	}
 	return c
@@ -190,7 +191,7 @@
 		{"standstill", func(w *tended, _ *standby.Copy, _ *lease) { w.owner.lastRun.Store(w.now() - 3*stallThreshold) }},
 		{"higher token", func(w *tended, _ *standby.Copy, _ *lease) { w.observeTerm("b", w.term+1000) }},
 		{"no store", func(w *tended, _ *standby.Copy, _ *lease) { w.svc.SetDown(true) }},
-		{"compacted", func(w *tended, c *standby.Copy, _ *lease) { c.Lost("compacted") }},
+		{"compacted", func(w *tended, c *standby.Copy, _ *lease) { c.Invalidate(errors.New("compacted")) }},
 	} {
 		w := newTended(t, 5)
 		w.live(60)
--- a/internal/controller/leaderwatch.go
+++ b/internal/controller/leaderwatch.go
@@ -13,7 +13,7 @@
 	leaderCheckInterval = 40 * time.Millisecond // between two looks at the connection to the leader
 	leaderProbePause    = 30 * time.Millisecond // between two probes of a leader in suspicion
 	leaderRecentlySeen  = time.Second           // how recent the leader's last answer must be to count
-	suspicionExtra      = time.Second           // for so long more than it must be silent a leader is probed
+	probeMargin         = time.Second           // for so long more than it must be silent a leader is probed
 
 	// replacementInterval is the least time between two terms that a controller replaces, in
 	// microseconds.
@@ -35,16 +35,16 @@
 	controller  *Controller
 	replaceable chan uint64 // fencing token of a term that may be replaced
 
-	mu        sync.Mutex
-	suspicion standby.Suspicion
-	replaced  processRef // whose term this controller replaced last
+	mu       sync.Mutex
+	detector standby.FailureDetector
+	replaced processRef // whose term this controller replaced last
 }
 
 // newLeaderWatch returns a watch; run starts it.
 func newLeaderWatch(c *Controller) *leaderWatch {
 	w := &leaderWatch{controller: c, replaceable: make(chan uint64, 1)}
 	if wait := c.settings.Operator.SuspectS; wait != nil {
-		w.suspicion = standby.Suspicion{Nodes: len(c.settings.Members) + 1, Wait: int64(*wait * 1e6), Every: replacementInterval}
+		w.detector = standby.FailureDetector{Controllers: len(c.settings.Members) + 1, MinSilence: int64(*wait * 1e6), MinInterval: replacementInterval}
 	}
 	return w
 }
@@ -64,7 +64,7 @@
 
 // run watches until the context ends.
 func (w *leaderWatch) run(ctx context.Context) {
-	if w.suspicion.Wait <= 0 || len(w.controller.peers) < peersToSuspect {
+	if w.detector.MinSilence <= 0 || len(w.controller.peers) < peersToSuspect {
 		return
 	}
 	var link leaderLink
@@ -115,7 +115,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if process.token == term.token && process.process != 0 && current == process.process && time.Since(seen) < leaderRecentlySeen {
-		w.suspicion.Leader(term.token, current)
+		w.detector.RecordHeartbeat(term.token, current)
 	}
 }
 
@@ -124,9 +124,9 @@
 func (w *leaderWatch) hasEnded(ctx context.Context, leader suspect) bool {
 	c := w.controller
 	w.mu.Lock()
-	w.suspicion.Broke(c.now())
-	mayReplace := w.suspicion.MayReplace(c.now())
-	limit := time.Duration(w.suspicion.Wait)*time.Microsecond + suspicionExtra
+	w.detector.RecordConnectionLoss(c.now())
+	mayReplace := w.detector.MayReplace(c.now())
+	limit := time.Duration(w.detector.MinSilence)*time.Microsecond + probeMargin
 	w.mu.Unlock()
 	if !mayReplace {
 		return false
@@ -151,17 +151,17 @@
 func (w *leaderWatch) suffices(ctx context.Context, leader suspect, answered uint64) bool {
 	c := w.controller
 	w.mu.Lock()
-	another := w.suspicion.Tried(c.now(), answered)
+	another := w.detector.RecordProbe(answered)
 	w.mu.Unlock()
 	if !another {
 		w.askOthers(ctx, leader)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !another && !w.suspicion.Suspects(c.now()) {
+	if !another && !w.detector.Suspects(c.now()) {
 		return false
 	}
-	w.suspicion.Replaced(c.now())
+	w.detector.RecordReplacement(c.now())
 	w.replaced = processRef{leader.label, leader.process}
 	c.log.Info("the leader's process is taken for ended", "node", leader.label, "token", leader.token, "another_process", another)
 	return true
@@ -183,7 +183,7 @@
 			}
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.suspicion.Asked(label, answer.Reached)
+			w.detector.RecordPeerProbe(label, answer.Reached)
 		})
 	}
 	others.Wait()
@@ -196,7 +196,7 @@
 	defer w.mu.Unlock()
 	if processID != 0 && w.replaced == (processRef{label, processID}) {
 		w.replaced = processRef{}
-		w.suspicion.Wrong()
+		w.detector.RecordFalsePositive()
 		w.controller.log.Warn("the leader's process had not ended", "node", label)
 	}
 }
@@ -205,7 +205,7 @@
 func (w *leaderWatch) wrongSuspicions() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.suspicion.WrongOnes()
+	return w.detector.FalsePositives()
 }
 
 // probeProcess returns the process that answers for a peer, and whether one does. A process of an
--- a/internal/controller/peertable.go
+++ b/internal/controller/peertable.go
@@ -217,7 +217,7 @@
 
 // chooseStandbys chooses which of the members stand by under a leader's token, and says whether
 // that has changed.
-func (t *peerTable) chooseStandbys(choosing *standby.Choosing, token uint64, members []config.Member, now config.Micros) (standby.View, bool) {
+func (t *peerTable) chooseStandbys(selector *standby.Selector, token uint64, members []config.Member, now config.Micros) (standby.View, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	clock := time.Now()
@@ -231,7 +231,7 @@
 	for _, member := range members {
 		candidate := standby.Member{Label: member.Label, Zone: member.Zone}
 		if s := t.states[member.Label]; s != nil {
-			candidate.Heard, candidate.Unfit, candidate.Ends = since(s.seenAt), since(s.unfitAt), s.recentRestarts(clock)
+			candidate.LastHeard, candidate.UnfitAt, candidate.RecentRestarts = since(s.seenAt), since(s.unfitAt), s.recentRestarts(clock)
 		}
 		candidates = append(candidates, candidate)
 	}
@@ -239,7 +239,7 @@
 	if old.Token != token {
 		old = standby.View{Token: token, Number: old.Number, Standbys: old.Standbys}
 	}
-	next, changed := choosing.Choose(old, candidates, now)
+	next, changed := selector.Select(old, candidates, now)
 	t.standbys = next
 	return next, changed
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -251,7 +251,7 @@
 // storedOf sorts what a copy has.
 func storedOf(c *standby.Copy) *stored {
 	s := &stored{ledger: map[string]sched.LedgerEntry{}, revision: c.Revision()}
-	for _, k := range c.Under(jobPrefix) {
+	for _, k := range c.Keys(jobPrefix) {
 		it, _ := c.Get(k)
 		s.jobs = append(s.jobs, it.Decoded.(*jobRecord))
 		id := strings.TrimPrefix(k, jobPrefix)
@@ -259,23 +259,23 @@
 			s.ends = append(s.ends, storedEnd{id, *e.Decoded.(*endRecord)})
 		}
 	}
-	for _, k := range c.Under(progressPrefix) {
+	for _, k := range c.Keys(progressPrefix) {
 		it, _ := c.Get(k)
 		s.chunk(k, it.Version, it.Decoded.(string), true)
 	}
-	for _, k := range c.Under(ledgerPrefix) {
+	for _, k := range c.Keys(ledgerPrefix) {
 		it, _ := c.Get(k)
 		s.ledger[strings.TrimPrefix(k, ledgerPrefix)] = *it.Decoded.(*sched.LedgerEntry)
 	}
 	if it, ok := c.Get(learnedKey); ok {
 		s.learn(it.Value)
 	}
-	s.hires = c.Under(scaleOutPrefix)
-	for _, k := range c.Under(dynconfig.Prefix) {
+	s.hires = c.Keys(scaleOutPrefix)
+	for _, k := range c.Keys(dynconfig.Prefix) {
 		it, _ := c.Get(k)
 		s.config = append(s.config, wire.KeyValue{Key: k, Value: it.Value, Version: it.Version})
 	}
-	for _, k := range c.Under(schedulePrefix) {
+	for _, k := range c.Keys(schedulePrefix) {
 		it, _ := c.Get(k)
 		s.schedule = append(s.schedule, wire.KeyValue{Key: k, Value: it.Value, Version: it.Version})
 	}
--- a/internal/controller/standbycopy.go
+++ b/internal/controller/standbycopy.go
@@ -22,7 +22,7 @@
 
 // newStandbyCopy returns an empty copy within a share of a controller's memory.
 func newStandbyCopy(ramMB float64) *standby.Copy {
-	return standby.NewCopy(isFollowed, owningKey, decodeStored, standby.Limits{Bytes: int(ramMB * followMemory * bytesPerMB)})
+	return standby.NewCopy(isFollowed, owningKey, decodeStored, standby.Limits{MaxBytes: int(ramMB * followMemory * bytesPerMB)})
 }
 
 // isFollowed says whether a copy has a key.
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	stateCopy := newStandbyCopy(c.settings.Deployment.Resources.RAMMB)
-	stateCopy.Begin(append(entries, ends...), first, c.now())
+	stateCopy.Load(append(entries, ends...), first, c.now())
 	return stateCopy, nil
 }
 
--- a/internal/controller/standbys.go
+++ b/internal/controller/standbys.go
@@ -21,8 +21,8 @@
 // publishStandbys chooses who stands by, once a second. Owner goroutine.
 func (l *leadership) publishStandbys() {
 	c := l.controller
-	choosing := standby.Choosing{Zone: c.settings.Zone, Count: *c.settings.Operator.Standbys, Silent: standbySilence, Rest: standbyRest}
-	next, changed := c.peerTable.chooseStandbys(&choosing, l.token, c.settings.Members, c.now())
+	selector := standby.Selector{Zone: c.settings.Zone, Count: *c.settings.Operator.Standbys, MaxSilence: standbySilence, Cooldown: standbyRest}
+	next, changed := c.peerTable.chooseStandbys(&selector, l.token, c.settings.Members, c.now())
 	if changed {
 		c.log.Info("who stands by", "standbys", fmt.Sprint(next.Standbys), "number", next.Number)
 	}
--- a/internal/standby/checks.go
+++ b/internal/standby/checks.go
@@ -2,82 +2,96 @@
 
 import "fmt"
 
-// Facts is what is known at the moment a controller that has just taken the term would
-// decide for the first time on its copy.
-type Facts struct {
-	Token    uint64 // of the term taken
-	Highest  uint64 // token known, from hellos, workers and the store
-	Revision uint64 // that the copy has reached, by the store's word
-	Doubt    string // about the copy
-	Compared int    // keys of a sample that were compared since the term was taken
-	Keys     int    // that the copy has where the sample was taken
-	Awake    bool   // the process did not stand still lately
-	Reached  bool   // the store has answered this node since the term was taken
-	Lease    bool   // the lease of the term is kept
+// TakeoverState is what is known at the moment when a controller that has just become
+// leader would take its first decision on its copy.
+type TakeoverState struct {
+	Token          uint64 // of the new term
+	HighestToken   uint64 // known, from heartbeats, workers and the store
+	Revision       uint64 // that the copy has reached, by the store's word
+	CopyErr        error  // why the copy is invalid, or nil
+	ComparedKeys   int    // keys of a sample that were compared since the term began
+	SampleKeys     int    // that the copy has where the sample was taken
+	RanRecently    bool   // the process was not paused lately
+	StoreReachable bool   // the store has answered this controller since the term began
+	LeaseHeld      bool   // the lease of the term has not expired
 }
 
-// Check is something that must hold before the first decision on a copy.
+// Check is a condition that must hold before the first decision on a copy.
 type Check struct {
-	Name string
-	Why  string
-	Fail func(*Facts) string // how it fails, or nothing
+	Name      string
+	Rationale string
+	Failure   func(*TakeoverState) string // how it fails, empty if it holds
 }
 
-// Checks is the list, in the order in which they are made. Where one fails the state is
-// read anew, as a controller does that stood by cold: then nothing rests on the copy.
+// CheckError means that a copy must not be used for a takeover.
+type CheckError struct {
+	Check   string
+	Failure string
+}
+
+func (e *CheckError) Error() string { return e.Check + ": " + e.Failure }
+
+// Checks is the list, in the order in which they are made. If one fails the state is read
+// from the store, as after a takeover without a standby: then nothing depends on the copy.
 //
-// What else has to hold does not depend on the copy and holds as after a cold takeover:
-// launches in the ledger that no proof covers count as on their machines; a machine gets
-// nothing before its worker has confirmed the term in its present session; names of hires
-// are never used again, and what they rent is adopted; ends that came since the copy's
-// revision come with the watch, and a launch is stored only if its job has none; nothing
-// makes way for others before most machines are known.
+// What else has to hold does not depend on the copy and holds as after any takeover:
+// launches in the ledger count as on their machines until there is proof that they are
+// not; a machine gets no commands before its worker has confirmed the term in its present
+// incarnation; idempotency keys of scale-outs are never used again, and machines rented
+// under them are adopted; ends that came since the copy's revision come with the watch,
+// and a launch is stored only if its job has none; nothing is preempted before most
+// machines are known.
 var Checks = []Check{
-	{"term kept", "a node that has lost its lease may not act at all", func(f *Facts) string {
-		if !f.Lease {
+	{"term kept", "a controller that has lost its lease may not act at all", func(s *TakeoverState) string {
+		if !s.LeaseHeld {
 			return "the lease has ended"
 		}
 		return ""
 	}},
-	{"awake", "after a standstill the copy is as old as the gap, and so is what was read of the term", func(f *Facts) string {
-		if !f.Awake {
+	{"awake", "after a pause the copy is as old as the gap, and so is what was read of the term", func(s *TakeoverState) string {
+		if !s.RanRecently {
 			return "this process stood still"
 		}
 		return ""
 	}},
-	{"store reached", "a node that is cut off from the store can't know what the copy lacks", func(f *Facts) string {
-		if !f.Reached {
+	{"store reached", "a controller that is cut off from the store can't know what the copy lacks", func(s *TakeoverState) string {
+		if !s.StoreReachable {
 			return "the store has not answered since"
 		}
 		return ""
 	}},
-	{"highest token", "a worker or peer that knows a higher token would drop or depose this one", func(f *Facts) string {
-		if f.Highest > f.Token {
-			return fmt.Sprintf("token %d is known", f.Highest)
+	{"highest token", "a worker or peer that knows a higher token would refuse or depose this controller", func(s *TakeoverState) string {
+		if s.HighestToken > s.Token {
+			return fmt.Sprintf("token %d is known", s.HighestToken)
+		}
+		return ""
+	}},
+	{"revision of the term", "all writes of earlier leaders have lower revisions: their transactions are conditional on their terms, so what is not in the copy by then never will be", func(s *TakeoverState) string {
+		if s.Revision < s.Token {
+			return fmt.Sprintf("revision %d is before %d", s.Revision, s.Token)
 		}
 		return ""
 	}},
-	{"revision of the term", "all that earlier leaders have written has a lower one: their transactions are conditional on their terms, so what is not in the copy by then never will be", func(f *Facts) string {
-		if f.Revision < f.Token {
-			return fmt.Sprintf("revision %d is before %d", f.Revision, f.Token)
+	{"no doubt", "a change was lost, torn or out of order, or a key differs from the store's", func(s *TakeoverState) string {
+		if s.CopyErr != nil {
+			return s.CopyErr.Error()
 		}
 		return ""
 	}},
-	{"no doubt", "a change that was lost, torn or told in the wrong order, or a key that differs from the store's", func(f *Facts) string { return f.Doubt }},
-	{"compared", "while a copy is followed all its keys are compared with the store in turn; of one that can't be compared now, nobody knows", func(f *Facts) string {
-		if f.Keys > 0 && f.Compared == 0 {
+	{"compared", "all keys of a copy are compared with the store in turn; a copy of which none can be compared now may be anything", func(s *TakeoverState) string {
+		if s.SampleKeys > 0 && s.ComparedKeys == 0 {
 			return "no key of a sample could be compared"
 		}
 		return ""
 	}},
 }
 
-// Passes makes all checks and says which failed first, and how.
-func Passes(f *Facts) (ok bool, why string) {
-	for _, c := range Checks {
-		if how := c.Fail(f); how != "" {
-			return false, c.Name + ": " + how
+// RunChecks makes all checks. The error is a *CheckError for the first that fails.
+func RunChecks(state *TakeoverState) error {
+	for _, check := range Checks {
+		if failure := check.Failure(state); failure != "" {
+			return &CheckError{check.Name, failure}
 		}
 	}
-	return true, ""
+	return nil
 }
--- a/internal/standby/copy.go
+++ b/internal/standby/copy.go
@@ -1,14 +1,14 @@
-// Package standby is what a controller needs that stands by warm: who stands by, in which
-// order (View); the copy of the stored state that it follows (Copy); when it may take an
-// leader for ended without waiting for its lease (Suspicion); and what it must check
-// before its first decision (Checks). It is pure: what was read and the time go in.
+// Package standby is what a controller needs to be a warm standby: which controllers are
+// standbys, in which order (View, Selector); the copy of the stored state that a standby
+// follows (Copy); when it may take the leader's process for ended without waiting for its
+// lease to expire (FailureDetector); and what it must check before its first decision
+// (Checks). It is pure: what was read and the time are parameters.
 //
 // docs/standby.md argues why each of these is safe.
 package standby
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"slices"
 	"strings"
 
@@ -32,257 +32,182 @@
 
 // Limits bound a copy.
 type Limits struct {
-	Bytes int // of keys and values
+	MaxBytes int // of keys and values; 0 for no limit
 }
 
-// Copy is the stored state up to a revision, as far as a takeover needs it. It is fed with
-// whole reads and with the answers of a watch on all keys, and holds what Keep says. Any
-// doubt about it is for good: Doubt says why, and it has to be begun anew.
+// Copy is a replica of the stored state up to a revision, as far as a takeover needs it. It
+// is fed with full reads and with the answers of a watch on all keys, and holds the keys
+// that Keep selects. Once it may differ from the store it is invalid for good: Err says
+// why, and it has to be loaded anew.
 //
 // It is not safe for use by several goroutines at once.
 type Copy struct {
-	// Keep says whether a key is part of the copy.
+	// Keep reports whether a key is part of the copy.
 	Keep func(key string) bool
 	// Owner names the key without which a key is no part of the copy, or nothing: the end
-	// of a job matters while the job's record is there.
+	// of a job matters while the job's record exists.
 	Owner func(key string) string
-	// Decode makes of a value what a takeover needs, so that none of it waits until then.
-	// Its error is doubt.
+	// Decode decodes a value to what a takeover needs, so that none of it has to be done
+	// then. Its error invalidates the copy.
 	Decode func(key string, value []byte) (any, error)
 
-	limits   Limits
-	items    map[string]Item
-	owned    map[string]string // keys by their owner
-	revision uint64
-	bytes    int
-	doubt    string
-	whole    bool // it was read whole, and has followed since
-	seen     Micros
-	audited  string // the last key that an audit has compared
-	audits   int
+	limits      Limits
+	items       map[string]Item
+	dependents  map[string]string // key that depends on an owner, by owner
+	revision    uint64
+	bytes       int
+	err         error
+	loaded      bool // it was read in full, and has followed the store since
+	currentAt   Micros
+	auditCursor string // the last key that an audit has compared
+	auditRounds int
 }
 
 // NewCopy returns an empty copy.
-func NewCopy(keep func(string) bool, owner func(string) string, decode func(string, []byte) (any, error), l Limits) *Copy {
-	return &Copy{Keep: keep, Owner: owner, Decode: decode, limits: l, items: map[string]Item{}, owned: map[string]string{}}
+func NewCopy(keep func(string) bool, owner func(string) string, decode func(string, []byte) (any, error), limits Limits) *Copy {
+	return &Copy{Keep: keep, Owner: owner, Decode: decode, limits: limits, items: map[string]Item{}, dependents: map[string]string{}}
 }
 
-// Begin takes a whole read of the state: all keys, and the revision that a watch goes on
-// from. Some of the entries may be newer than that revision; the watch brings them again.
-func (c *Copy) Begin(entries []wire.KeyValue, revision uint64, now Micros) {
-	c.items, c.owned, c.bytes, c.doubt, c.audited, c.audits = map[string]Item{}, map[string]string{}, 0, "", "", 0
-	c.revision, c.whole, c.seen = revision, true, now
-	for _, e := range entries {
-		c.set(e.Key, e.Value, e.Version)
+// Load replaces the copy by a full read of the state: all keys, and the revision that a
+// watch continues from. Some of the entries may be newer than that revision; the watch
+// brings them again.
+func (c *Copy) Load(entries []wire.KeyValue, revision uint64, now Micros) {
+	c.items, c.dependents, c.bytes = map[string]Item{}, map[string]string{}, 0
+	c.err, c.auditCursor, c.auditRounds = nil, "", 0
+	c.revision, c.loaded, c.currentAt = revision, true, now
+	for _, entry := range entries {
+		c.put(entry.Key, entry.Value, entry.Version)
 	}
 }
 
-// Apply takes the answer of a watch on all keys that was opened at the copy's revision.
+// Apply applies the answer of a watch on all keys that was opened at the copy's revision.
 // The service raises its revision by one for each transaction and lease that changes
-// something, and a watch tells all changes; a revision in between of which nothing was
-// told means that something was lost on the way. The first answer after a whole read is
-// told from, so revisions up to the newest entry read may be told twice.
-func (c *Copy) Apply(ev wire.Events, now Micros) {
-	if c.doubt != "" || !c.whole {
+// something, and a watch brings all changes; a revision in between without a change means
+// that something was lost on the way. The first watch after a full read begins at the
+// revision of its first page, so changes up to the newest entry read may come twice.
+func (c *Copy) Apply(answer wire.Events, now Micros) {
+	if c.err != nil || !c.loaded {
 		return
 	}
-	if ev.Revision < c.revision {
-		return // an answer that came late: what it tells is known
+	if answer.Revision < c.revision {
+		return // an answer that came late: its changes are known
 	}
-	at := c.revision
-	for _, e := range ev.Events {
+	last := c.revision // of the changes applied so far
+	for _, event := range answer.Events {
 		switch {
-		case e.Version <= c.revision:
-			continue // told before
-		case e.Version < at:
-			c.suspect("the changes are not in order at revision %d", e.Version)
+		case event.Version <= c.revision:
+			continue // applied before
+		case event.Version < last:
+			c.Invalidate(&OrderError{event.Version})
 			return
-		case e.Version > at+1:
-			c.suspect("nothing is told of revisions %d to %d", at+1, e.Version-1)
+		case event.Version > last+1:
+			c.Invalidate(&GapError{last + 1, event.Version - 1})
 			return
-		case e.Version > ev.Revision:
-			c.suspect("a change of revision %d is told at revision %d", e.Version, ev.Revision)
+		case event.Version > answer.Revision:
+			c.Invalidate(&FutureChangeError{event.Version, answer.Revision})
 			return
 		}
-		at = e.Version
-		if e.Delete != "" {
-			if c.items[e.Delete].Version < e.Version { // otherwise it was created again and read as that
-				c.drop(e.Delete)
-			}
-		} else if old, ok := c.items[e.Put]; !ok || old.Version <= e.Version {
-			c.set(e.Put, e.Value, e.Version)
-		}
+		last = event.Version
+		c.applyEvent(event)
 	}
-	if at != ev.Revision {
-		c.suspect("nothing is told of revisions %d to %d", at+1, ev.Revision)
+	if last != answer.Revision {
+		c.Invalidate(&GapError{last + 1, answer.Revision})
 		return
 	}
-	c.revision, c.seen = ev.Revision, now
+	c.revision, c.currentAt = answer.Revision, now
 }
 
-func (c *Copy) set(key string, value msgpack.RawMessage, version uint64) {
+// applyEvent applies one change, unless the full read had a newer version of its key.
+func (c *Copy) applyEvent(event wire.Event) {
+	if event.Delete != "" {
+		if c.items[event.Delete].Version < event.Version { // otherwise it was created again and read as that
+			c.remove(event.Delete)
+		}
+		return
+	}
+	if old, ok := c.items[event.Put]; !ok || old.Version <= event.Version {
+		c.put(event.Put, event.Value, event.Version)
+	}
+}
+
+func (c *Copy) put(key string, value msgpack.RawMessage, version uint64) {
 	if !c.Keep(key) {
 		return
 	}
 	owner := c.Owner(key)
 	if owner != "" {
-		if _, there := c.items[owner]; !there {
+		if _, exists := c.items[owner]; !exists {
 			return
 		}
 	}
-	d, err := c.Decode(key, value)
+	decoded, err := c.Decode(key, value)
 	if err != nil {
-		c.suspect("%s can't be read: %v", key, err)
+		c.Invalidate(fmt.Errorf("%s can't be read: %w", key, err))
 		return
 	}
 	if old, ok := c.items[key]; ok {
 		c.bytes -= len(key) + len(old.Value)
 	}
-	c.items[key] = Item{value, version, d}
+	c.items[key] = Item{value, version, decoded}
 	if owner != "" {
-		c.owned[owner] = key
+		c.dependents[owner] = key
 	}
-	if c.bytes += len(key) + len(value); c.limits.Bytes > 0 && c.bytes > c.limits.Bytes {
-		c.suspect("it takes more than %d bytes", c.limits.Bytes)
+	c.bytes += len(key) + len(value)
+	if c.limits.MaxBytes > 0 && c.bytes > c.limits.MaxBytes {
+		c.Invalidate(&SizeError{c.limits.MaxBytes})
 	}
 }
 
-func (c *Copy) drop(key string) {
-	if it, ok := c.items[key]; ok {
-		c.bytes -= len(key) + len(it.Value)
-		delete(c.items, key)
-		if k, ok := c.owned[key]; ok {
-			delete(c.owned, key)
-			c.drop(k)
-		}
+func (c *Copy) remove(key string) {
+	item, ok := c.items[key]
+	if !ok {
+		return
+	}
+	c.bytes -= len(key) + len(item.Value)
+	delete(c.items, key)
+	if dependent, ok := c.dependents[key]; ok {
+		delete(c.dependents, key)
+		c.remove(dependent)
 	}
 }
 
-func (c *Copy) suspect(format string, args ...any) {
-	if c.doubt == "" {
-		c.doubt = fmt.Sprintf(format, args...)
+// Invalidate records that the copy can't be relied on any more. The first reason counts.
+func (c *Copy) Invalidate(reason error) {
+	if c.err == nil {
+		c.err = reason
 	}
 }
 
-// Lost says that the copy can't be followed any more: the watch was too far behind.
-func (c *Copy) Lost(why string) { c.suspect("%s", why) }
-
-// Doubt says why the copy is no good, or nothing.
-func (c *Copy) Doubt() string {
-	if c.doubt == "" && !c.whole {
-		return "it was not read yet"
+// Err returns why the copy is invalid, nil if it is valid.
+func (c *Copy) Err() error {
+	if c.err == nil && !c.loaded {
+		return ErrNotLoaded
 	}
-	return c.doubt
+	return c.err
 }
 
-// Revision is up to which it is the stored state.
+// Revision returns the store's revision that the copy has reached.
 func (c *Copy) Revision() uint64 { return c.revision }
 
-// Seen is when it was last known to be the newest.
-func (c *Copy) Seen() Micros { return c.seen }
+// CurrentAt returns when the copy was last known to be current.
+func (c *Copy) CurrentAt() Micros { return c.currentAt }
 
-// Size is how many keys it has, and their bytes.
+// Size returns the number of keys, and the bytes of keys and values.
 func (c *Copy) Size() (keys, bytes int) { return len(c.items), c.bytes }
 
 // Get returns a key.
-func (c *Copy) Get(key string) (Item, bool) {
-	it, ok := c.items[key]
-	return it, ok
+func (c *Copy) Get(key string) (item Item, found bool) {
+	item, found = c.items[key]
+	return item, found
 }
 
-// Under returns the keys with a prefix, in order.
-func (c *Copy) Under(prefix string) (keys []string) {
-	for k := range c.items {
-		if strings.HasPrefix(k, prefix) {
-			keys = append(keys, k)
+// Keys returns the keys with a prefix, in order.
+func (c *Copy) Keys(prefix string) (keys []string) {
+	for key := range c.items {
+		if strings.HasPrefix(key, prefix) {
+			keys = append(keys, key)
 		}
 	}
 	slices.Sort(keys)
 	return keys
 }
-
-// auditPage is how many keys an audit reads.
-const auditPage = 200
-
-// Range is part of the keys under a prefix: those after a key.
-type Range struct {
-	Prefix, After string
-	Most          int
-	Keys          int // that the copy has under the prefix, of a sample
-}
-
-// NextAudit is the range to compare next: in turn, so that every key is compared.
-func (c *Copy) NextAudit(prefixes []string) Range {
-	at := 0
-	for i, p := range prefixes {
-		if strings.HasPrefix(c.audited, p) {
-			at = i
-		}
-	}
-	after := ""
-	if strings.HasPrefix(c.audited, prefixes[at]) {
-		after = c.audited
-	}
-	return Range{Prefix: prefixes[at], After: after, Most: auditPage}
-}
-
-// Sample is a range at random under one of the prefixes.
-func (c *Copy) Sample(prefixes []string, rnd *rand.Rand) Range {
-	p := prefixes[rnd.IntN(len(prefixes))]
-	keys := c.Under(p)
-	r := Range{Prefix: p, Most: auditPage, Keys: len(keys)}
-	if len(keys) > auditPage {
-		r.After = keys[rnd.IntN(len(keys)-auditPage/2)]
-	}
-	return r
-}
-
-// Audit compares a page that the store gave for a range with the copy, which must have
-// been followed up to the page's revision at least. What has changed since the page was
-// read can't be compared. It returns how many keys were.
-func (c *Copy) Audit(r Range, page wire.KeyValuePage, prefixes []string) int {
-	if c.doubt != "" || c.revision < page.Revision {
-		return 0
-	}
-	compared := 0
-	there := map[string]bool{}
-	last := r.After
-	for _, e := range page.Items {
-		last = e.Key
-		there[e.Key] = true
-		if !c.Keep(e.Key) || e.Lease != 0 {
-			continue
-		}
-		it, ok := c.items[e.Key]
-		switch {
-		case !ok && c.revision == page.Revision:
-			c.suspect("the store has %s, the copy has not", e.Key)
-		case !ok || it.Version > page.Revision:
-			// changed since
-		case it.Version != e.Version || !slices.Equal(it.Value, e.Value):
-			c.suspect("%s differs from the store's", e.Key)
-		default:
-			compared++
-		}
-	}
-	for k, it := range c.items {
-		// What the copy has in the range and the store had not was created since.
-		if strings.HasPrefix(k, r.Prefix) && k > r.After && (!page.More || k <= last) && !there[k] && it.Version <= page.Revision {
-			c.suspect("the copy has %s, the store has not", k)
-		}
-	}
-	if page.More && last != r.After {
-		c.audited = last
-	} else {
-		i := slices.Index(prefixes, r.Prefix) + 1
-		if i == len(prefixes) {
-			i = 0
-			c.audits++
-		}
-		c.audited = prefixes[i]
-	}
-	return compared
-}
-
-// Rounds is how often all ranges were compared.
-func (c *Copy) Rounds() int { return c.audits }
--- a/internal/standby/copy_test.go
+++ b/internal/standby/copy_test.go
@@ -6,7 +6,6 @@
 	"math/rand/v2"
 	"reflect"
 	"slices"
-	"sort"
 	"strings"
 	"testing"
 
@@ -15,38 +14,38 @@
 	"dalefront/wire"
 )
 
-// history is a store with all that ever changed in it.
-type history struct {
-	keys   map[string]wire.KeyValue
-	events []wire.Event
-	rev    uint64
+// fakeStore is a store with all that ever changed in it.
+type fakeStore struct {
+	keys     map[string]wire.KeyValue
+	events   []wire.Event
+	revision uint64
 }
 
 var prefixes = []string{"q/a/", "p/", "l/"}
 
-func (h *history) change(r *rand.Rand) {
-	h.rev++
+func (h *fakeStore) change(r *rand.Rand) {
+	h.revision++
 	for range 1 + r.IntN(3) {
 		k := fmt.Sprintf("%s%02d", []string{"q/a/", "q/a/", "q/e/", "p/", "l/", "other/"}[r.IntN(6)], r.IntN(20))
-		if slices.ContainsFunc(h.events, func(e wire.Event) bool { return e.Version == h.rev && e.Put+e.Delete == k }) {
+		if slices.ContainsFunc(h.events, func(e wire.Event) bool { return e.Version == h.revision && e.Put+e.Delete == k }) {
 			continue
 		}
 		if _, there := h.keys[k]; there && r.IntN(3) == 0 {
 			delete(h.keys, k)
-			h.events = append(h.events, wire.Event{Delete: k, Version: h.rev})
+			h.events = append(h.events, wire.Event{Delete: k, Version: h.revision})
 			continue
 		}
 		v, _ := msgpack.Marshal(r.IntN(1000))
-		h.keys[k] = wire.KeyValue{Key: k, Value: v, Version: h.rev}
-		h.events = append(h.events, wire.Event{Put: k, Value: v, Version: h.rev})
+		h.keys[k] = wire.KeyValue{Key: k, Value: v, Version: h.revision}
+		h.events = append(h.events, wire.Event{Put: k, Value: v, Version: h.revision})
 	}
-	if len(h.events) == 0 || h.events[len(h.events)-1].Version != h.rev {
-		h.rev-- // nothing happened
+	if len(h.events) == 0 || h.events[len(h.events)-1].Version != h.revision {
+		h.revision-- // nothing happened
 	}
 }
 
-func (h *history) since(rev uint64) (ev wire.Events) {
-	ev.Revision = h.rev
+func (h *fakeStore) since(rev uint64) (ev wire.Events) {
+	ev.Revision = h.revision
 	for _, e := range h.events {
 		if e.Version > rev {
 			ev.Events = append(ev.Events, e)
@@ -55,25 +54,25 @@
 	return ev
 }
 
-func (h *history) page(prefix, after string, most int) (p wire.KeyValuePage) {
-	p.Revision = h.rev
+func (h *fakeStore) page(prefix, after string, most int) (p wire.KeyValuePage) {
+	p.Revision = h.revision
 	for k, e := range h.keys {
 		if strings.HasPrefix(k, prefix) && k > after {
 			p.Items = append(p.Items, e)
 		}
 	}
-	sort.Slice(p.Items, func(a, b int) bool { return p.Items[a].Key < p.Items[b].Key })
+	slices.SortFunc(p.Items, func(a, b wire.KeyValue) int { return strings.Compare(a.Key, b.Key) })
 	if len(p.Items) > most {
 		p.Items, p.More = p.Items[:most], true
 	}
 	return p
 }
 
-func kept(key string) bool {
+func isKept(key string) bool {
 	return strings.HasPrefix(key, "q/") || strings.HasPrefix(key, "p/") || strings.HasPrefix(key, "l/")
 }
 
-func owner(key string) string {
+func ownerOf(key string) string {
 	if id, ok := strings.CutPrefix(key, "q/e/"); ok {
 		return "q/a/" + id
 	}
@@ -86,8 +85,8 @@
 	return n, err
 }
 
-// begin reads a store page by page while it changes, as a standby does.
-func (h *history) begin(r *rand.Rand, limit int) *Copy {
+// loadCopy reads a store page by page while it changes, as a standby does.
+func (h *fakeStore) loadCopy(r *rand.Rand, limit int) *Copy {
 	var all []wire.KeyValue
 	var first uint64
 	for _, p := range prefixes {
@@ -116,17 +115,17 @@
 			}
 		}
 	}
-	c := NewCopy(kept, owner, decode, Limits{Bytes: limit})
-	c.Begin(all, first, 1)
+	c := NewCopy(isKept, ownerOf, decode, Limits{MaxBytes: limit})
+	c.Load(all, first, 1)
 	return c
 }
 
-// wrong says how a copy differs from the store at the copy's revision, which must be the
+// difference says how a copy differs from the store at the copy's revision, which must be the
 // store's; nothing if it does not.
-func (h *history) wrong(c *Copy) string {
+func (h *fakeStore) difference(c *Copy) string {
 	want := map[string]uint64{}
 	for k, e := range h.keys {
-		if o := owner(k); kept(k) && (o == "" || h.keys[o].Version > 0) {
+		if o := ownerOf(k); isKept(k) && (o == "" || h.keys[o].Version > 0) {
 			want[k] = e.Version
 		}
 	}
@@ -140,7 +139,7 @@
 	// An end that was there before, or with, its job's record is not followed: no record is
 	// created for a job that has ended.
 	for k := range want {
-		if _, ok := got[k]; !ok && strings.HasPrefix(k, "q/e/") && h.keys[owner(k)].Version >= h.keys[k].Version {
+		if _, ok := got[k]; !ok && strings.HasPrefix(k, "q/e/") && h.keys[ownerOf(k)].Version >= h.keys[k].Version {
 			delete(want, k)
 		}
 	}
@@ -153,17 +152,17 @@
 // A copy that was begun while the state changed, and followed in answers of any size, is
 // the state. What is lost, doubled, late, torn or out of order on the way is found out or
 // harmless.
-func TestCopyFollowsOrDoubts(t *testing.T) {
+func TestCopyFollowsOrFails(t *testing.T) {
 	faults := []string{"none", "lost", "lost answer", "doubled", "late", "torn", "swapped", "cut short"}
 	found := map[string]int{}
 	for seed := uint64(1); seed <= 400; seed++ {
 		r := rand.New(rand.NewPCG(seed, 23))
 		fault := faults[seed%uint64(len(faults))]
-		h := &history{keys: map[string]wire.KeyValue{}}
+		h := &fakeStore{keys: map[string]wire.KeyValue{}}
 		for range 30 {
 			h.change(r)
 		}
-		c := h.begin(r, 0)
+		c := h.loadCopy(r, 0)
 		var last wire.Events
 		at := 3 + r.IntN(5)
 		for step := range 12 {
@@ -185,7 +184,7 @@
 					c.Apply(ev, 2)
 					ev = last
 				case "torn":
-					if ev.Events[k].Put == "" || !kept(ev.Events[k].Put) {
+					if ev.Events[k].Put == "" || !isKept(ev.Events[k].Put) {
 						continue
 					}
 					ev.Events[k].Value = ev.Events[k].Value[:len(ev.Events[k].Value)-1]
@@ -202,23 +201,23 @@
 			c.Apply(ev, 2)
 			last = ev
 		}
-		if c.Doubt() != "" {
+		if c.Err() != nil {
 			found[fault]++
 			if fault == "none" || fault == "doubled" || fault == "late" || fault == "lost answer" {
-				t.Fatalf("seed %d, %s: it doubts a good copy: %s", seed, fault, c.Doubt())
+				t.Fatalf("seed %d, %s: a valid copy became invalid: %s", seed, fault, c.Err())
 			}
 			continue
 		}
 		c.Apply(h.since(c.Revision()), 3)
-		if w := h.wrong(c); w != "" && fault != "cut short" {
+		if w := h.difference(c); w != "" && fault != "cut short" {
 			t.Fatalf("seed %d, %s: %s", seed, fault, w)
 		} else if w != "" {
 			// A key of a revision of several is missing: the audit finds it.
 			for range 20 {
-				rg := c.NextAudit(prefixes)
-				c.Audit(rg, h.page(rg.Prefix, rg.After, rg.Most), prefixes)
+				rg := c.NextAuditRange(prefixes)
+				c.Audit(rg, h.page(rg.Prefix, rg.After, rg.Limit), prefixes)
 			}
-			if c.Doubt() == "" && !strings.Contains(w, "q/e/") {
+			if c.Err() == nil && !strings.Contains(w, "q/e/") {
 				t.Fatalf("seed %d, %s: never found out: %s", seed, fault, w)
 			}
 			found[fault]++
@@ -233,20 +232,20 @@
 
 // One entry lost, doubled, stale or torn in the copy itself is found by one round of
 // audits, whatever changes meanwhile; a good copy passes any number of them.
-func TestAuditsFindWhatIsWrong(t *testing.T) {
+func TestAuditsFindDifferences(t *testing.T) {
 	for seed := uint64(1); seed <= 200; seed++ {
 		r := rand.New(rand.NewPCG(seed, 24))
-		h := &history{keys: map[string]wire.KeyValue{}}
+		h := &fakeStore{keys: map[string]wire.KeyValue{}}
 		for range 60 {
 			h.change(r)
 		}
-		c := h.begin(r, 0)
+		c := h.loadCopy(r, 0)
 		c.Apply(h.since(c.Revision()), 2)
 		round := func() {
-			for from := c.Rounds(); c.Rounds() == from && c.Doubt() == ""; {
-				rg := c.NextAudit(prefixes)
-				rg.Most = 5
-				page := h.page(rg.Prefix, rg.After, rg.Most)
+			for from := c.AuditRounds(); c.AuditRounds() == from && c.Err() == nil; {
+				rg := c.NextAuditRange(prefixes)
+				rg.Limit = 5
+				page := h.page(rg.Prefix, rg.After, rg.Limit)
 				for range r.IntN(2) {
 					h.change(r)
 				}
@@ -255,10 +254,10 @@
 			}
 		}
 		round()
-		if c.Doubt() != "" {
-			t.Fatalf("seed %d: a good copy is doubted: %s", seed, c.Doubt())
+		if c.Err() != nil {
+			t.Fatalf("seed %d: a valid copy became invalid: %s", seed, c.Err())
 		}
-		keys := slices.DeleteFunc(slices.Concat(c.Under("l/"), c.Under("q/a/")), func(k string) bool { return h.keys[k].Key == "" })
+		keys := slices.DeleteFunc(slices.Concat(c.Keys("l/"), c.Keys("q/a/")), func(k string) bool { return h.keys[k].Key == "" })
 		if len(keys) == 0 {
 			continue
 		}
@@ -277,34 +276,36 @@
 			c.items[k] = it
 		}
 		// Nothing else changes: a key that is written anew is right again.
-		for from := c.Rounds(); c.Rounds() < from+2 && c.Doubt() == ""; {
-			rg := c.NextAudit(prefixes)
-			c.Audit(rg, h.page(rg.Prefix, rg.After, rg.Most), prefixes)
+		for from := c.AuditRounds(); c.AuditRounds() < from+2 && c.Err() == nil; {
+			rg := c.NextAuditRange(prefixes)
+			c.Audit(rg, h.page(rg.Prefix, rg.After, rg.Limit), prefixes)
 		}
-		if c.Doubt() == "" {
+		if c.Err() == nil {
 			t.Fatalf("seed %d: %s is wrong and was not found", seed, k)
 		}
 	}
 }
 
-// What a copy may take of the memory is bounded, and what it can't read makes it doubt.
+// What a copy may take of the memory is bounded, and what it can't read makes it invalid.
 func TestCopyLimits(t *testing.T) {
-	c := NewCopy(kept, owner, decode, Limits{Bytes: 100})
-	if c.Doubt() == "" {
-		t.Error("a copy that was never read is good")
+	c := NewCopy(isKept, ownerOf, decode, Limits{MaxBytes: 100})
+	if !errors.Is(c.Err(), ErrNotLoaded) {
+		t.Error("a copy that was never read is valid")
 	}
 	v, _ := msgpack.Marshal(strings.Repeat("x", 10))
 	c.Decode = func(string, []byte) (any, error) { return nil, nil }
-	c.Begin([]wire.KeyValue{{Key: "l/1", Value: v, Version: 1}}, 1, 1)
+	c.Load([]wire.KeyValue{{Key: "l/1", Value: v, Version: 1}}, 1, 1)
 	for i := range 20 {
 		c.Apply(wire.Events{Revision: uint64(i + 2), Events: []wire.Event{{Put: fmt.Sprint("l/", i), Value: v, Version: uint64(i + 2)}}}, 2)
 	}
-	if !strings.Contains(c.Doubt(), "bytes") {
-		t.Errorf("doubt: %q", c.Doubt())
+	var tooLarge *SizeError
+	if !errors.As(c.Err(), &tooLarge) || tooLarge.LimitBytes != 100 || !strings.Contains(tooLarge.Error(), "bytes") {
+		t.Errorf("error: %v", c.Err())
 	}
-	c.Decode = func(string, []byte) (any, error) { return nil, errors.New("torn") }
-	c.Begin([]wire.KeyValue{{Key: "l/1", Value: v, Version: 1}}, 1, 1)
-	if !strings.Contains(c.Doubt(), "torn") {
-		t.Errorf("doubt: %q", c.Doubt())
+	torn := errors.New("torn")
+	c.Decode = func(string, []byte) (any, error) { return nil, torn }
+	c.Load([]wire.KeyValue{{Key: "l/1", Value: v, Version: 1}}, 1, 1)
+	if !errors.Is(c.Err(), torn) || !strings.Contains(c.Err().Error(), "torn") {
+		t.Errorf("error: %v", c.Err())
 	}
 }
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -1,6 +1,7 @@
 package standby
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -11,16 +12,16 @@
 // The first standby is in another zone than the leader, the next in none that has one.
 // A controller that comes and goes, restarts or can't follow is replaced once and not
 // taken back before it had a rest; while nothing is wrong nothing changes.
-func TestChoosing(t *testing.T) {
-	c := &Choosing{Zone: "x", Count: 1, Silent: 5 * second, Rest: 30 * second}
+func TestSelector(t *testing.T) {
+	c := &Selector{Zone: "x", Count: 1, MaxSilence: 5 * second, Cooldown: 30 * second}
 	now := 100 * second
 	members := func() []Member {
-		return []Member{{Label: "a", Zone: "x", Heard: now}, {Label: "b", Zone: "y", Heard: now}, {Label: "c", Zone: "z", Heard: now}, {Label: "d", Zone: "y", Heard: now}}
+		return []Member{{Label: "a", Zone: "x", LastHeard: now}, {Label: "b", Zone: "y", LastHeard: now}, {Label: "c", Zone: "z", LastHeard: now}, {Label: "d", Zone: "y", LastHeard: now}}
 	}
 	v := View{Token: 7}
 	choose := func(what string, ms []Member, want ...string) {
 		t.Helper()
-		next, changed := c.Choose(v, ms, now)
+		next, changed := c.Select(v, ms, now)
 		if !slices.Equal(next.Standbys, want) || changed != !slices.Equal(v.Standbys, want) || changed != (next.Number > v.Number) {
 			t.Errorf("%s: %+v after %+v, changed %v, want %v", what, next, v, changed, want)
 		}
@@ -28,18 +29,18 @@
 	}
 	choose("at first", members(), "b")
 	ms := members()
-	ms[1].Heard = now - 4*second
+	ms[1].LastHeard = now - 4*second
 	choose("silent for a moment", ms, "b")
-	ms[1].Heard = now - 6*second
+	ms[1].LastHeard = now - 6*second
 	choose("silent for long", ms, "c")
 	choose("back again", members(), "c")
 	ms = members()
-	ms[2].Unfit = now - second
+	ms[2].UnfitAt = now - second
 	choose("it could not follow", ms, "b")
 	ms = members()
-	ms[1].Ends, ms[2].Unfit = 3, now-second
+	ms[1].RecentRestarts, ms[2].UnfitAt = 3, now-second
 	choose("it keeps ending", ms, "d")
-	ms[3].Heard, ms[0].Heard = 0, 0
+	ms[3].LastHeard, ms[0].LastHeard = 0, 0
 	choose("only bad ones are left", ms, "b")
 	choose("nobody answers", []Member{{Label: "b"}})
 	c.Count = 3
@@ -51,19 +52,19 @@
 	}
 	for seed := uint64(1); seed <= 50; seed++ { // flapping ones don't make the view churn
 		r := rand.New(rand.NewPCG(seed, 1))
-		c, v, changes, now := &Choosing{Zone: "x", Count: 2, Silent: 5 * second, Rest: 30 * second}, View{}, 0, 100*second
+		c, v, changes, now := &Selector{Zone: "x", Count: 2, MaxSilence: 5 * second, Cooldown: 30 * second}, View{}, 0, 100*second
 		unfit := map[string]Micros{}
 		for range 600 {
 			now += second
 			ms := members()
 			for i := range ms {
-				ms[i].Heard = now
+				ms[i].LastHeard = now
 				if ms[i].Label < "c" && r.IntN(10) == 0 {
 					unfit[ms[i].Label] = now
 				}
-				ms[i].Unfit = unfit[ms[i].Label]
+				ms[i].UnfitAt = unfit[ms[i].Label]
 			}
-			next, changed := c.Choose(v, ms, now)
+			next, changed := c.Select(v, ms, now)
 			if changed {
 				changes++
 			}
@@ -78,11 +79,13 @@
 // A leader is taken for ended only if its connection broke, it answers nothing for a
 // while, and the others, of whom enough can be asked, don't reach it either; or at once if
 // another process answers for its node.
-func TestSuspicion(t *testing.T) {
-	type step func(s *Suspicion)
-	broke := func(s *Suspicion) { s.Broke(10 * second) }
-	tried := func(s *Suspicion) { s.Tried(10*second, 0) }
-	asked := func(label string, reached bool) step { return func(s *Suspicion) { s.Asked(label, reached) } }
+func TestFailureDetector(t *testing.T) {
+	type step func(s *FailureDetector)
+	broke := func(s *FailureDetector) { s.RecordConnectionLoss(10 * second) }
+	tried := func(s *FailureDetector) { s.RecordProbe(0) }
+	asked := func(label string, reached bool) step {
+		return func(s *FailureDetector) { s.RecordPeerProbe(label, reached) }
+	}
 	for _, c := range []struct {
 		name  string
 		nodes int
@@ -100,10 +103,10 @@
 		{"one of three others", 5, 20 * second, []step{broke, tried, tried, asked("c", false)}, false},
 		{"the same one twice", 5, 20 * second, []step{broke, tried, tried, asked("c", false), asked("c", false)}, false},
 		{"two of three others", 5, 20 * second, []step{broke, tried, tried, asked("c", false), asked("d", false)}, true},
-		{"it answered again", 3, 20 * second, []step{broke, tried, tried, asked("c", false), func(s *Suspicion) { s.Leader(7, 1) }}, false},
+		{"it answered again", 3, 20 * second, []step{broke, tried, tried, asked("c", false), func(s *FailureDetector) { s.RecordHeartbeat(7, 1) }}, false},
 	} {
-		s := &Suspicion{Nodes: c.nodes, Wait: 250_000, Every: 10 * second}
-		s.Leader(7, 1)
+		s := &FailureDetector{Controllers: c.nodes, MinSilence: 250_000, MinInterval: 10 * second}
+		s.RecordHeartbeat(7, 1)
 		for _, f := range c.steps {
 			f(s)
 		}
@@ -111,16 +114,16 @@
 			t.Errorf("%s: suspects %v", c.name, !c.want)
 		}
 	}
-	s := &Suspicion{Nodes: 3, Wait: 250_000, Every: 10 * second}
-	s.Leader(7, 1)
-	if s.Tried(second, 1) || !s.Tried(second, 2) {
+	s := &FailureDetector{Controllers: 3, MinSilence: 250_000, MinInterval: 10 * second}
+	s.RecordHeartbeat(7, 1)
+	if s.RecordProbe(1) || !s.RecordProbe(2) {
 		t.Error("another process of its node is not told from the one that took the term")
 	}
 	now, replaced := second, 0
 	for range 3600 { // however often it is wrong, it is bounded how often it may be
 		if now += second; s.MayReplace(now) {
-			s.Replaced(now)
-			s.Wrong()
+			s.RecordReplacement(now)
+			s.RecordFalsePositive()
 			replaced++
 		}
 	}
@@ -131,18 +134,18 @@
 
 // Each check fails by itself on what it is for, so that none can be left out.
 func TestEachCheckIsNeeded(t *testing.T) {
-	good := Facts{Token: 40, Highest: 40, Revision: 41, Compared: 7, Keys: 9, Awake: true, Reached: true, Lease: true}
-	if ok, why := Passes(&good); !ok {
-		t.Fatal(why)
+	good := TakeoverState{Token: 40, HighestToken: 40, Revision: 41, ComparedKeys: 7, SampleKeys: 9, RanRecently: true, StoreReachable: true, LeaseHeld: true}
+	if err := RunChecks(&good); err != nil {
+		t.Fatal(err)
 	}
-	bad := map[string]func(*Facts){
-		"term kept":            func(f *Facts) { f.Lease = false },
-		"awake":                func(f *Facts) { f.Awake = false },
-		"store reached":        func(f *Facts) { f.Reached = false },
-		"highest token":        func(f *Facts) { f.Highest = 41 },
-		"revision of the term": func(f *Facts) { f.Revision = 39 },
-		"no doubt":             func(f *Facts) { f.Doubt = "lost" },
-		"compared":             func(f *Facts) { f.Compared = 0 },
+	bad := map[string]func(*TakeoverState){
+		"term kept":            func(f *TakeoverState) { f.LeaseHeld = false },
+		"awake":                func(f *TakeoverState) { f.RanRecently = false },
+		"store reached":        func(f *TakeoverState) { f.StoreReachable = false },
+		"highest token":        func(f *TakeoverState) { f.HighestToken = 41 },
+		"revision of the term": func(f *TakeoverState) { f.Revision = 39 },
+		"no doubt":             func(f *TakeoverState) { f.CopyErr = ErrHistoryLost },
+		"compared":             func(f *TakeoverState) { f.ComparedKeys = 0 },
 	}
 	for _, c := range Checks {
 		f := good
@@ -152,12 +155,14 @@
 			continue
 		}
 		spoil(&f)
-		if ok, why := Passes(&f); ok || !strings.HasPrefix(why, c.Name+": ") {
-			t.Errorf("%s: passes %v, %q", c.Name, ok, why)
+		err := RunChecks(&f)
+		var failed *CheckError
+		if !errors.As(err, &failed) || failed.Check != c.Name || !strings.HasPrefix(err.Error(), c.Name+": ") {
+			t.Errorf("%s: %v", c.Name, err)
 		}
 		n := 0
 		for _, other := range Checks {
-			if other.Fail(&f) != "" {
+			if other.Failure(&f) != "" {
 				n++
 			}
 		}
--- a/internal/standby/view.go
+++ b/internal/standby/view.go
@@ -5,98 +5,123 @@
 	"slices"
 )
 
-// View says, for one term, who stands by warm and in which order. The leader publishes
-// it in its hellos. It decides nothing that must be right: a controller with an old view
-// stands by without need, or tries for the term a moment sooner or later than it should.
+// View says, for one term, which controllers are standbys and in which order they
+// try to take over. The leader publishes it in its heartbeats. No safety depends on it: a
+// controller with an old view follows the state without need, or tries to become leader a
+// moment sooner or later than it should.
 type View struct {
 	Token    uint64   `msgpack:"t"` // of the leader that published it
 	Number   uint64   `msgpack:"n"` // rises within a term
 	Standbys []string `msgpack:"s"` // the first of them goes first
 }
 
-// Newer says whether a view takes the place of another one.
+// Newer reports whether the view supersedes another one.
 func (v *View) Newer(than *View) bool {
 	return v.Token > than.Token || (v.Token == than.Token && v.Number > than.Number)
 }
 
-// Rank is a controller's place among the standbys, -1 if it is none.
+// Rank returns a controller's position among the standbys, -1 if it is none.
 func (v *View) Rank(label string) int { return slices.Index(v.Standbys, label) }
 
 // Member is what the leader knows of another controller.
 type Member struct {
-	Label, Zone string
-	Heard       Micros // when it last answered, 0 if it never did
-	Ends        int    // how often it was started anew lately
-	Unfit       Micros // when it last showed that it can't follow: behind, cut off, short of memory; 0 if never
+	Label, Zone    string
+	LastHeard      Micros // when it last answered, 0 if it never did
+	RecentRestarts int
+	UnfitAt        Micros // when it last showed that it can't follow: behind, cut off, short of memory; 0 if never
 }
 
-// Choosing is how standbys are chosen.
-type Choosing struct {
+// Selector selects the standbys.
+type Selector struct {
 	Zone  string // the leader's
-	Count int    // how many are to stand by
-	// Silent is after how long without an answer a controller is replaced, if another
-	// answers: several times what a hello takes. A suspicion is no death, and choosing
-	// anew makes somebody read the whole state.
-	Silent Micros
-	// Rest is for how long one that was unfit is chosen only if there is no other.
-	Rest Micros
+	Count int    // of standbys
+	// MaxSilence is how long a standby may fail to answer before it is replaced, if another
+	// controller answers. It should be several times a heartbeat's interval: a silent
+	// controller may be well, and a new standby has to read the whole state.
+	MaxSilence Micros
+	// Cooldown is for how long a controller that was unfit is selected only if there is no
+	// other.
+	Cooldown Micros
 }
 
-// fewEnds is how often a standby may have ended lately.
-const fewEnds = 2
+// unstableRestarts is the number of recent restarts from which on a controller is
+// unstable.
+const unstableRestarts = 2
 
-// Choose returns the view that follows one, and whether it differs. Those who stand by
-// stay, as long as they answer and are fit, so that a controller that comes and goes
-// changes nothing; new ones are preferred in zones that have neither the leader nor
-// another standby.
-func (c *Choosing) Choose(old View, members []Member, now Micros) (View, bool) {
-	bad := func(m *Member) int {
-		switch {
-		case m.Heard == 0 || now-m.Heard > c.Silent:
-			return 3
-		case m.Unfit > 0 && now-m.Unfit < c.Rest:
-			return 2
-		case m.Ends >= fewEnds:
-			return 1
-		}
-		return 0
+// fitness grades a controller as a standby. The lowest is the best.
+type fitness int
+
+const (
+	fit      fitness = iota
+	unstable         // restarted often lately
+	unfit            // could not follow lately
+	silent           // can't be selected
+)
+
+func (s *Selector) fitness(member *Member, now Micros) fitness {
+	switch {
+	case member.LastHeard == 0 || now-member.LastHeard > s.MaxSilence:
+		return silent
+	case member.UnfitAt > 0 && now-member.UnfitAt < s.Cooldown:
+		return unfit
+	case member.RecentRestarts >= unstableRestarts:
+		return unstable
 	}
-	by := map[string]*Member{}
+	return fit
+}
+
+// Select returns the view that follows one, and whether it differs. Standbys that answer
+// and are fit stay, so that a controller that comes and goes changes nothing; new ones are
+// preferred in zones that have neither the leader nor another standby.
+func (s *Selector) Select(old View, members []Member, now Micros) (next View, changed bool) {
+	byLabel := map[string]*Member{}
 	for i := range members {
-		by[members[i].Label] = &members[i]
+		byLabel[members[i].Label] = &members[i]
 	}
-	var kept []string
-	zones := map[string]bool{c.Zone: true}
+	var standbys []string
+	zones := map[string]bool{s.Zone: true}
 	for _, label := range old.Standbys {
-		if m := by[label]; m != nil && bad(m) == 0 && len(kept) < c.Count {
-			kept = append(kept, label)
-			zones[m.Zone] = true
+		member := byLabel[label]
+		if member != nil && s.fitness(member, now) == fit && len(standbys) < s.Count {
+			standbys = append(standbys, label)
+			zones[member.Zone] = true
 		}
 	}
-	for len(kept) < c.Count {
-		var best *Member
-		var bestKey [2]int
-		for i := range members {
-			m := &members[i]
-			if slices.Contains(kept, m.Label) || bad(m) >= 3 {
-				continue
-			}
-			key := [2]int{bad(m), 0}
-			if zones[m.Zone] {
-				key[1] = 1
-			}
-			if best == nil || cmp.Or(cmp.Compare(key[0], bestKey[0]), cmp.Compare(key[1], bestKey[1]), cmp.Compare(m.Label, best.Label)) < 0 {
-				best, bestKey = m, key
-			}
-		}
+	for len(standbys) < s.Count {
+		best := s.bestCandidate(members, standbys, zones, now)
 		if best == nil {
 			break
 		}
-		kept = append(kept, best.Label)
+		standbys = append(standbys, best.Label)
 		zones[best.Zone] = true
 	}
-	if slices.Equal(kept, old.Standbys) {
+	if slices.Equal(standbys, old.Standbys) {
 		return old, false
 	}
-	return View{Token: old.Token, Number: old.Number + 1, Standbys: kept}, true
+	return View{Token: old.Token, Number: old.Number + 1, Standbys: standbys}, true
+}
+
+// bestCandidate returns the member that is best added to the standbys, whose zones and
+// the leader's are given; nil if there is none.
+func (s *Selector) bestCandidate(members []Member, standbys []string, zones map[string]bool, now Micros) *Member {
+	sharesZone := func(member *Member) int {
+		if zones[member.Zone] {
+			return 1
+		}
+		return 0
+	}
+	var best *Member
+	for i := range members {
+		member := &members[i]
+		if slices.Contains(standbys, member.Label) || s.fitness(member, now) == silent {
+			continue
+		}
+		if best == nil || cmp.Or(
+			cmp.Compare(s.fitness(member, now), s.fitness(best, now)),
+			cmp.Compare(sharesZone(member), sharesZone(best)),
+			cmp.Compare(member.Label, best.Label)) < 0 {
+			best = member
+		}
+	}
+	return best
 }
