--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -68,7 +68,7 @@
 }
 
 func sceneEnd(i int) endRecord {
-	return endRecord{Status: []string{wire.JobDone, wire.JobCancelled}[i%2], At: 5, Done: i % 3}
+	return endRecord{Status: []string{wire.JobDone, wire.JobCancelled}[i%2], EndedAt: 5, TasksDone: i % 3}
 }
 
 // move archives; with drop, the keys of the ends go too.
@@ -104,10 +104,10 @@
 	s.t.Helper()
 	for tries := 0; ; tries++ {
 		st, err := op(s.n, id)
-		if errors.Is(err, api.ErrNotNow) && tries < 3 {
+		if errors.Is(err, api.ErrUnavailable) && tries < 3 {
 			continue
 		}
-		if err != nil || st.Status != want.Status || st.Done != want.Done || st.ID != id {
+		if err != nil || st.Status != want.Status || st.Done != want.TasksDone || st.ID != id {
 			s.t.Fatalf("%s: got %+v, %v; want %+v", what, st, err, want)
 		}
 		break
@@ -144,7 +144,7 @@
 					}
 					s.end(0, 20)
 					if knows == "the job" {
-						s.n.setKnown(sceneID(7))
+						s.n.statuses.addAccepted(sceneID(7))
 					}
 					s.count.Store(0)
 					s.before = func(k int64) {
@@ -178,7 +178,7 @@
 				const i = 6
 				s.svc.Set(jobKey(sceneID(i)), jobRecord{Job: *sceneJob(sceneID(i))})
 				if knows {
-					s.n.setKnown(sceneID(i))
+					s.n.statuses.addAccepted(sceneID(i))
 				}
 				lived := false
 				s.before = func(k int64) {
@@ -210,7 +210,7 @@
 			s.svc.Set(jobKey(sceneID(i)), jobRecord{Job: *sceneJob(sceneID(i))})
 		}
 		s.svc.HoldBack(1)
-		if _, err := sceneOps[name](s.n, sceneID(i)); !errors.Is(err, api.ErrNotNow) {
+		if _, err := sceneOps[name](s.n, sceneID(i)); !errors.Is(err, api.ErrUnavailable) {
 			t.Fatalf("%s without an answer: %v", name, err)
 		}
 		if name == "submit" { // the user tries again elsewhere, and that is taken
@@ -229,8 +229,8 @@
 	s.move(true)
 	for _, id := range []string{sceneID(30), "j-000007000000000000000000007", "j-7"} {
 		for _, name := range []string{"poll", "withdraw"} {
-			if _, err := sceneOps[name](s.n, id); !errors.Is(err, api.ErrUnknown) {
-				t.Fatalf("%s of %s: %v, want %v", name, id, err, api.ErrUnknown)
+			if _, err := sceneOps[name](s.n, id); !errors.Is(err, api.ErrNotFound) {
+				t.Fatalf("%s of %s: %v, want %v", name, id, err, api.ErrNotFound)
 			}
 		}
 		for k := range 2 {
@@ -254,8 +254,8 @@
 	s.svc.SetDown(true)
 	for name, op := range sceneOps {
 		for _, i := range []int{3, 30} {
-			if st, err := op(s.n, sceneID(i)); !errors.Is(err, api.ErrNotNow) {
-				t.Errorf("%s of %s: %+v, %v; want %v", name, sceneID(i), st, err, api.ErrNotNow)
+			if st, err := op(s.n, sceneID(i)); !errors.Is(err, api.ErrUnavailable) {
+				t.Errorf("%s of %s: %+v, %v; want %v", name, sceneID(i), st, err, api.ErrUnavailable)
 			}
 		}
 	}
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -1,9 +1,7 @@
 package controller
 
 import (
-	"context"
 	"errors"
-	"maps"
 	"strings"
 	"time"
 
@@ -14,13 +12,16 @@
 	"dalefront/wire"
 )
 
+// commitRetry is the pause before a commit whose outcome is unknown is tried again.
+const commitRetry = 100 * time.Millisecond
+
 // CommitTxn is the transaction that stores a write-ahead batch: on condition of the
 // leadership, of the entries' names, which are never used again, and of no end of the jobs.
 func CommitTxn(cm *sched.Commit, conditions ...wire.Condition) wire.Txn {
 	txn := wire.Txn{Conditions: conditions}
-	for _, e := range cm.Entries {
-		txn.Conditions = append(txn.Conditions, wire.Condition{Key: ledgerPrefix + e.Name})
-		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: ledgerPrefix + e.Name, Value: e.LedgerEntry})
+	for _, entry := range cm.Entries {
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: ledgerPrefix + entry.Name})
+		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: ledgerPrefix + entry.Name, Value: entry.LedgerEntry})
 	}
 	for _, name := range cm.Drop {
 		txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: ledgerPrefix + name})
@@ -31,220 +32,146 @@
 	return txn
 }
 
-// commit stores a write-ahead batch. While its outcome is unknown it is asked
-// again under the same conditions: its entries are created once, so that only one
-// copy can ever be applied.
-func (r *leadership) commit(cm *sched.Commit) {
-	n := r.controller
-	txn := CommitTxn(cm, r.termCondition(), generationCond(cm.Generation))
-	txn.Conditions = n.withArchiveGuards(txn.Conditions, cm.Jobs...)
+// commitOutcome is what has become of a write-ahead batch.
+type commitOutcome int
+
+const (
+	commitAbandoned commitOutcome = iota // nobody knows, and this leadership has ended
+	commitStored                         // it is stored
+	commitRejected                       // it is not stored and never will be
+)
+
+// committer stores write-ahead batches, one at a time.
+type committer struct {
+	leadership *leadership
+	task       backgroundTask
+}
+
+// start stores a batch and hands the outcome to the core. Owner goroutine.
+func (c *committer) start(batch *sched.Commit) {
+	c.leadership.startTask(&c.task, func() func() {
+		outcome := c.store(batch)
+		if outcome == commitAbandoned {
+			return nil
+		}
+		return func() { c.finish(batch, outcome) }
+	})
+}
+
+// finish hands the outcome of a batch to the core. Owner goroutine.
+func (c *committer) finish(batch *sched.Commit, outcome commitOutcome) {
+	controller, core := c.leadership.controller, c.leadership.core
+	controller.config.configureCore() // what was refused is decided by the newest one
+	if outcome == commitStored {
+		core.CommitStored(batch, controller.now())
+	} else {
+		core.CommitRejected(batch, controller.now())
+	}
+	c.leadership.launchWaiters.serve(core)
+	controller.owner.requestPass()
+}
+
+// store stores a batch. While its outcome is unknown it is asked again under the same conditions:
+// its entries are created once, so that only one copy can ever be applied.
+func (c *committer) store(batch *sched.Commit) commitOutcome {
+	l, controller := c.leadership, c.leadership.controller
+	txn := CommitTxn(batch, l.termCondition(), generationCondition(batch.Generation))
+	txn.Conditions = controller.withArchiveGuards(txn.Conditions, batch.Jobs...)
 	unknown := false
-	for r.ctx.Err() == nil {
-		a, err := n.store.Txn(r.ctx, txn)
+	for l.ctx.Err() == nil {
+		answer, err := controller.store.Txn(l.ctx, txn)
 		switch {
 		case err == nil:
-			r.commitFinished(cm, true)
-			return
-		case errors.Is(err, kvstore.ErrUnknown):
+			return commitStored
+		case errors.Is(err, kvstore.ErrOutcomeUnknown):
 			unknown = true
 		case errors.Is(err, kvstore.ErrConflict):
-			r.resolveConflict(cm, a.FailedKeys)
-			return
+			return c.resolveConflict(answer.FailedKeys)
 		case !unknown:
 			// Refused: it was not executed and never will be.
 			if errors.Is(err, kvstore.ErrRefused) {
-				n.log.Debug("commit refused", "err", err)
+				controller.log.Debug("commit refused", "err", err)
 			} else {
-				n.log.Error("commit is not accepted", "err", err, "conditions", len(txn.Conditions), "changes", len(txn.Mutations))
+				controller.log.Error("commit is not accepted", "err", err, "conditions", len(txn.Conditions), "changes", len(txn.Mutations))
 			}
-			r.commitFinished(cm, false)
-			return
+			return commitRejected
 		}
-		time.Sleep(100 * time.Millisecond)
+		time.Sleep(commitRetry)
 	}
+	return commitAbandoned
 }
 
-func (r *leadership) commitFinished(cm *sched.Commit, ok bool) {
-	n := r.controller
-	n.postToOwner(func() {
-		if n.leadership != r {
-			return
-		}
-		r.busyCommit = false
-		n.config.configureCore() // what was refused is decided by the newest one
-		if ok {
-			r.core.CommitStored(cm, n.now())
-		} else {
-			r.core.CommitRejected(cm, n.now())
-		}
-		r.serveWaiters()
-		n.passPending = true
-	})
-}
+// conflictCause is what a failed condition says of a batch.
+type conflictCause int
+
+const (
+	conflictUnreadable conflictCause = iota // to be read again
+	conflictRejected                        // the batch was not stored
+	conflictApplied                         // an earlier copy of the batch was stored after all
+	conflictTermLost                        // another controller holds the term
+)
 
 // resolveConflict finds out why a batch failed: the term is lost, a job has ended, or
 // an earlier copy of the same batch was applied after all.
-func (r *leadership) resolveConflict(cm *sched.Commit, failed []string) {
-	n := r.controller
-	for r.ctx.Err() == nil {
-		again, applied := false, false
-		for _, k := range failed {
-			e, found, err := n.store.Get(r.ctx, k)
-			if err != nil {
-				again = true
-				break
-			}
-			switch {
-			case k == termKey:
-				if !found || e.Version != r.token {
-					n.postToOwner(func() { r.stepDown() })
-					return
-				}
-			case k == dynconfig.GenerationKey:
-				// Decided by a configuration that is in force no more: decided anew.
-				n.config.refused.Add(1)
-				if n.config.refresh(r.ctx) != nil {
-					again = true
-				}
-			case strings.HasPrefix(k, endPrefix) && found:
-				n.postToOwner(func() {
-					if n.leadership == r {
-						r.jobEnded(strings.TrimPrefix(k, endPrefix), e.Value)
-					}
-				})
-			case strings.HasPrefix(k, ledgerPrefix):
-				applied = applied || found
-			case strings.HasPrefix(k, archive.ManifestPrefix):
-				// Ends were archived meanwhile: planned anew. What was sent is as
-				// little applied later as after an end.
-				if _, err := n.archive.Refresh(r.ctx, []string{k}); err != nil {
-					again = true
-				}
-			}
+func (c *committer) resolveConflict(failedKeys []string) commitOutcome {
+	for c.leadership.ctx.Err() == nil {
+		switch c.conflictCause(failedKeys) {
+		case conflictApplied:
+			return commitStored
+		case conflictRejected:
+			return commitRejected
+		case conflictTermLost:
+			c.leadership.postStepDown()
+			return commitAbandoned
 		}
-		if !again {
-			r.commitFinished(cm, applied)
-			return
-		}
-		time.Sleep(100 * time.Millisecond)
+		time.Sleep(commitRetry)
 	}
+	return commitAbandoned
 }
 
-// storeEnds makes jobs done, unless they were cancelled before: all in one
-// transaction, or one by one if that fails.
-func (r *leadership) storeEnds(ids []string, done []int) {
-	n := r.controller
-	ctx, cancel := context.WithTimeout(r.ctx, 4*time.Second)
-	defer cancel()
-	conds := []wire.Condition{r.termCondition()}
-	txn := wire.Txn{Conditions: conds}
-	at := n.now()
-	for i, id := range ids {
-		txn.Conditions = append(txn.Conditions, wire.Condition{Key: endKey(id)})
-		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: endKey(id), Value: endRecord{Status: wire.JobDone, At: at, Done: done[i]}})
-	}
-	txn.Conditions = n.withArchiveGuards(txn.Conditions, ids...)
-	_, together := n.store.Txn(ctx, txn)
-	ends := make([]endRecord, len(ids))
-	errs := make([]error, len(ids))
-	failed := false
-	for i, id := range ids {
-		if together == nil {
-			ends[i] = endRecord{Status: wire.JobDone, Done: done[i]}
-			n.rememberFinal(ends[i].answer(id))
-			continue
-		}
-		if errs[i] = together; errors.Is(together, kvstore.ErrConflict) || errors.Is(together, kvstore.ErrUnknown) {
-			ends[i], errs[i] = n.createEnd(ctx, id, wire.JobDone, done[i], conds)
-		}
-		failed = failed || errs[i] != nil
-	}
-	if failed {
-		time.Sleep(150 * time.Millisecond)
-	}
-	n.postToOwner(func() {
-		r.busyEnds = false
-		if n.leadership != r {
-			return
+// conflictCause reads the keys whose conditions failed, as far as they can be read.
+func (c *committer) conflictCause(failedKeys []string) conflictCause {
+	result := conflictRejected
+	for _, key := range failedKeys {
+		entry, found, err := c.leadership.controller.store.Get(c.leadership.ctx, key)
+		if err != nil {
+			return conflictUnreadable
 		}
-		for i, id := range ids {
-			if errs[i] != nil {
-				r.core.RetryEnd(id)
-			} else {
-				r.core.JobEnded(id, ends[i].Status, n.now())
-			}
+		switch cause := c.causeOfKey(key, entry, found); {
+		case cause == conflictTermLost:
+			return cause
+		case cause == conflictUnreadable, cause == conflictApplied && result != conflictUnreadable:
+			result = cause
 		}
-		r.dispatchEffects()
-		n.passPending = true
-	})
-}
-
-// progressTxn stores progress, each chunk on condition that it is as last stored or read: a
-// copy of an earlier transaction that got no answer may be applied after it, and would take
-// back what tasks have been cleared for since. Owner goroutine.
-func (r *leadership) progressTxn(cs []sched.ProgressChunk) wire.Txn {
-	txn := wire.Txn{Conditions: []wire.Condition{r.termCondition()}}
-	for _, c := range cs {
-		key := chunkKey(c.Job, c.Index)
-		txn.Conditions = append(txn.Conditions, wire.Condition{Key: key, Version: r.chunkVersions[key]})
-		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: key, Value: c.Text})
 	}
-	return txn
+	return result
 }
 
-func (r *leadership) storeProgress(cs []sched.ProgressChunk, txn wire.Txn) {
-	n := r.controller
-	a, err := n.store.Txn(r.ctx, txn)
-	changed := map[string]uint64{} // versions that are another than thought
-	if errors.Is(err, kvstore.ErrConflict) {
-		for _, k := range a.FailedKeys {
-			if e, found, err := n.store.Get(r.ctx, k); err == nil && found && k != termKey {
-				changed[k] = e.Version
-			} else if err == nil && k != termKey {
-				changed[k] = 0
-			}
+// causeOfKey says what one key whose condition failed tells of the batch, and brings up to date what
+// this controller knows of it.
+func (c *committer) causeOfKey(key string, entry wire.KeyValue, found bool) conflictCause {
+	l, controller := c.leadership, c.leadership.controller
+	switch {
+	case key == termKey:
+		if !found || entry.Version != l.token {
+			return conflictTermLost
 		}
-	}
-	// What completes meanwhile goes with the next one. Launches wait for every
-	// change stored before them, and a result that is not stored yet is only
-	// reported once more.
-	time.Sleep(time.Second)
-	n.postToOwner(func() {
-		r.busyProgress = false
-		maps.Copy(r.chunkVersions, changed)
-		if n.leadership != r || err != nil {
-			return
+	case key == dynconfig.GenerationKey:
+		// Decided by a configuration that is in force no more: decided anew.
+		controller.config.rejectedBatches.Add(1)
+		if controller.config.refresh(l.ctx) != nil {
+			return conflictUnreadable
 		}
-		for _, c := range cs {
-			r.chunkVersions[chunkKey(c.Job, c.Index)] = a.Revision
-			if _, _, _, known := r.core.Counts(c.Job); !known {
-				r.staleKeys = append(r.staleKeys, chunkKey(c.Job, c.Index)) // forgotten meanwhile
-				continue
-			}
-			r.chunkCounts[c.Job] = max(r.chunkCounts[c.Job], c.Index+1)
-			r.core.ProgressStored(c)
+	case strings.HasPrefix(key, endPrefix) && found:
+		l.post(func() { l.jobEnded(strings.TrimPrefix(key, endPrefix), entry.Value) })
+	case strings.HasPrefix(key, ledgerPrefix) && found:
+		return conflictApplied
+	case strings.HasPrefix(key, archive.ManifestPrefix):
+		// Ends were archived meanwhile: planned anew. What was sent is as
+		// little applied later as after an end.
+		if _, err := controller.archive.Refresh(l.ctx, []string{key}); err != nil {
+			return conflictUnreadable
 		}
-	})
-}
-
-// learnEvery is how often what was observed is stored, in microseconds: one change
-// in twenty seconds.
-const learnEvery = 20_000_000
-
-func (r *leadership) storeStatistics(l sched.Statistics) {
-	n := r.controller
-	_, _ = n.store.Txn(r.ctx, wire.Txn{Conditions: []wire.Condition{r.termCondition()}, Mutations: []wire.Mutation{{Put: learnedKey, Value: l}}})
-	n.postToOwner(func() { r.busyStatistics = false })
-}
-
-func (r *leadership) deleteKeys(keys []string) {
-	n := r.controller
-	err := r.deleteNow(keys)
-	time.Sleep(time.Second)
-	n.postToOwner(func() {
-		r.busyStaleKeys = false
-		if err != nil && !errors.Is(err, kvstore.ErrConflict) {
-			r.staleKeys = append(r.staleKeys, keys...)
-		}
-	})
+	}
+	return conflictRejected
 }
--- a/internal/controller/peerheartbeat.go
+++ b/internal/controller/peerheartbeat.go
@@ -5,108 +5,85 @@
 	"time"
 
 	"dalefront/internal/peer"
-	"dalefront/wire"
 )
 
-// heartbeatPeer exchanges what is known about the term with a peer.
-func (n *Controller) heartbeatPeer(ctx context.Context, label string, p *peer.Client) {
-	for {
-		a, err := p.Heartbeat(ctx, n.newHeartbeat())
-		if err == nil {
-			n.mu.Lock()
-			n.peerSeenAt[label] = time.Now()
-			n.mu.Unlock()
-			n.handlePeerHeartbeat(label, a)
-			n.recordOwnRestarts(a.RecentRestarts)
-			n.acceptRenewalToken(a)
-		}
-		select {
-		case <-ctx.Done():
-			return
-		case <-time.After(time.Second):
+// peerHeartbeatInterval is the pause between two heartbeats to a peer.
+const peerHeartbeatInterval = time.Second
+
+// heartbeatPeer exchanges what is known about the term with a peer, until the context ends.
+func (c *Controller) heartbeatPeer(ctx context.Context, label string, client *peer.Client) {
+	for ctx.Err() == nil {
+		if answer, err := client.Heartbeat(ctx, c.newHeartbeat()); err == nil {
+			c.handleHeartbeatAnswer(label, answer)
 		}
+		sleepContext(ctx, peerHeartbeatInterval)
 	}
 }
 
-// leaderProcess is the process that said hello as leader, and under which token.
-type leaderProcess struct{ token, process uint64 }
+// handleHeartbeatAnswer takes a peer's answer to a heartbeat.
+func (c *Controller) handleHeartbeatAnswer(label string, answer *peer.Heartbeat) {
+	now := time.Now()
+	c.peerTable.recordSeen(label, now)
+	c.handlePeerHeartbeat(label, answer)
+	c.peerTable.recordOwnRestarts(answer.RecentRestarts, now)
+	// At second hand: a controller that was started within an outage has the permission
+	// from those that live on.
+	c.term.allowRenewal(answer.RenewalToken)
+}
 
-// handlePeerHeartbeat takes a hello of a peer, or the answer to one, and is how often that peer was
-// started anew lately.
-func (n *Controller) handlePeerHeartbeat(label string, h *peer.Heartbeat) int {
-	n.recordTermOf(h)
-	n.config.recordPeerConfig(label, h)
-	n.follower.leaderIsAlive(label, h.ProcessID)
-	return n.recordPeerProcess(label, h.ProcessID, time.Now())
+// handlePeerHeartbeat takes a heartbeat of a peer, or the answer to one, and returns how often that
+// peer was restarted lately.
+func (c *Controller) handlePeerHeartbeat(label string, heartbeat *peer.Heartbeat) int {
+	c.recordTermOf(heartbeat)
+	c.config.recordPeer(label, heartbeat)
+	c.leaderWatch.recordAlive(label, heartbeat.ProcessID)
+	return c.recordPeerProcess(label, heartbeat.ProcessID, time.Now())
 }
 
-// recordTermOf takes what a peer's hello says of the term and of others.
-func (n *Controller) recordTermOf(h *peer.Heartbeat) {
-	if h.Token == 0 {
+// recordTermOf takes what a peer's heartbeat says of the term and of others.
+func (c *Controller) recordTermOf(heartbeat *peer.Heartbeat) {
+	if heartbeat.Token == 0 {
 		return
 	}
-	n.observeTerm(h.Leader, h.Token)
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.acceptStandbyView(h)
-	if h.CannotFollow && n.peers[h.From] != nil {
-		n.peerUnfitAt[h.From] = time.Now()
-	}
-	if h.From == h.Leader {
-		n.renewalToken = max(n.renewalToken, h.Token)
+	c.observeTerm(heartbeat.Leader, heartbeat.Token)
+	if heartbeat.From == heartbeat.Leader {
+		c.term.allowRenewal(heartbeat.Token)
+		if heartbeat.Leading {
+			c.term.recordLeaderProcess(termProcess{heartbeat.Token, heartbeat.ProcessID})
+		}
 	}
-	if h.Leading && h.From == h.Leader && h.Token >= n.leaderProcess.token {
-		n.leaderProcess = leaderProcess{h.Token, h.ProcessID}
+	c.acceptStandbyView(heartbeat)
+	if heartbeat.CannotFollow && c.peers[heartbeat.From] != nil {
+		c.peerTable.recordUnfit(heartbeat.From, time.Now())
 	}
 }
 
-// acceptRenewalToken takes a grant at second hand: a node that was started within an outage has it
-// from those that live on.
-func (n *Controller) acceptRenewalToken(h *peer.Heartbeat) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.renewalToken = max(n.renewalToken, h.RenewalToken)
-}
-
-// mayRenewLease says whether this node may renew the worker's lease by itself: under the
-// leader's grant, which is its token in a hello, while neither the leader nor the state
-// service is in reach. It carries no commands, and nothing is ever freed because time has
-// passed, so a grant that outlives its leader starts nothing twice, and nobody was told of a
-// cancellation whose tasks it keeps alive.
-func (n *Controller) mayRenewLease(r *wire.Heartbeat) (uint64, bool) {
-	if n.store.Reachable(3 * time.Second) {
-		return 0, false // then another leader can be found
+// newHeartbeat says what this controller knows.
+func (c *Controller) newHeartbeat() *peer.Heartbeat {
+	term := c.term.view()
+	heartbeat := &peer.Heartbeat{
+		From: c.settings.Label, ProcessID: c.processID,
+		Leader: term.leader, Token: term.token, Leading: term.isLeading() && term.leading == term.token,
+		CannotFollow:   c.follower.unfit(),
+		SupportsConfig: true, Generation: c.config.current().generation,
+		RenewalToken: c.term.renewalToken(),
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.renewalToken, n.renewalToken > 0 && n.renewalToken == n.token && r.FencingToken <= n.renewalToken
-}
-
-func (n *Controller) newHeartbeat() *peer.Heartbeat {
-	leader, token, leading := n.termView()
-	h := &peer.Heartbeat{From: n.settings.Label, Leader: leader, Token: token, ProcessID: n.processID, Leading: leading != 0 && leading == token}
-	h.CannotFollow = n.follower.unfit()
-	h.SupportsConfig, h.Generation = true, n.config.current().number
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.standbyView.Token > 0 {
-		v := n.standbyView
-		h.StandbyView = &v
+	if view := c.peerTable.standbyView(); view.Token > 0 {
+		heartbeat.StandbyView = &view
 	}
-	h.RenewalToken = n.renewalToken
-	return h
+	return heartbeat
 }
 
 // PeerHeartbeat implements peer.Server.
-func (n *Controller) PeerHeartbeat(ctx context.Context, h *peer.Heartbeat) (*peer.Heartbeat, error) {
-	ends := n.handlePeerHeartbeat(h.From, h)
-	a := n.newHeartbeat()
-	a.RecentRestarts = ends
-	if h.Probe != "" {
-		a.Probe, a.Reached = h.Probe, n.reachesProcess(ctx, h.Probe, h.ProbeProcessID)
+func (c *Controller) PeerHeartbeat(ctx context.Context, heartbeat *peer.Heartbeat) (*peer.Heartbeat, error) {
+	restarts := c.handlePeerHeartbeat(heartbeat.From, heartbeat)
+	answer := c.newHeartbeat()
+	answer.RecentRestarts = restarts
+	if heartbeat.Probe != "" {
+		answer.Probe, answer.Reached = heartbeat.Probe, c.reachesProcess(ctx, heartbeat.Probe, heartbeat.ProbeProcessID)
 	}
-	if h.WantContacts {
-		a.Contacts = n.workerContacts()
+	if heartbeat.WantContacts {
+		answer.Contacts = c.workerContacts.recent()
 	}
-	return a, nil
+	return answer, nil
 }
