--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -78,8 +78,6 @@
 	// archiveIdleParts: an idle archiver looks again after this part of the age at which ends are
 	// archived.
 	archiveIdleParts = 4
-	// storeReachableWithin is how recent the store's last answer must be for the archiver to go on.
-	storeReachableWithin = 3 * time.Second
 )
 
 // archiver moves old ends into the archive while this controller leads, within a share of what the
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -6,7 +6,6 @@
 
 	"dalefront/internal/config"
 	"dalefront/internal/kvstore"
-	"dalefront/internal/recurring"
 	"dalefront/internal/sched"
 	"dalefront/wire"
 )
@@ -42,8 +41,7 @@
 	cancelledRecords cancelledRecordDeleter
 	statistics       statisticsWriter
 	fleet            fleetScaler
-	recurring        *recurring.Engine // nil without a calendar
-	recurringRuns    backgroundTask
+	schedules        scheduleRunner
 	statusLoggedAt   config.Micros
 }
 
@@ -64,6 +62,7 @@
 	l.cancelledRecords.leadership = l
 	l.statistics.leadership = l
 	l.fleet.leadership = l
+	l.schedules.leadership = l
 	return l
 }
 
@@ -219,7 +218,7 @@
 	if reachable {
 		l.progress.start()
 		l.staleKeys.start()
-		l.submitRecurring()
+		l.schedules.start()
 		l.statistics.start(now)
 	}
 	blind := l.core.Blind(now)
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"time"
 
 	"dalefront/wire"
 )
@@ -60,6 +61,9 @@
 // have: the key-value store's limit.
 const conditionsPerOperation = 4
 
+// storeReachableWithin is how recent the store's last answer must be for it to count as reachable.
+const storeReachableWithin = 3 * time.Second
+
 // queuedStatus is the status of a job of which nothing runs as far as known.
 func queuedStatus(id string) wire.JobStatus {
 	return wire.JobStatus{ID: id, Status: wire.JobQueued}
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -181,7 +181,7 @@
 		}
 		core.JobEnded(e.id, e.Status, c.now())
 	}
-	return core, l.loadSchedules(s.schedule)
+	return core, l.schedules.load(s.schedule)
 }
 
 // endReaders is how many ends are read at a time at a takeover.
--- a/internal/controller/recurring.go
+++ b/internal/controller/recurring.go
@@ -13,172 +13,225 @@
 	"dalefront/wire"
 )
 
-// loadSchedules makes the engine of a term from the calendar and what is stored.
-func (l *leadership) loadSchedules(entries []wire.KeyValue) error {
-	c := l.controller
+const (
+	// maxDecisions is how many schedules are decided in one transaction at most, and
+	// operationsPerDecision how many of its changes each may take.
+	maxDecisions          = 8
+	operationsPerDecision = 4
+	// scheduleParts: runs of schedules take one in so many of the changes that the store takes, since
+	// launches need the others.
+	scheduleParts = 8
+	// decisionDelay is when a schedule is decided again whose decision could not be stored, in
+	// microseconds.
+	decisionDelay = int64(time.Second / time.Microsecond)
+	// scheduleReadPause is the pause before the state of a schedule is read again.
+	scheduleReadPause = 500 * time.Millisecond
+)
+
+// errTxnTooLarge means that decisions don't fit into one transaction.
+var errTxnTooLarge = errors.New("too much for one transaction")
+
+// scheduleRunner submits the jobs of recurring schedules while this controller leads. Its fields are
+// owned by the owner goroutine.
+type scheduleRunner struct {
+	leadership *leadership
+	engine     *recurring.Engine // nil without a calendar
+	task       backgroundTask
+}
+
+// load makes the engine of a term from the calendar and the stored states.
+func (s *scheduleRunner) load(entries []wire.KeyValue) error {
+	c := s.leadership.controller
 	if c.calendar == nil {
 		return nil
 	}
 	states, versions := map[string]recurring.State{}, map[string]uint64{}
-	for _, e := range entries {
-		name := strings.TrimPrefix(e.Key, schedulePrefix)
-		var st recurring.State
-		if err := wire.Unmarshal(e.Value, &st); err != nil {
+	for _, entry := range entries {
+		name := strings.TrimPrefix(entry.Key, schedulePrefix)
+		var state recurring.State
+		if err := wire.Unmarshal(entry.Value, &state); err != nil {
 			return fmt.Errorf("schedule %s: %w", name, err)
 		}
-		states[name], versions[name] = st, e.Version
+		states[name], versions[name] = state, entry.Version
 	}
-	l.recurring = recurring.New(c.calendar, states, versions)
-	known, gone := l.recurring.Len()
+	s.engine = recurring.New(c.calendar, states, versions)
+	known, gone := s.engine.Len()
 	c.log.Info("schedules", "known", known, "removed", gone)
 	return nil
 }
 
-// jobs answers the engine from the core. Owner goroutine.
-type jobs struct{ r *leadership }
-
-func (j jobs) Running(id string) bool { return j.r.core.IsActive(id) }
-
-func (j jobs) Admit(job *wire.Job) error {
-	cat, ok := j.r.controller.machineTypes()
-	if !ok {
-		return nil // it waits as any job does
-	}
-	return sched.Admit(j.r.controller.settings, cat, job)
-}
-
-// submitRecurring decides what is due and has it stored, one batch at a time: as many
-// schedules as a transaction takes, two changes for each that runs. Owner goroutine.
-func (l *leadership) submitRecurring() {
-	if l.recurring == nil || l.recurringRuns.running {
+// start decides what is due and has it stored, one batch at a time. Owner goroutine.
+func (s *scheduleRunner) start() {
+	if s.engine == nil || s.task.running {
 		return
 	}
-	most := max(1, min(l.controller.settings.Deployment.State.TxnOps/4, 8))
-	if ds := l.recurring.Due(time.Now().UnixMicro(), most, jobs{l}); len(ds) > 0 {
-		l.startTask(&l.recurringRuns, func() func() {
-			l.storeRuns(ds)
-			return nil
-		})
+	limit := max(1, min(s.leadership.controller.settings.Deployment.State.TxnOps/operationsPerDecision, maxDecisions))
+	decisions := s.engine.Due(time.Now().UnixMicro(), limit, coreJobs{s.leadership})
+	if len(decisions) == 0 {
+		return
 	}
+	s.leadership.startTask(&s.task, func() func() {
+		s.store(decisions)
+		return nil
+	})
 }
 
-// storeRuns stores decisions together or, if that is refused, one by one. What the
-// service takes is shared with launches: a batch waits until its changes are no more
-// than an eighth of it.
-func (l *leadership) storeRuns(ds []recurring.Decision) {
-	c := l.controller
-	changes := 0
-	for _, d := range ds {
-		changes += 1 + len(d.Jobs)
-	}
-	if _, version, err := l.storeDecisions(ds); err == nil {
-		c.owner.post(func() { l.runsStored(ds, version) })
+// store stores decisions together or, if that fails, one by one, and waits for as long as their
+// changes take of the share of schedules.
+func (s *scheduleRunner) store(decisions []recurring.Decision) {
+	l := s.leadership
+	if _, version, err := s.storeTogether(decisions); err == nil {
+		l.post(func() { s.finish(decisions, version) })
 	} else {
-		for _, d := range ds {
-			l.storeOne(d)
+		for _, decision := range decisions {
+			s.storeOne(decision)
 		}
 	}
-	select {
-	case <-l.ctx.Done():
-	case <-time.After(time.Duration(float64(changes) * 8 / max(c.settings.Deployment.State.WriteRPS, 1) * float64(time.Second))):
+	changes := 0
+	for _, decision := range decisions {
+		changes += 1 + len(decision.Jobs)
 	}
+	writeRPS := max(l.controller.settings.Deployment.State.WriteRPS, 1)
+	sleepContext(l.ctx, seconds(float64(changes*scheduleParts)/writeRPS))
 }
 
-// storeDecisions runs one transaction: each schedule's state is what the decision
-// rests on, no job of the ids exists or ever did, and the term is this node's.
-func (l *leadership) storeDecisions(ds []recurring.Decision) (failed []string, version uint64, err error) {
-	c := l.controller
+// storeTogether stores decisions in one transaction, and returns its version. If that is refused it
+// returns the keys whose conditions failed.
+func (s *scheduleRunner) storeTogether(decisions []recurring.Decision) (failedKeys []string, version uint64, err error) {
+	l := s.leadership
 	txn := wire.Txn{Conditions: []wire.Condition{l.termCondition()}}
-	for _, d := range ds {
-		key := scheduleKey(d.Name)
-		txn.Conditions = append(txn.Conditions, wire.Condition{Key: key, Version: d.Version})
-		if d.State == nil {
-			txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: key})
-			continue
-		}
-		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: key, Value: d.State})
-		for _, j := range d.Jobs {
-			a, err := c.archive.Look(l.ctx, j.ID)
-			if err != nil {
-				return nil, 0, err
-			}
-			if a.Found { // by a job of long ago
-				return []string{endKey(j.ID)}, 0, kvstore.ErrConflict
-			}
-			txn.Conditions = c.withArchiveGuards(append(txn.Conditions, wire.Condition{Key: jobKey(j.ID)}, wire.Condition{Key: endKey(j.ID)}), j.ID)
-			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: jobKey(j.ID), Value: jobRecord{Job: j, SubmittedAt: c.now()}})
+	for i := range decisions {
+		archivedKey, err := s.addDecision(&txn, &decisions[i])
+		if err != nil {
+			return nil, 0, err
 		}
-		if d.Cancel != "" {
-			txn.Conditions = c.withArchiveGuards(append(txn.Conditions, wire.Condition{Key: endKey(d.Cancel)}), d.Cancel)
-			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: endKey(d.Cancel), Value: endRecord{Status: wire.JobCancelled, EndedAt: c.now()}})
+		if archivedKey != "" {
+			return []string{archivedKey}, 0, kvstore.ErrConflict
 		}
 	}
-	if len(txn.Mutations) > c.settings.Deployment.State.TxnOps || len(txn.Conditions) > 4*c.settings.Deployment.State.TxnOps {
-		return nil, 0, errors.New("too much for one transaction")
+	operations := l.controller.settings.Deployment.State.TxnOps
+	if len(txn.Mutations) > operations || len(txn.Conditions) > conditionsPerOperation*operations {
+		return nil, 0, errTxnTooLarge
 	}
-	a, err := c.store.Txn(l.ctx, txn)
-	return a.FailedKeys, a.Revision, err
+	response, err := l.controller.store.Txn(l.ctx, txn)
+	return response.FailedKeys, response.Revision, err
 }
 
-// runsStored tells the engine and the core. Owner goroutine.
-func (l *leadership) runsStored(ds []recurring.Decision, version uint64) {
-	c := l.controller
-	if c.owner.leadership != l {
-		return
+// addDecision adds a decision to a transaction: on condition that the schedule's state is the one
+// that was decided upon, and that no job of the ids exists or ever did. If the archive has one of
+// them it returns the key of its end.
+func (s *scheduleRunner) addDecision(txn *wire.Txn, decision *recurring.Decision) (archivedKey string, err error) {
+	c := s.leadership.controller
+	key := scheduleKey(decision.Name)
+	txn.Conditions = append(txn.Conditions, wire.Condition{Key: key, Version: decision.Version})
+	if decision.State == nil {
+		txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: key})
+		return "", nil
 	}
-	for _, d := range ds {
-		l.recurring.Stored(d, version)
-		for _, j := range d.Jobs {
-			c.statuses.addAccepted(j.ID)
-			l.core.AddJob(j, c.now(), c.now())
-			c.log.Info("scheduled run", "schedule", d.Name, "job", j.ID)
-			c.owner.requestPass()
+	txn.Mutations = append(txn.Mutations, wire.Mutation{Put: key, Value: decision.State})
+	for _, job := range decision.Jobs {
+		answer, err := c.archive.Look(s.leadership.ctx, job.ID)
+		if err != nil {
+			return "", err
 		}
-		if d.State != nil && len(d.State.Runs) > 0 {
-			if last := d.State.Runs[len(d.State.Runs)-1]; last.Status != wire.RunSubmitted {
-				c.log.Info("schedule", "schedule", d.Name, "status", last.Status, "reason", last.Reason,
-					"at", time.UnixMicro(last.At).UTC().Format(time.RFC3339))
-			}
+		if answer.Found {
+			return endKey(job.ID), nil
 		}
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: jobKey(job.ID)}, wire.Condition{Key: endKey(job.ID)})
+		txn.Conditions = c.withArchiveGuards(txn.Conditions, job.ID)
+		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: jobKey(job.ID), Value: jobRecord{Job: job, SubmittedAt: c.now()}})
 	}
+	if id := decision.Cancel; id != "" {
+		txn.Conditions = c.withArchiveGuards(append(txn.Conditions, wire.Condition{Key: endKey(id)}), id)
+		txn.Mutations = append(txn.Mutations, wire.Mutation{Put: endKey(id), Value: endRecord{Status: wire.JobCancelled, EndedAt: c.now()}})
+	}
+	return "", nil
 }
 
-// storeOne stores a decision, or finds out why it is not stored. Without an answer it
-// may be applied even later, but only as long as the schedule's state is the same: so
-// what is read back is decided upon anew, and one of the two is refused.
-func (l *leadership) storeOne(d recurring.Decision) {
+// finish has the engine and the core know of stored decisions. Owner goroutine.
+func (s *scheduleRunner) finish(decisions []recurring.Decision, version uint64) {
+	l := s.leadership
 	c := l.controller
-	failed, version, err := l.storeDecisions([]recurring.Decision{d})
-	if err == nil {
-		c.owner.post(func() { l.runsStored([]recurring.Decision{d}, version) })
+	for _, decision := range decisions {
+		s.engine.Stored(decision, version)
+		for _, job := range decision.Jobs {
+			c.statuses.addAccepted(job.ID)
+			l.core.AddJob(job, c.now(), c.now())
+			c.log.Info("scheduled run", "schedule", decision.Name, "job", job.ID)
+			c.owner.requestPass()
+		}
+		s.logLastRun(&decision)
+	}
+}
+
+// logLastRun logs a run that was not submitted.
+func (s *scheduleRunner) logLastRun(decision *recurring.Decision) {
+	if decision.State == nil || len(decision.State.Runs) == 0 {
 		return
 	}
-	_, _ = c.archive.Refresh(l.ctx, failed) // if that fails, the next try does
-	taken := false                          // by a job that is not of this schedule
-	for _, j := range d.Jobs {
-		taken = taken || slices.Contains(failed, jobKey(j.ID)) || slices.Contains(failed, endKey(j.ID))
+	last := decision.State.Runs[len(decision.State.Runs)-1]
+	if last.Status == wire.RunSubmitted {
+		return
 	}
-	taken = taken && !slices.Contains(failed, scheduleKey(d.Name))
+	at := time.UnixMicro(last.At).UTC().Format(time.RFC3339)
+	s.leadership.controller.log.Info("schedule", "schedule", decision.Name, "status", last.Status, "reason", last.Reason, "at", at)
+}
+
+// storeOne stores a decision, or finds out why it is not stored. Without an answer it may be applied
+// even later, but only as long as the schedule's state is the same: so what is read back is decided
+// upon anew, and one of the two is refused.
+func (s *scheduleRunner) storeOne(decision recurring.Decision) {
+	l := s.leadership
+	failedKeys, version, err := s.storeTogether([]recurring.Decision{decision})
+	if err == nil {
+		l.post(func() { s.finish([]recurring.Decision{decision}, version) })
+		return
+	}
+	_, _ = l.controller.archive.Refresh(l.ctx, failedKeys) // if that fails, the next try does
+	taken := idTaken(&decision, failedKeys)
 	for l.ctx.Err() == nil {
-		e, found, err := c.store.Get(l.ctx, scheduleKey(d.Name))
-		var st recurring.State
-		if err == nil && found {
-			err = wire.Unmarshal(e.Value, &st)
-		}
-		if err == nil {
-			if !found {
-				e.Version = 0
-			}
-			c.owner.post(func() {
-				if c.owner.leadership == l {
-					l.recurring.Again(d, st, e.Version, taken, time.Now().UnixMicro()+1_000_000)
-				}
-			})
-			return
-		}
-		select {
-		case <-l.ctx.Done():
-		case <-time.After(500 * time.Millisecond):
+		state, version, err := s.read(decision.Name)
+		if err != nil {
+			sleepContext(l.ctx, scheduleReadPause)
+			continue
 		}
+		l.post(func() { s.engine.Again(decision, state, version, taken, time.Now().UnixMicro()+decisionDelay) })
+		return
+	}
+}
+
+// idTaken says whether a decision failed since the id of one of its jobs is that of another job.
+func idTaken(decision *recurring.Decision, failedKeys []string) bool {
+	if slices.Contains(failedKeys, scheduleKey(decision.Name)) {
+		return false // the job is perhaps of the decision that was stored in its place
+	}
+	return slices.ContainsFunc(decision.Jobs, func(job wire.Job) bool {
+		return slices.Contains(failedKeys, jobKey(job.ID)) || slices.Contains(failedKeys, endKey(job.ID))
+	})
+}
+
+// read reads the state of a schedule and its version, 0 if there is none.
+func (s *scheduleRunner) read(name string) (state recurring.State, version uint64, err error) {
+	entry, found, err := s.leadership.controller.store.Get(s.leadership.ctx, scheduleKey(name))
+	if err != nil || !found {
+		return state, 0, err
+	}
+	err = wire.Unmarshal(entry.Value, &state)
+	return state, entry.Version, err
+}
+
+// coreJobs implements recurring.Jobs. Owner goroutine.
+type coreJobs struct{ leadership *leadership }
+
+// Running implements recurring.Jobs.
+func (j coreJobs) Running(id string) bool { return j.leadership.core.IsActive(id) }
+
+// Admit implements recurring.Jobs. While the machine types are not known a job waits as any does.
+func (j coreJobs) Admit(job *wire.Job) error {
+	c := j.leadership.controller
+	catalog, known := c.machineTypes()
+	if !known {
+		return nil
 	}
+	return sched.Admit(c.settings, catalog, job)
 }
--- a/internal/controller/schedules.go
+++ b/internal/controller/schedules.go
@@ -7,116 +7,137 @@
 	"time"
 
 	"dalefront/internal/api"
+	"dalefront/internal/calendar"
 	"dalefront/internal/kvstore"
 	"dalefront/internal/recurring"
 	"dalefront/wire"
 )
 
-// schedulesPage is how many schedules one answer names, without their runs: some
-// 200 bytes each, well below the limit of an answer.
-const schedulesPage = 200
-
-// maxNextLooks is how many occurrences are looked at for the next one that isn't skipped.
-const maxNextLooks = 400
-
-// show makes what users see of a schedule.
-func (c *Controller) showSchedule(name string, st *recurring.State, runs bool) wire.Schedule {
-	out := wire.Schedule{Name: name, Revision: st.Revision, Paused: st.Paused, Gone: st.Gone > 0, Ran: st.Ran, Missed: st.Missed, Skipped: st.Skipped}
-	if runs {
-		out.Runs = st.Runs
-	}
-	if s := c.calendar.Find(name); s != nil {
-		out.Zone = s.Location.String()
-		after := time.UnixMicro(st.Upto)
-		if st.Upto == 0 {
-			after = time.Now()
-		}
-		for range maxNextLooks { // beyond holidays and weekends
-			o, ok := s.Next(after)
-			if !ok {
-				break
-			}
-			if after = o.At; o.Skip == "" {
-				out.Next = o.At.Add(s.Delay()).UnixMicro()
-				break
-			}
-		}
-	}
-	return out
-}
+const (
+	// schedulesPage is how many schedules one answer names, without their runs: some 200 bytes each,
+	// well below the limit of an answer.
+	schedulesPage = 200
+	// maxNextLooks is how many occurrences are looked at for the next one that isn't skipped.
+	maxNextLooks = 400
+	// maxScheduleName is how long a schedule's name may be, in bytes.
+	maxScheduleName = 64
+	// pauseTries is how often a pause is tried while the leader changes the schedule.
+	pauseTries = 5
+)
 
-// Schedules implements api.ScheduleService: the stored ones, by name, after the one given.
+// Schedules implements api.ScheduleService.
 func (c *Controller) Schedules(ctx context.Context, after string) (wire.Schedules, error) {
-	out := wire.Schedules{Schedules: []wire.Schedule{}}
+	list := wire.Schedules{Schedules: []wire.Schedule{}}
 	if c.calendar == nil {
-		return out, api.ErrNotFound
+		return list, api.ErrNotFound
 	}
 	if after != "" {
 		after = scheduleKey(after)
 	}
 	page, err := c.store.Page(ctx, schedulePrefix, after, schedulesPage)
 	if err != nil {
-		return out, api.ErrUnavailable
+		return list, api.ErrUnavailable
 	}
-	for _, e := range page.Items {
-		var st recurring.State
-		if wire.Unmarshal(e.Value, &st) == nil {
-			out.Schedules = append(out.Schedules, c.showSchedule(strings.TrimPrefix(e.Key, schedulePrefix), &st, false))
+	for _, entry := range page.Items {
+		var state recurring.State
+		if wire.Unmarshal(entry.Value, &state) == nil {
+			list.Schedules = append(list.Schedules, c.describeSchedule(strings.TrimPrefix(entry.Key, schedulePrefix), &state))
 		}
 	}
-	out.More = page.More
-	return out, nil
-}
-
-// schedule reads the state of one.
-func (c *Controller) schedule(ctx context.Context, name string) (st recurring.State, version uint64, err error) {
-	if c.calendar == nil || name == "" || len(name) > 64 || strings.ContainsAny(name, "/ ") {
-		return st, 0, api.ErrNotFound
-	}
-	e, found, err := c.store.Get(ctx, scheduleKey(name))
-	switch {
-	case err != nil:
-		return st, 0, api.ErrUnavailable
-	case found:
-		return st, e.Version, wire.Unmarshal(e.Value, &st)
-	case c.calendar.Find(name) != nil:
-		return st, 0, api.ErrUnavailable // the leader has yet to take it up
-	}
-	return st, 0, api.ErrNotFound
+	list.More = page.More
+	return list, nil
 }
 
 // Schedule implements api.ScheduleService.
 func (c *Controller) Schedule(ctx context.Context, name string) (wire.Schedule, error) {
-	st, _, err := c.schedule(ctx, name)
+	state, _, err := c.readSchedule(ctx, name)
 	if err != nil {
 		return wire.Schedule{}, err
 	}
-	return c.showSchedule(name, &st, true), nil
+	return c.describeScheduleWithRuns(name, &state), nil
 }
 
-// PauseSchedule implements api.ScheduleService. Any node may: the change is conditional on
-// what was read, and the leader's next decision, conditional on what it knows, is
-// refused and made anew.
+// PauseSchedule implements api.ScheduleService. Any controller may pause: the change is conditional
+// on what was read, and the leader's next decision, conditional on what it knows, is refused and made
+// anew.
 func (c *Controller) PauseSchedule(ctx context.Context, name string, paused bool) (wire.Schedule, error) {
-	for range 5 {
-		st, version, err := c.schedule(ctx, name)
+	for range pauseTries {
+		state, version, err := c.readSchedule(ctx, name)
 		if err != nil {
 			return wire.Schedule{}, err
 		}
-		if st.Paused != paused {
-			st.Paused = paused
-			_, err = c.store.Txn(ctx, wire.Txn{
-				Conditions: []wire.Condition{{Key: scheduleKey(name), Version: version}},
-				Mutations:  []wire.Mutation{{Put: scheduleKey(name), Value: st}},
-			})
-			if errors.Is(err, kvstore.ErrConflict) || errors.Is(err, kvstore.ErrOutcomeUnknown) {
-				continue // read it back
-			}
-			if err != nil {
-				return wire.Schedule{}, api.ErrUnavailable
-			}
+		if state.Paused == paused {
+			return c.describeScheduleWithRuns(name, &state), nil
+		}
+		state.Paused = paused
+		_, err = c.store.Txn(ctx, wire.Txn{
+			Conditions: []wire.Condition{{Key: scheduleKey(name), Version: version}},
+			Mutations:  []wire.Mutation{{Put: scheduleKey(name), Value: state}},
+		})
+		switch {
+		case err == nil:
+			return c.describeScheduleWithRuns(name, &state), nil
+		case errors.Is(err, kvstore.ErrConflict), errors.Is(err, kvstore.ErrOutcomeUnknown):
+			continue // read it back
 		}
-		return c.showSchedule(name, &st, true), nil
+		return wire.Schedule{}, api.ErrUnavailable
 	}
 	return wire.Schedule{}, api.ErrUnavailable
 }
+
+// readSchedule reads the state of a schedule and its version.
+func (c *Controller) readSchedule(ctx context.Context, name string) (state recurring.State, version uint64, err error) {
+	if c.calendar == nil || name == "" || len(name) > maxScheduleName || strings.ContainsAny(name, "/ ") {
+		return state, 0, api.ErrNotFound
+	}
+	entry, found, err := c.store.Get(ctx, scheduleKey(name))
+	switch {
+	case err != nil:
+		return state, 0, api.ErrUnavailable
+	case found:
+		return state, entry.Version, wire.Unmarshal(entry.Value, &state)
+	case c.calendar.Find(name) != nil:
+		return state, 0, api.ErrUnavailable // the leader has yet to store it
+	}
+	return state, 0, api.ErrNotFound
+}
+
+// describeScheduleWithRuns is what users see of one schedule.
+func (c *Controller) describeScheduleWithRuns(name string, state *recurring.State) wire.Schedule {
+	schedule := c.describeSchedule(name, state)
+	schedule.Runs = state.Runs
+	return schedule
+}
+
+// describeSchedule is what users see of a schedule in a list.
+func (c *Controller) describeSchedule(name string, state *recurring.State) wire.Schedule {
+	schedule := wire.Schedule{
+		Name: name, Revision: state.Revision, Paused: state.Paused, Gone: state.Gone > 0,
+		Ran: state.Ran, Missed: state.Missed, Skipped: state.Skipped,
+	}
+	if defined := c.calendar.Find(name); defined != nil {
+		schedule.Zone = defined.Location.String()
+		schedule.Next = nextRun(defined, state)
+	}
+	return schedule
+}
+
+// nextRun is when a schedule runs next, beyond holidays and weekends: microseconds, time of day, or 0
+// if that is too far off to be found.
+func nextRun(schedule *calendar.Schedule, state *recurring.State) int64 {
+	after := time.UnixMicro(state.Upto)
+	if state.Upto == 0 {
+		after = time.Now()
+	}
+	for range maxNextLooks {
+		occurrence, ok := schedule.Next(after)
+		if !ok {
+			return 0
+		}
+		if occurrence.Skip == "" {
+			return occurrence.At.Add(schedule.Delay()).UnixMicro()
+		}
+		after = occurrence.At
+	}
+	return 0
+}
