--- a/internal/emulator/golden_test.go
+++ b/internal/emulator/golden_test.go
@@ -19,3 +19,9 @@
 	golden.Text(t, "buckets.golden", fmt.Sprintf("format %d: %s %s %s %s; %s %s %s %s\n", keepFormat,
 		bucketSite, bucketKeys, bucketHolds, bucketJobs, fieldFormat, fieldRevision, fieldLease, fieldRented))
 }
+
+// What a site's own commands say to it, and the faults that they name.
+func TestCommandsStayAsTheyAre(t *testing.T) {
+	golden.Messages(t, "commands.golden", []golden.Message{{Name: "summary", Zero: Summarized{}}})
+	golden.Text(t, "words.golden", fmt.Sprintf("%s %s\n%s\n%s\n", PathFault, PathSummary, strings.Join(Faults, " "), strings.Join(MachineFaults, " ")))
+}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -12,15 +12,19 @@
 	"cmp"
 	"encoding/hex"
 	"encoding/json"
+	"errors"
 	"flag"
 	"fmt"
 	"hash/fnv"
+	"io"
 	"maps"
+	"net/http"
 	"os"
 	"path/filepath"
 	"reflect"
 	"slices"
 	"strings"
+	"sync"
 	"testing"
 
 	"github.com/vmihailenco/msgpack/v5"
@@ -352,3 +356,43 @@
 	}
 	return t.Kind().String()
 }
+
+// Recorder is an HTTP server that keeps what it is asked, one line a request: method, path,
+// content type and the body in the protocol's text form.
+type Recorder struct {
+	// Answer returns the status and the body of the answer to a request.
+	Answer func(r *http.Request) (code int, body any)
+
+	mu    sync.Mutex
+	lines []string
+}
+
+// ServeHTTP implements http.Handler.
+func (r *Recorder) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	body, err := io.ReadAll(req.Body)
+	var loose any
+	if err == nil && len(body) > 0 {
+		err = wire.Unmarshal(body, &loose)
+	}
+	text, jsonErr := json.Marshal(loose)
+	if err = errors.Join(err, jsonErr); err != nil {
+		text = []byte(err.Error())
+	}
+	r.mu.Lock()
+	r.lines = append(r.lines, fmt.Sprintf("%s %s %s %s", req.Method, req.URL.RequestURI(), cmp.Or(req.Header.Get("Content-Type"), "-"), text))
+	r.mu.Unlock()
+	code, answer := r.Answer(req)
+	packed, err := wire.Marshal(answer)
+	if err != nil {
+		code = http.StatusInternalServerError
+	}
+	w.WriteHeader(code)
+	_, _ = w.Write(packed) // who asked sees a failure
+}
+
+// Lines are the requests so far.
+func (r *Recorder) Lines() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.lines)
+}
