--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -70,7 +70,7 @@
 	workerContacts *workerContacts
 	follower       *follower
 	leaderWatch    *leaderWatch
-	config         *configuration
+	config         *configFollower
 	catalog        machineCatalog
 	gauges         atomic.Pointer[gauges] // of the core, nil on controllers that don't lead
 	statuses       *statusCache
@@ -130,7 +130,7 @@
 	c.lookups = newLookupBatcher(set, c.store, c.archive, c.statuses, c.taskCounts)
 	c.follower = &follower{controller: c}
 	c.leaderWatch = newLeaderWatch(c)
-	c.config = newConfiguration(c)
+	c.config = newConfigFollower(c)
 	if err := c.readFiles(); err != nil {
 		return nil, err
 	}
@@ -214,7 +214,7 @@
 		election.run,
 		election.probeStore,
 		c.follower.run,
-		c.config.follow,
+		c.config.run,
 		c.leaderWatch.run,
 		c.warmArchive,
 		c.lookups.run,
