--- a/internal/sched/gangclaim.go
+++ b/internal/sched/gangclaim.go
@@ -105,7 +105,7 @@
 			}
 			if n := cs.claimableSlots(j, cleared, tasksByZone, i); n > 0 && j.gangZone(m) == in && hasRoom(j, m, 1) == empty {
 				missing -= n
-				m.claimedByRank = j.rank
+				cs.pass.claims[m] = j.rank
 			}
 		}
 	}
@@ -130,13 +130,13 @@
 // claimableByAny says whether the machine has room for any gang of the kind.
 func (cs *gangClaims) claimableByAny(cleared *clearedSlots, machine int) bool {
 	m := cs.pass.schedulable[machine]
-	return cleared.slots[machine] > 0 && m.claimedByRank == 0 && (m.reservedFor == nil || m.reservedFor.rank < cleared.rank)
+	return cleared.slots[machine] > 0 && cs.pass.claims[m] == 0 && (m.reservedFor == nil || m.reservedFor.rank < cleared.rank)
 }
 
 // claimableSlots is how many tasks of the gang the machine has room for once it is cleared.
 func (cs *gangClaims) claimableSlots(j *job, cleared *clearedSlots, tasksByZone map[string]int, machine int) int {
 	m := cs.pass.schedulable[machine]
-	reservedForIt := cleared.slots[machine] > 0 && m.claimedByRank == 0 && m.reservedFor == j
+	reservedForIt := cleared.slots[machine] > 0 && cs.pass.claims[m] == 0 && m.reservedFor == j
 	if (reservedForIt || cs.claimableByAny(cleared, machine)) && satisfiesZones(j, tasksByZone, m.zone) {
 		return cleared.slots[machine]
 	}
--- a/internal/sched/gangplan.go
+++ b/internal/sched/gangplan.go
@@ -278,8 +278,9 @@
 // recordChange notes that what the machine of a placement offers has changed.
 func (gp *gangPlan) recordChange(p *placement, dearer bool) {
 	machines := gp.pass.schedulable
-	if i := p.machine.passIndex; i < len(machines) && machines[i] == p.machine {
-		gp.changes = append(gp.changes, offerChange{i, dearer})
+	at, found := slices.BinarySearchFunc(machines, p.machine.host, compareHost)
+	if found && machines[at] == p.machine {
+		gp.changes = append(gp.changes, offerChange{at, dearer})
 	}
 }
 
--- a/internal/sched/gangplan_test.go
+++ b/internal/sched/gangplan_test.go
@@ -65,7 +65,7 @@
 // others back, and who is stopped how.
 func (b *bed) kept() (out []string) {
 	for _, m := range b.machines.all() {
-		s := fmt.Sprint(m.host, " wanted by ", m.claimedByRank)
+		s := fmt.Sprint(m.host, " wanted by ", b.lastPass.claims[m])
 		if m.reservedFor != nil {
 			s += fmt.Sprint(" kept for ", m.reservedFor.id, m.reservationStart, m.reservedUntil, m.reservationCheckedAt)
 		}
@@ -120,7 +120,7 @@
 				if m.reservedFor != nil {
 					held++
 				}
-				if m.claimedByRank > 0 {
+				if fastPass.claims[m] > 0 {
 					wanted++
 				}
 			}
@@ -157,7 +157,7 @@
 		used := j.tasksByZone()
 		free := func(i int) int {
 			m := ps.schedulable[i]
-			if places[i] == 0 || m.claimedByRank > 0 || !satisfiesZones(j, used, m.zone) || (m.reservedFor != nil && m.reservedFor != j && m.reservedFor.rank >= j.rank) {
+			if places[i] == 0 || ps.claims[m] > 0 || !satisfiesZones(j, used, m.zone) || (m.reservedFor != nil && m.reservedFor != j && m.reservedFor.rank >= j.rank) {
 				return 0
 			}
 			return places[i]
@@ -192,7 +192,7 @@
 				}
 				if n := free(i); n > 0 && zone(m) == in && hasRoom(j, m, 1) == empty {
 					missing -= n
-					m.claimedByRank = j.rank
+					ps.claims[m] = j.rank
 				}
 			}
 		}
--- a/internal/sched/machine.go
+++ b/internal/sched/machine.go
@@ -16,9 +16,7 @@
 	imageCache
 	reservation
 
-	cordon        *dynconfig.Cordon // that keeps new tasks off, as of the last pass
-	passIndex     int               // in this pass: its index among the schedulable machines, if it is one
-	claimedByRank int               // in this pass: the rank of a gang that would clear it at once
+	cordon *dynconfig.Cordon // that keeps new tasks off, as of the last pass
 }
 
 // machineIdentity is what a machine is.
--- a/internal/sched/pass.go
+++ b/internal/sched/pass.go
@@ -18,9 +18,10 @@
 	withRoom    []*machine // of these, those with room for anything that waits
 
 	gpus              gpuSummary
-	onDemandTypes     map[string]bool // machine types wanted by waiting jobs that may not use spot machines
-	competingClasses  []*class        // classes above the lowest priority whose jobs arrive
-	guaranteedWaiting []*job          // jobs that wait within their teams' guarantees
+	onDemandTypes     map[string]bool  // machine types wanted by waiting jobs that may not use spot machines
+	competingClasses  []*class         // classes above the lowest priority whose jobs arrive
+	claims            map[*machine]int // machines that a waiting gang would clear at once, and its rank
+	guaranteedWaiting []*job           // jobs that wait within their teams' guarantees
 
 	preemptionSearches int               // jobs that looked for victims
 	fleetSettled       bool              // enough machines are known to preempt on others
@@ -32,11 +33,13 @@
 func (c *Core) newPass() *pass {
 	last := c.lastPass
 	clear(last.onDemandTypes)
+	clear(last.claims)
 	ps := &pass{
 		core:              c,
 		schedulable:       last.schedulable[:0],
 		gpus:              last.gpus,
 		onDemandTypes:     last.onDemandTypes,
+		claims:            last.claims,
 		competingClasses:  last.competingClasses[:0],
 		guaranteedWaiting: last.guaranteedWaiting[:0],
 		victimCandidates:  last.victimCandidates,
@@ -47,7 +50,9 @@
 }
 
 // emptyPass is the last pass of a core that has made none yet.
-func emptyPass(c *Core) *pass { return &pass{core: c, onDemandTypes: map[string]bool{}} }
+func emptyPass(c *Core) *pass {
+	return &pass{core: c, onDemandTypes: map[string]bool{}, claims: map[*machine]int{}}
+}
 
 // Schedule places what waits and returns a batch to be stored, or nil. Only one batch is
 // outstanding at a time.
@@ -123,9 +128,7 @@
 // changes which these are.
 func (ps *pass) listSchedulable() {
 	for _, m := range ps.core.machines.all() {
-		m.claimedByRank = 0
 		if ps.core.isSchedulable(m) {
-			m.passIndex = len(ps.schedulable)
 			ps.schedulable = append(ps.schedulable, m)
 		}
 	}
--- a/internal/sched/placetasks.go
+++ b/internal/sched/placetasks.go
@@ -22,7 +22,7 @@
 
 // canTakeTask says whether a schedulable machine may take another task of the job.
 func (ps *pass) canTakeTask(j *job, m *machine, tasksByZone map[string]int) bool {
-	if j.rank < m.claimedByRank || !hasRoom(j, m, 1) || !allowed(j, m) || m.placementCount >= maxTasksPerMachine {
+	if j.rank < ps.claims[m] || !hasRoom(j, m, 1) || !allowed(j, m) || m.placementCount >= maxTasksPerMachine {
 		return false
 	}
 	if !satisfiesZones(j, tasksByZone, m.zone) || ps.claimedByGuaranteed(j, m) {
@@ -117,13 +117,13 @@
 // since it only gets fuller.
 func (ps *pass) placeTasks(j *job) {
 	limit := ps.core.concurrencyLimit(j)
-	if !ps.mayPlaceMore(j, limit) {
+	if !j.mayPlaceMore(limit) {
 		return
 	}
 	tasksByZone := j.tasksByZone()
 	machines := ps.candidates(j, tasksByZone, "")
 	attempt := uint64(0)
-	for ps.mayPlaceMore(j, limit) {
+	for j.mayPlaceMore(limit) {
 		m := ps.popBest(&machines, j, tasksByZone)
 		if m == nil {
 			ps.preemptFor(j)
@@ -142,7 +142,7 @@
 
 // mayPlaceMore says whether a task of the job waits and may be placed: its job has fewer than
 // limit on machines, and its team's limit, which counts tasks that can't be seen, leaves room.
-func (ps *pass) mayPlaceMore(j *job, limit int) bool {
+func (j *job) mayPlaceMore(limit int) bool {
 	_, waits := j.nextPendingTask()
 	return waits && len(j.placements) < limit && !j.atTeamLimit()
 }
