--- a/internal/sched/demand.go
+++ b/internal/sched/demand.go
@@ -27,13 +27,13 @@
 // expectedDemand is the room to be kept free for tasks that arrive while a machine
 // would boot, for classes whose start the objectives watch too closely for a boot, by their names.
 func (c *Core) expectedDemand() (expected []demand) {
-	guaranteeAim := c.guaranteeAim()
+	guaranteeObjective := c.guaranteeObjective()
 	for _, cl := range c.classes.sorted() {
 		if cl.sampleJob == nil || cl.sampleJob.spec.Shape == wire.Service {
 			continue
 		}
 		boot := c.shortestBootS(cl.sampleJob)
-		if cl.strictestAim(guaranteeAim) > config.Micro(rentInTime*boot)+rentDelayS*second {
+		if cl.strictestObjective(guaranteeObjective) > config.Micro(rentInTime*boot)+rentDelayS*second {
 			continue // a machine rented when it is needed is up in time
 		}
 		if slots := c.expectedSlots(cl, boot); slots > 0 {
@@ -43,26 +43,26 @@
 	return expected
 }
 
-// guaranteeAim is the strictest objective for the start of guaranteed work, 0 if there is none.
-func (c *Core) guaranteeAim() (aim Micros) {
+// guaranteeObjective is the strictest objective for the start of guaranteed work, 0 if there is none.
+func (c *Core) guaranteeObjective() (objective Micros) {
 	for _, o := range c.settings.Deployment.Objectives {
-		if within := config.Micro(o.WithinS); o.Kind == "guarantee" && (aim == 0 || within < aim) {
-			aim = within
+		if within := config.Micro(o.WithinS); o.Kind == "guarantee" && (objective == 0 || within < objective) {
+			objective = within
 		}
 	}
-	return aim
+	return objective
 }
 
-// strictestAim is the strictest objective for the start of the class's jobs.
-func (cl *class) strictestAim(guaranteeAim Micros) Micros {
-	aim := Micros(math.MaxInt64)
+// strictestObjective is the strictest objective for the start of the class's jobs.
+func (cl *class) strictestObjective(guaranteeObjective Micros) Micros {
+	objective := Micros(math.MaxInt64)
 	if len(cl.waitObjectives) > 0 {
-		aim = cl.waitObjectives[0]
+		objective = cl.waitObjectives[0]
 	}
-	if guaranteeAim > 0 && cl.sampleJob.team.hasGuarantee() {
-		aim = min(aim, guaranteeAim)
+	if guaranteeObjective > 0 && cl.sampleJob.team.hasGuarantee() {
+		objective = min(objective, guaranteeObjective)
 	}
-	return aim
+	return objective
 }
 
 // shortestBootS is the shortest boot time in seconds of the types that fit the job, 0 if none does.
--- a/internal/sched/fleet_test.go
+++ b/internal/sched/fleet_test.go
@@ -115,17 +115,17 @@
 		b.release(p)
 	}
 	end("j-2")
-	if !ps.mayBlockGPUs(small, m) || b.now-m.gpusIdleSince > 0 {
+	if !ps.mayUseGPUMachine(small, m) || b.now-m.gpusIdleSince > 0 {
 		t.Error("a machine that has just served what it is for takes nothing else")
 	}
 	end("j-3")
-	if ps.mayBlockGPUs(small, m) {
+	if ps.mayUseGPUMachine(small, m) {
 		t.Error("small tasks keep a graphics machine whose GPUs have idled")
 	}
 	for _, zone := range []string{"x", "y"} {
 		b.cloud.exhaustedUntil[machineKind{"s", zone, false}] = b.now
 	}
-	if !ps.mayBlockGPUs(small, m) {
+	if !ps.mayUseGPUMachine(small, m) {
 		t.Error("a graphics machine stands empty though ordinary ones are sold out")
 	}
 }
--- a/internal/sched/gangclaim.go
+++ b/internal/sched/gangclaim.go
@@ -63,7 +63,7 @@
 			claims.reserved[m.reservedFor] = append(claims.reserved[m.reservedFor], i)
 		}
 	}
-	for _, j := range gangs[:min(len(gangs), ps.candidateLimit())] {
+	for _, j := range gangs[:min(len(gangs), ps.maxGangCandidates())] {
 		if j.mayClaim(ps.core.now) {
 			claims.claim(j)
 		}
--- a/internal/sched/gangoffer.go
+++ b/internal/sched/gangoffer.go
@@ -19,7 +19,7 @@
 	victims []victim // to be preempted for one task, if that is better than waiting
 	cost    Micros   // of them, or of the wait
 	hasRoom bool     // it has room now
-	stale   bool     // a victim's job was preempted elsewhere: it is dearer now
+	stale   bool     // a victim's job was preempted elsewhere: it is costlier now
 }
 
 // offerKind is gangs to which machines offer the same.
@@ -86,14 +86,14 @@
 func (os *gangOffers) apply(changes []offerChange, j *job) {
 	fresh := changes[os.changes:]
 	for _, change := range fresh {
-		if change.dearer {
+		if change.costlier {
 			offer := &os.byMachine[change.machine]
 			offer.stale = len(offer.victims) > 0
 		}
 	}
 	updated := map[int]bool{}
 	for _, change := range fresh {
-		if !change.dearer && !updated[change.machine] {
+		if !change.costlier && !updated[change.machine] {
 			updated[change.machine] = true
 			os.update(change.machine, j)
 		}
--- a/internal/sched/gangplan.go
+++ b/internal/sched/gangplan.go
@@ -16,13 +16,13 @@
 	// reservationSlack is how long after the expected start of its gang a reservation ends.
 	reservationSlack = 5 * second
 
-	// minGangLooks is how many gangs may each look at all machines in a pass at any size of site.
-	minGangLooks = 8
+	// minGangCandidates is how many gangs may each look at all machines in a pass at any size of site.
+	minGangCandidates = 8
 )
 
-// candidateLimit is how many gangs may each look at all machines in a pass.
-func (ps *pass) candidateLimit() int {
-	return max(minGangLooks, maxCandidateLooks/max(1, len(ps.schedulable)))
+// maxGangCandidates is how many gangs may each look at all machines in a pass.
+func (ps *pass) maxGangCandidates() int {
+	return max(minGangCandidates, maxMachineVisits/max(1, len(ps.schedulable)))
 }
 
 // gangPlan decides which machines are reserved for gangs. Machines are named by their index among
@@ -37,12 +37,12 @@
 
 // offerChange is what a preemption did to a machine.
 type offerChange struct {
-	machine int
-	dearer  bool // only that a task on it has become dearer; otherwise tasks are stopped
+	machine  int
+	costlier bool // only that a task on it has become costlier; otherwise tasks are stopped
 }
 
 // planGangs decides anew, now and then, which machines are reserved for the gangs that
-// lack room: first come, first served, but those that can still meet an aim come
+// lack room: first come, first served, but those that can still meet an objective come
 // first. In each zone only one gang at a time reserves machines that it has to wait
 // for; the others start when they fit.
 func (ps *pass) planGangs(gangs []*job) {
@@ -61,7 +61,7 @@
 			plan.reserved[m.reservedFor] = append(plan.reserved[m.reservedFor], i)
 		}
 	}
-	for _, j := range gangs[:min(len(gangs), ps.candidateLimit())] {
+	for _, j := range gangs[:min(len(gangs), ps.maxGangCandidates())] {
 		plan.makeRoom(j)
 	}
 }
@@ -200,7 +200,7 @@
 
 // optionsIn lists the first options in a zone that may be needed for the missing tasks, best first, and
 // how many slots all options there have that are not worth preempting for. Where an option's victims have
-// become dearer since it was looked at, it is looked at again only if it would be among the first:
+// become costlier since it was looked at, it is looked at again only if it would be among the first:
 // most would not.
 func (gp *gangPlan) optionsIn(zone string, j *job, missing int, tasksByZone map[string]int, offers *gangOffers) (first []startOption, quickSlots int) {
 	var all []startOption
@@ -247,7 +247,7 @@
 	if holder := m.reservedFor; holder != nil && holder != j && ps.core.now < m.reservedUntil && holder.rank >= j.rank && !ps.isReservedForWait(m) {
 		return startOption{}, false
 	}
-	if offer.hasRoom && j.spec.GPUs == 0 && m.machineType.GPUs > 0 && !ps.mayBlockGPUs(j, m) {
+	if offer.hasRoom && j.spec.GPUs == 0 && m.machineType.GPUs > 0 && !ps.mayUseGPUMachine(j, m) {
 		return startOption{}, false
 	}
 	cost := Micros(ps.placementScore(j, m) * float64(second))
@@ -268,7 +268,7 @@
 		preempted[v.tasks[0].job]++
 	}
 	for j, n := range preempted {
-		spared := j.preemptions+n >= maxEvictions*max(1, len(j.placements))
+		spared := j.preemptions+n >= maxPreemptionsPerTask*max(1, len(j.placements))
 		for p := range j.placements {
 			gp.recordChange(p, !spared)
 		}
@@ -276,11 +276,11 @@
 }
 
 // recordChange notes that what the machine of a placement offers has changed.
-func (gp *gangPlan) recordChange(p *placement, dearer bool) {
+func (gp *gangPlan) recordChange(p *placement, costlier bool) {
 	machines := gp.pass.schedulable
 	at, found := slices.BinarySearchFunc(machines, p.machine.host, compareHost)
 	if found && machines[at] == p.machine {
-		gp.changes = append(gp.changes, offerChange{at, dearer})
+		gp.changes = append(gp.changes, offerChange{at, costlier})
 	}
 }
 
--- a/internal/sched/gangplan_test.go
+++ b/internal/sched/gangplan_test.go
@@ -136,7 +136,7 @@
 
 func (ps *pass) plainHoldBack(gangs []*job) {
 	cleared := map[gangShape][]int{} // places on each open machine once it is cleared
-	for _, j := range gangs[:min(len(gangs), ps.candidateLimit())] {
+	for _, j := range gangs[:min(len(gangs), ps.maxGangCandidates())] {
 		if j.startableSince > 0 && ps.core.now-j.startableSince > 2*claimDuration {
 			j.startableSince = 0
 		}
@@ -232,7 +232,7 @@
 		return x.arrival < y.arrival
 	})
 	taken := map[string]bool{}
-	for _, j := range gangs[:min(len(gangs), ps.candidateLimit())] {
+	for _, j := range gangs[:min(len(gangs), ps.maxGangCandidates())] {
 		ps.plainRoom(j, j.pendingCount(), taken)
 	}
 }
@@ -335,7 +335,7 @@
 	}
 	if w.slots > 0 {
 		w.cost = like
-		return w, j.spec.GPUs > 0 || m.machineType.GPUs == 0 || ps.mayBlockGPUs(j, m)
+		return w, j.spec.GPUs > 0 || m.machineType.GPUs == 0 || ps.mayUseGPUMachine(j, m)
 	}
 	// By waiting: the tasks that are expected to end first.
 	type end struct {
--- a/internal/sched/gpus.go
+++ b/internal/sched/gpus.go
@@ -4,14 +4,14 @@
 
 // gpuSummary is what GPU tasks need, summed up once a pass.
 type gpuSummary struct {
-	any          bool    // jobs with GPUs are known
-	rank         int     // the highest of their priorities
-	waitAim      Micros  // the strictest objective for their start, 0 if there is none
-	cpusPerGPU   float64 // the most that a task takes beside one GPU
-	memPerGPU    float64
-	free         float64 // GPUs free on schedulable machines
-	waiting      float64 // GPUs wanted by waiting tasks
-	arrivalsPerS float64 // GPUs wanted per second by arriving tasks
+	any            bool    // jobs with GPUs are known
+	rank           int     // the highest of their priorities
+	startObjective Micros  // the strictest objective for their start, 0 if there is none
+	cpusPerGPU     float64 // the most that a task takes beside one GPU
+	memPerGPU      float64
+	free           float64 // GPUs free on schedulable machines
+	waiting        float64 // GPUs wanted by waiting tasks
+	arrivalsPerS   float64 // GPUs wanted per second by arriving tasks
 }
 
 // summarizeGPUs sums up what GPU tasks need, and which types are wanted by jobs that may not use
@@ -44,8 +44,8 @@
 	g.cpusPerGPU, g.memPerGPU = max(g.cpusPerGPU, spec.CPUs/spec.GPUs), max(g.memPerGPU, spec.MemoryGB/spec.GPUs)
 	g.rank = max(g.rank, cl.sampleJob.rank)
 	g.arrivalsPerS += cl.arrivalRate(now) * spec.GPUs
-	if len(cl.waitObjectives) > 0 && (g.waitAim == 0 || cl.waitObjectives[0] < g.waitAim) {
-		g.waitAim = cl.waitObjectives[0]
+	if len(cl.waitObjectives) > 0 && (g.startObjective == 0 || cl.waitObjectives[0] < g.startObjective) {
+		g.startObjective = cl.waitObjectives[0]
 	}
 }
 
@@ -56,8 +56,8 @@
 	if !g.any || j.spec.GPUs > 0 || j.rank > g.rank {
 		return true
 	}
-	aims := j.class.waitObjectives
-	return j.rank == g.rank && len(aims) > 0 && (g.waitAim == 0 || aims[0] < g.waitAim)
+	objectives := j.class.waitObjectives
+	return j.rank == g.rank && len(objectives) > 0 && (g.startObjective == 0 || objectives[0] < g.startObjective)
 }
 
 // starvationAfter is how long a job may wait with none of its tasks on a machine before whatever
@@ -69,13 +69,13 @@
 	return j.waitingSince > 0 && c.now-max(j.waitingSince, j.lastVacatedAt) > starvationAfter && (j.isGang() || len(j.placements) == 0)
 }
 
-// mayBlockGPUs says whether a task without GPUs may go to a GPU
+// mayUseGPUMachine says whether a task without GPUs may go to a GPU
 // machine. It may as long as it leaves what the free GPUs' own tasks need beside
 // them. Beyond that it may if it ranks higher or an objective watches its start, or if
 // enough GPUs stay free elsewhere for the GPU tasks that arrive during its
 // stay. Otherwise small tasks fill the processors of the GPU machines and
-// their GPUs, the dearest part, stand idle.
-func (ps *pass) mayBlockGPUs(j *job, m *machine) bool {
+// their GPUs, the most expensive part, stand idle.
+func (ps *pass) mayUseGPUMachine(j *job, m *machine) bool {
 	if ps.keepsGPUMachine(j) || ps.core.starved(j) {
 		return true
 	}
@@ -92,7 +92,7 @@
 }
 
 // shouldEmpty says whether a GPU machine without GPU tasks takes no task of the job, so that it goes
-// back: nothing would ever let the dearest machines go for work that no objective watches, and
+// back: nothing would ever let the most expensive machines go for work that no objective watches, and
 // other work can have cheaper ones.
 func (c *Core) shouldEmpty(m *machine, j *job) bool {
 	return j.hasNoObjective() || (c.now-m.gpusIdleSince > c.idleTimeout(m.machineType, true) && !c.allLackCapacity(j))
--- a/internal/sched/placetasks.go
+++ b/internal/sched/placetasks.go
@@ -28,7 +28,7 @@
 	if !satisfiesZones(j, tasksByZone, m.zone) || ps.claimedByGuaranteed(j, m) {
 		return false
 	}
-	return j.spec.GPUs > 0 || m.machineType.GPUs == 0 || ps.core.firstComeFirstServed || ps.mayBlockGPUs(j, m)
+	return j.spec.GPUs > 0 || m.machineType.GPUs == 0 || ps.core.firstComeFirstServed || ps.mayUseGPUMachine(j, m)
 }
 
 // reservedAgainst says whether the machine is reserved for another job. A task that is
--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -3,11 +3,11 @@
 import "dalefront/internal/config"
 
 const (
-	// maxCandidateLooks bounds how many machines are looked at for victims, or for gangs, in a
+	// maxMachineVisits bounds how many machines are looked at for victims, or for gangs, in a
 	// pass.
-	maxCandidateLooks = 200_000
-	// minClearings is how many jobs may have room cleared for them in a pass at any size of site.
-	minClearings = 4
+	maxMachineVisits = 200_000
+	// minPreemptionSearches is how many jobs may have room cleared for them in a pass at any size of site.
+	minPreemptionSearches = 4
 
 	// preemptionBackoff is how long a job for which nothing could be cleared is not tried again.
 	preemptionBackoff = second
@@ -16,14 +16,14 @@
 	clearedReservation = 10 * second
 )
 
-// maxClearings is how many jobs may each look at all machines for victims in a pass.
-func (ps *pass) maxClearings() int {
-	return max(minClearings, maxCandidateLooks/max(1, len(ps.schedulable)))
+// maxPreemptionSearches is how many jobs may each look at all machines for victims in a pass.
+func (ps *pass) maxPreemptionSearches() int {
+	return max(minPreemptionSearches, maxMachineVisits/max(1, len(ps.schedulable)))
 }
 
 // isFleetSettled says whether nearly all machines that are up have confirmed the term, or have
 // had the time to. Before, a job seems to have no room only because the machines that
-// have some have not reported yet, and what made way for it would have done so in vain:
+// have some have not reported yet, and what was preempted for it would have been so in vain:
 // when leaders end every few seconds, again and again.
 func (c *Core) isFleetSettled() bool {
 	if c.now-c.termStart > config.Micro(1.25*c.settings.Deployment.Workers.ReportS)+second {
@@ -63,7 +63,7 @@
 // at all: victims from the one machine with the least total cost. Each search goes over all
 // machines; jobs that don't get one have it in a later pass.
 func (ps *pass) preemptFor(j *job) {
-	if !ps.mayPreempt(j) || ps.preemptionSearches > ps.maxClearings() {
+	if !ps.mayPreempt(j) || ps.preemptionSearches > ps.maxPreemptionSearches() {
 		return
 	}
 	ps.preemptionSearches++
--- a/internal/sched/scalein.go
+++ b/internal/sched/scalein.go
@@ -143,7 +143,7 @@
 	expected map[*wire.MachineType]int // machines that expected tasks fill
 }
 
-// returnIdle gives back idle machines, dearest first, unless they are a spare that the objectives
+// returnIdle gives back idle machines, the most expensive first, unless they are a spare that the objectives
 // need, or some of those that a gang waits for while its others boot.
 func (r *scaleInRound) returnIdle() {
 	idle := r.findIdle()
--- a/internal/sched/scaleout.go
+++ b/internal/sched/scaleout.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// perKind bounds one rental request, so that a round spreads over zones and
+	// machinesPerRequest bounds one rental request, so that a round spreads over zones and
 	// kinds instead of finding out one by one which are empty. When hundreds of
 	// machines are wanted it grows, so that a few rounds rent them.
-	perKind   = 6
-	perHire   = 50   // the protocol's limit
-	mostAsked = 2000 // machines thought of in a round, of which the cloud's rate lets fewer through
+	machinesPerRequest    = 6
+	maxMachinesPerRequest = 50   // the protocol's limit
+	maxRentalsPerRound    = 2000 // machines thought of in a round, of which the cloud's rate lets fewer through
 
 	// requestsForAll is of how many requests a round consists that rents all that is wanted.
 	requestsForAll = 16
@@ -190,9 +190,9 @@
 		cpus += float64(d.slots) * d.job.spec.CPUs
 		r.smallest.add(d.job)
 	}
-	r.perRequest = perKind
+	r.perRequest = machinesPerRequest
 	if smallest := r.core.smallestType(); smallest > 0 {
-		r.perRequest = min(perHire, max(perKind, int(cpus/smallest/requestsForAll)))
+		r.perRequest = min(maxMachinesPerRequest, max(machinesPerRequest, int(cpus/smallest/requestsForAll)))
 	}
 	r.dropFull()
 }
@@ -340,7 +340,7 @@
 
 // rent asks for machines until all tasks have room.
 func (r *scaleOutRound) rent(search *roomSearch) {
-	for search.left > 0 && r.known < *r.core.settings.Operator.MaxMachines && r.rented < mostAsked {
+	for search.left > 0 && r.known < *r.core.settings.Operator.MaxMachines && r.rented < maxRentalsPerRound {
 		t, kind, ok := r.chooseKind(search)
 		if !ok {
 			return
@@ -387,9 +387,9 @@
 }
 
 const (
-	// dearest is how many times the cheapest price per task may be paid for a job
+	// acceptablePriceRatio is how many times the cheapest price per task may be paid for a job
 	// whose start no objective watches.
-	dearest = 3
+	acceptablePriceRatio = 3
 	// crowding is what each machine of a zone adds to the prices there, so that machines spread over
 	// zones.
 	crowding = 0.01
@@ -406,7 +406,7 @@
 		if !fitsType(&j.spec, t) || min(search.left, slots) == 0 {
 			continue
 		}
-		if len(j.class.waitObjectives) == 0 && t.Price/float64(slots) > dearest*cheapest {
+		if len(j.class.waitObjectives) == 0 && t.Price/float64(slots) > acceptablePriceRatio*cheapest {
 			continue
 		}
 		for _, candidate := range r.kindsOf(t, search) {
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -191,15 +191,15 @@
 		b.report("n-1", "s", "x", 1, b.running("n-1")...)
 		b.schedule()
 		for _, tr := range b.running("n-1") {
-			if tr.Task == id && b.jobs.find("j-1").preemptions <= maxEvictions {
+			if tr.Task == id && b.jobs.find("j-1").preemptions <= maxPreemptionsPerTask {
 				tr.State, tr.Cause = wire.TaskExited, wire.CauseStopped
 				b.report("n-1", "s", "x", 1, tr)
 			}
 		}
 		b.JobEnded("j-9"+string(rune('0'+i)), wire.JobCancelled, b.now)
 	}
-	if n := b.jobs.find("j-1").preemptions; n == 0 || n > maxEvictions {
-		t.Errorf("evicted %d times, want 1 to %d", n, maxEvictions)
+	if n := b.jobs.find("j-1").preemptions; n == 0 || n > maxPreemptionsPerTask {
+		t.Errorf("evicted %d times, want 1 to %d", n, maxPreemptionsPerTask)
 	}
 }
 
--- a/internal/sched/victims.go
+++ b/internal/sched/victims.go
@@ -7,8 +7,8 @@
 	"dalefront/internal/config"
 )
 
-// maxEvictions is how often a job may be preempted, for each of its tasks.
-const maxEvictions = 3
+// maxPreemptionsPerTask is how often a job may be preempted, for each of its tasks.
+const maxPreemptionsPerTask = 3
 
 // victim is a task, or a whole gang, that might make room on a machine.
 type victim struct {
@@ -49,7 +49,7 @@
 
 // isPreemptible applies the protocol's "Preemption": lower priority, or work beyond
 // its team's guarantee for a job within its own. Which of a team's jobs are
-// beyond is decided by their arrival, as the aim counts it, and not by what runs
+// beyond is decided by their arrival, as the objective counts it, and not by what runs
 // at the moment: then jobs within are never preempted for that and jobs beyond
 // never preempt, and two teams can't go on stopping each other's work.
 func isPreemptible(p *placement, by *job) bool {
@@ -60,10 +60,10 @@
 	return j.rank < by.rank || (j.team != by.team && j.team.exceedsGuarantee() && !j.withinGuarantee && by.reclaimsGuarantee())
 }
 
-// mayBeVictim says whether the task may make way for the job, and its own job was not preempted too
+// mayBeVictim says whether the task may be preempted for the job, and its own job was not preempted too
 // often.
 func mayBeVictim(p *placement, by *job) bool {
-	return isPreemptible(p, by) && p.job.preemptions < maxEvictions*max(1, len(p.job.placements))
+	return isPreemptible(p, by) && p.job.preemptions < maxPreemptionsPerTask*max(1, len(p.job.placements))
 }
 
 // reclaimsGuarantee says whether the job may have work of other teams stopped that they run
@@ -148,7 +148,7 @@
 	)
 }
 
-// victimCandidate is a task that might make way.
+// victimCandidate is a task that might be preempted.
 type victimCandidate struct {
 	placement *placement
 	plan      stopPlan
