--- a/cmd/dalefront/config.go
+++ b/cmd/dalefront/config.go
@@ -281,7 +281,7 @@
 func printHistory(out io.Writer, history []dynconfig.History, asJSON bool) error {
 	if !asJSON {
 		for _, h := range history {
-			fmt.Fprintf(out, "generation %d, %s, by %q, apply %s\n", h.Generation, time.UnixMicro(h.At).UTC().Format(time.RFC3339), h.By, h.Apply)
+			fmt.Fprintf(out, "generation %d, %s, by %q, apply %s\n", h.Generation, time.UnixMicro(h.At).UTC().Format(time.RFC3339), h.Author, h.ApplyID)
 			for _, change := range h.Changes {
 				printChange(out, &change)
 			}
@@ -303,7 +303,7 @@
 	}
 	all := []generation{}
 	for _, h := range history {
-		g := generation{Number: h.Generation, At: time.UnixMicro(h.At).UTC(), By: h.By, Apply: h.Apply}
+		g := generation{Number: h.Generation, At: time.UnixMicro(h.At).UTC(), By: h.Author, Apply: h.ApplyID}
 		for _, x := range h.Changes {
 			g.Changes = append(g.Changes, change{x.Kind, x.Name, readable(x.Kind, x.Before), readable(x.Kind, x.After)})
 		}
@@ -411,7 +411,7 @@
 	if body == nil {
 		return nil
 	}
-	if shown, err := dynconfig.Readable(kind, body); err == nil {
+	if shown, err := dynconfig.DecodeFields(kind, body); err == nil {
 		return shown
 	}
 	var loose any
--- a/internal/controller/configapply.go
+++ b/internal/controller/configapply.go
@@ -52,7 +52,7 @@
 	a := &configApplier{
 		controller: c,
 		request:    request,
-		change:     &dynconfig.Request{ID: request.ID, By: request.Author, Changes: request.Changes, IfGeneration: request.IfGeneration, At: c.now()},
+		change:     &dynconfig.ApplyRequest{ID: request.ID, Author: request.Author, Changes: request.Changes, IfGeneration: request.IfGeneration, At: c.now()},
 	}
 	return a.run(ctx), nil
 }
@@ -75,8 +75,8 @@
 type configApplier struct {
 	controller      *Controller
 	request         *peer.ConfigApplyRequest
-	change          *dynconfig.Request // as it is planned
-	firstGeneration uint64             // the first one that can be of this apply; 0: nothing was read yet
+	change          *dynconfig.ApplyRequest // as it is planned
+	firstGeneration uint64                  // the first one that can be of this apply; 0: nothing was read yet
 
 	// unresolvedVersion is the version of the generation's key that a switch without an answer was
 	// conditional on. The switch may yet be applied as long as that is the key's version.
@@ -121,9 +121,9 @@
 	if a.unresolvedVersion != nil && *a.unresolvedVersion != state.GenerationVersion {
 		a.unresolvedVersion = nil // it failed its condition, and always will
 	}
-	if by := state.Generation.Staging; by != "" && by != a.change.ID {
+	if by := state.Generation.StagingApplyID; by != "" && by != a.change.ID {
 		// What the other apply writes until it is taken over, history too, is to be read after that.
-		return nil, errors.Join(dynconfig.ErrStaging, a.claim(ctx, state))
+		return nil, errors.Join(dynconfig.ErrApplyInProgress, a.claim(ctx, state))
 	}
 	return a.planAndStore(ctx, state, historyKeys)
 }
@@ -149,7 +149,7 @@
 	if err := a.store(ctx, state, plan, term); err != nil {
 		return nil, err
 	}
-	a.deleteHistory(plan.Tidy)
+	a.deleteHistory(plan.ObsoleteKeys)
 	_ = a.controller.config.refresh(ctx) // the watch brings it all the same
 	return appliedResponse(plan.Generation, plan.Changes), nil
 }
@@ -161,14 +161,14 @@
 // planError makes a rejection of what a plan failed for, unless it is to be tried again: while an
 // earlier transaction of the apply may yet be applied nothing is final.
 func (a *configApplier) planError(state *dynconfig.State, err error) error {
-	if errors.Is(err, dynconfig.ErrStaging) || a.unresolvedVersion != nil {
+	if errors.Is(err, dynconfig.ErrApplyInProgress) || a.unresolvedVersion != nil {
 		return err
 	}
 	outcome := peer.ConfigInvalid
 	switch {
 	case errors.Is(err, dynconfig.ErrNoChange):
 		outcome = peer.ConfigUnchanged
-	case errors.Is(err, dynconfig.ErrGeneration):
+	case errors.Is(err, dynconfig.ErrGenerationChanged):
 		outcome = peer.ConfigStale
 	}
 	return &rejection{outcome: outcome, generation: state.Generation.Number, err: err}
@@ -190,7 +190,7 @@
 	if a.request.Retry {
 		from = 0
 	}
-	newest, err := store.Page(ctx, dynconfig.HistoryPrefix, dynconfig.HistoryBefore(from), configPage)
+	newest, err := store.Page(ctx, dynconfig.HistoryPrefix, dynconfig.HistoryCursor(from), configPage)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -199,7 +199,7 @@
 		return nil, nil, err
 	}
 	for i := range history {
-		if history[i].Apply == a.change.ID {
+		if history[i].ApplyID == a.change.ID {
 			return &history[i], nil, nil
 		}
 	}
@@ -221,7 +221,7 @@
 	if err != nil {
 		return err
 	}
-	if a.change.Changes, err = dynconfig.RollBack(history, to); err != nil {
+	if a.change.Changes, err = dynconfig.Rollback(history, to); err != nil {
 		return &rejection{outcome: peer.ConfigInvalid, err: err}
 	}
 	return nil
@@ -256,19 +256,19 @@
 func (a *configApplier) store(ctx context.Context, state *dynconfig.State, plan *dynconfig.Plan, term wire.Condition) error {
 	store := a.controller.store
 	version := state.GenerationVersion
-	if plan.Stage != nil {
-		response, err := store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCondition(version)}, Mutations: plan.Stage})
+	if plan.Claim != nil {
+		response, err := store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCondition(version)}, Mutations: plan.Claim})
 		if err != nil {
 			return err
 		}
 		version = response.Revision
 	}
-	for _, batch := range plan.Batches {
+	for _, batch := range plan.StageBatches {
 		if _, err := store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCondition(version)}, Mutations: batch}); err != nil {
 			return err
 		}
 	}
-	_, err := store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCondition(version), term}, Mutations: plan.Switch})
+	_, err := store.Txn(ctx, wire.Txn{Conditions: []wire.Condition{generationCondition(version), term}, Mutations: plan.Activate})
 	if errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		a.unresolvedVersion = &version
 	}
--- a/internal/dynconfig/dynconfig_test.go
+++ b/internal/dynconfig/dynconfig_test.go
@@ -1,6 +1,7 @@
 package dynconfig
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"reflect"
@@ -58,7 +59,7 @@
 }
 
 // Bad input gets one line with the file, the line and the field, and changes nothing.
-func TestMistakes(t *testing.T) {
+func TestInvalidFiles(t *testing.T) {
 	set := platform(t)
 	for text, want := range map[string]string{
 		"team \"red\" {\n  cpus_max = 21\n}":                        `f.hcl:1:1: team "red": cpus_max: 21 is above the platform's 20, which is the ceiling`,
@@ -125,21 +126,21 @@
 	}
 }
 
-// store is the state service: a transaction takes effect if its condition on the generation
+// fakeStore is the state service: a transaction takes effect if its condition on the generation
 // holds.
-type store struct {
+type fakeStore struct {
 	t       testing.TB
 	limits  wire.TxnLimits
 	keys    map[string]wire.KeyValue
 	version uint64
 }
 
-func newStore(t testing.TB) *store {
-	return &store{t: t, limits: platform(t).TxnLimits(), keys: map[string]wire.KeyValue{}, version: 10}
+func newStore(t testing.TB) *fakeStore {
+	return &fakeStore{t: t, limits: platform(t).TxnLimits(), keys: map[string]wire.KeyValue{}, version: 10}
 }
 
 // write runs a transaction on condition of the generation key's version.
-func (s *store) write(version uint64, changes []wire.Mutation) bool {
+func (s *fakeStore) write(version uint64, changes []wire.Mutation) bool {
 	s.t.Helper()
 	if err := s.limits.Check(wire.Txn{Conditions: []wire.Condition{{Key: GenerationKey, Version: version}, {}, {}}, Mutations: changes}); err != nil {
 		s.t.Fatal("a transaction beyond the limits: ", err)
@@ -162,7 +163,7 @@
 	return true
 }
 
-func (s *store) entries(prefix string) (out []wire.KeyValue) {
+func (s *fakeStore) entries(prefix string) (out []wire.KeyValue) {
 	for k, e := range s.keys {
 		if strings.HasPrefix(k, prefix) {
 			out = append(out, e)
@@ -172,7 +173,7 @@
 	return out
 }
 
-func (s *store) state() *State {
+func (s *fakeStore) state() *State {
 	st, err := NewState(s.entries(Prefix))
 	if err != nil {
 		s.t.Fatal(err)
@@ -190,9 +191,9 @@
 }
 
 // apply carries a request out, up to a number of transactions, and says whether it is in force.
-func (s *store) apply(q *Request, most int) bool {
+func (s *fakeStore) apply(q *ApplyRequest, most int) bool {
 	s.t.Helper()
-	if st := s.state(); st.Generation.Staging != "" && st.Generation.Staging != q.ID {
+	if st := s.state(); st.Generation.StagingApplyID != "" && st.Generation.StagingApplyID != q.ID {
 		if most == 0 || !s.write(st.GenerationVersion, st.Claim(q.ID)) {
 			return false
 		}
@@ -203,7 +204,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	steps := append(append([][]wire.Mutation{p.Stage}, p.Batches...), p.Switch)
+	steps := append(append([][]wire.Mutation{p.Claim}, p.StageBatches...), p.Activate)
 	for _, changes := range steps {
 		if changes == nil {
 			continue
@@ -216,13 +217,13 @@
 			s.t.Fatal("a condition failed though nobody else writes")
 		}
 	}
-	for _, k := range p.Tidy {
+	for _, k := range p.ObsoleteKeys {
 		delete(s.keys, k)
 	}
 	return true
 }
 
-func (s *store) limitsInForce() map[float64]int {
+func (s *fakeStore) limitsInForce() map[float64]int {
 	out := map[float64]int{}
 	for _, d := range s.state().Documents() {
 		var t Team
@@ -239,16 +240,16 @@
 func TestLargeChangesAreWhole(t *testing.T) {
 	for steps := range 40 {
 		s := newStore(t)
-		s.apply(&Request{ID: "first", Changes: teams(30, 1)}, 1000)
+		s.apply(&ApplyRequest{ID: "first", Changes: teams(30, 1)}, 1000)
 		if got := s.limitsInForce(); got[1] != 30 {
 			t.Fatalf("%v of 30 documents", got)
 		}
-		whole := s.apply(&Request{ID: "second", Changes: teams(30, 2)}, steps)
+		whole := s.apply(&ApplyRequest{ID: "second", Changes: teams(30, 2)}, steps)
 		if got := s.limitsInForce(); len(got) != 1 || whole && got[2] != 30 || !whole && got[1] != 30 {
 			t.Fatalf("after %d transactions: %v", steps, got)
 		}
 		generation := s.state().Generation.Number
-		if !s.apply(&Request{ID: "third", Changes: teams(1, 3)}, 1000) {
+		if !s.apply(&ApplyRequest{ID: "third", Changes: teams(1, 3)}, 1000) {
 			t.Fatal("the third was not applied")
 		}
 		want := map[float64]int{1: 29, 3: 1}
@@ -259,7 +260,7 @@
 			t.Fatalf("after %d transactions and another apply: %v, want %v", steps, got, want)
 		}
 		history, err := ReadHistory(s.entries(HistoryPrefix), s.state().Generation.Number)
-		if err != nil || history[0].Apply != "third" || len(history[0].Changes) != 1 || history[0].Generation != generation+1 {
+		if err != nil || history[0].ApplyID != "third" || len(history[0].Changes) != 1 || history[0].Generation != generation+1 {
 			t.Fatalf("after %d transactions: history %+v, %v", steps, history, err)
 		}
 	}
@@ -267,11 +268,11 @@
 
 // Rolling back brings back what was in force, removals and large changes included, as a new
 // generation.
-func TestRollBack(t *testing.T) {
+func TestRollback(t *testing.T) {
 	s := newStore(t)
-	s.apply(&Request{ID: "a", Changes: teams(12, 1)}, 1000)
-	s.apply(&Request{ID: "b", Changes: append(teams(2, 2), Change{Document: Document{Kind: KindTeam, Name: "team 5"}, Remove: true})}, 1000)
-	s.apply(&Request{ID: "c", Changes: teams(12, 3)}, 1000)
+	s.apply(&ApplyRequest{ID: "a", Changes: teams(12, 1)}, 1000)
+	s.apply(&ApplyRequest{ID: "b", Changes: append(teams(2, 2), Change{Document: Document{Kind: KindTeam, Name: "team 5"}, Remove: true})}, 1000)
+	s.apply(&ApplyRequest{ID: "c", Changes: teams(12, 3)}, 1000)
 	if got := s.limitsInForce(); got[3] != 12 {
 		t.Fatal(got)
 	}
@@ -280,23 +281,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		back, err := RollBack(history, to)
+		back, err := Rollback(history, to)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !s.apply(&Request{ID: fmt.Sprint("back to ", to), Changes: back}, 1000) {
+		if !s.apply(&ApplyRequest{ID: fmt.Sprint("back to ", to), Changes: back}, 1000) {
 			t.Fatal("not applied")
 		}
 		if got := s.limitsInForce(); !reflect.DeepEqual(got, want) {
 			t.Errorf("back at %d: %v, want %v", to, got, want)
 		}
-		forth, err := RollBack(history, 3)
+		forth, err := Rollback(history, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.apply(&Request{ID: fmt.Sprint("forth from ", to), Changes: append(forth, teams(12, 3)...)[len(forth):]}, 1000)
+		s.apply(&ApplyRequest{ID: fmt.Sprint("forth from ", to), Changes: append(forth, teams(12, 3)...)[len(forth):]}, 1000)
 	}
-	if _, err := RollBack(nil, 0); err == nil {
+	if _, err := Rollback(nil, 0); err == nil {
 		t.Error("rolled back without history")
 	}
 }
@@ -305,7 +306,7 @@
 // taken for its own.
 func TestHistoryOfAnAbandonedApply(t *testing.T) {
 	part := func(apply string, number int, name string) wire.KeyValue {
-		value, err := wire.Marshal(History{Generation: 1, Apply: apply, Parts: 2, Changes: []HistoryChange{{Kind: KindTeam, Name: name}}})
+		value, err := wire.Marshal(History{Generation: 1, ApplyID: apply, Parts: 2, Changes: []HistoryChange{{Kind: KindTeam, Name: name}}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -323,14 +324,14 @@
 // History is bounded, and so is what one apply deletes of it.
 func TestHistoryIsBounded(t *testing.T) {
 	s := newStore(t)
-	for i := range KeptHistory + 60 {
-		s.apply(&Request{ID: fmt.Sprint(i), Changes: teams(1, float64(i+1))}, 1000)
+	for i := range MaxHistory + 60 {
+		s.apply(&ApplyRequest{ID: fmt.Sprint(i), Changes: teams(1, float64(i+1))}, 1000)
 	}
-	if n := len(s.entries(HistoryPrefix)); n != KeptHistory {
-		t.Errorf("%d generations are kept, want %d", n, KeptHistory)
+	if n := len(s.entries(HistoryPrefix)); n != MaxHistory {
+		t.Errorf("%d generations are kept, want %d", n, MaxHistory)
 	}
 	history, _ := ReadHistory(s.entries(HistoryPrefix), s.state().Generation.Number)
-	if _, err := RollBack(history, 3); err == nil {
+	if _, err := Rollback(history, 3); err == nil {
 		t.Error("rolled back beyond what is kept")
 	}
 }
@@ -338,19 +339,19 @@
 // What can't be planned changes nothing.
 func TestPlans(t *testing.T) {
 	s := newStore(t)
-	s.apply(&Request{ID: "a", Changes: teams(2, 1)}, 1000)
+	s.apply(&ApplyRequest{ID: "a", Changes: teams(2, 1)}, 1000)
 	st, two := s.state(), uint64(2)
-	for want, q := range map[error]*Request{
-		ErrNoChange:   {ID: "b", Changes: teams(2, 1)},
-		ErrGeneration: {ID: "b", Changes: teams(2, 2), IfGeneration: &two},
+	for want, q := range map[error]*ApplyRequest{
+		ErrNoChange:          {ID: "b", Changes: teams(2, 1)},
+		ErrGenerationChanged: {ID: "b", Changes: teams(2, 2), IfGeneration: &two},
 	} {
-		if _, err := st.Plan(q, nil, s.limits); !strings.Contains(fmt.Sprint(err), want.Error()) {
+		if _, err := st.Plan(q, nil, s.limits); !errors.Is(err, want) || !strings.Contains(err.Error(), want.Error()) {
 			t.Errorf("%v, want %v", err, want)
 		}
 	}
 	large, _ := NewDocument(KindCordon, "a", Cordon{Zone: "x", Reason: strings.Repeat("x", 4000)})
-	if _, err := st.Plan(&Request{ID: "b", Changes: []Change{{Document: large}}}, nil, s.limits); err == nil {
-		t.Error("a document larger than a value was planned")
+	if _, err := st.Plan(&ApplyRequest{ID: "b", Changes: []Change{{Document: large}}}, nil, s.limits); !errors.Is(err, ErrTooLarge) {
+		t.Errorf("a document larger than a value was planned: %v", err)
 	}
 }
 
@@ -361,7 +362,7 @@
 	r := rand.New(rand.NewPCG(7, 7))
 	for i := range 40 {
 		before := s.version
-		s.apply(&Request{ID: fmt.Sprint(i), Changes: teams(1+r.IntN(12), float64(i+1))}, 1000)
+		s.apply(&ApplyRequest{ID: fmt.Sprint(i), Changes: teams(1+r.IntN(12), float64(i+1))}, 1000)
 		var events []wire.Event
 		for _, e := range s.entries(Prefix) {
 			if e.Version > before {
--- a/internal/dynconfig/file.go
+++ b/internal/dynconfig/file.go
@@ -1,9 +1,7 @@
 package dynconfig
 
 import (
-	"fmt"
 	"os"
-	"strings"
 	"time"
 
 	"github.com/hashicorp/hcl/v2"
@@ -54,99 +52,105 @@
 
 // LoadFile reads changes from a file and checks them against the platform's settings. Its
 // error is one line with the file, line, column and field.
-func LoadFile(path string, set *config.Settings) ([]Change, error) {
+func LoadFile(path string, platform *config.Settings) ([]Change, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return ParseFile(text, path, set)
+	return ParseFile(text, path, platform)
 }
 
 // ParseFile reads changes from text; the name is for errors.
-func ParseFile(text []byte, name string, set *config.Settings) ([]Change, error) {
-	var f file
-	if err := hclfile.Decode(text, name, &f); err != nil {
+func ParseFile(text []byte, name string, platform *config.Settings) ([]Change, error) {
+	var content file
+	if err := hclfile.Decode(text, name, &content); err != nil {
 		return nil, err
 	}
-	r := reader{set: set, seen: map[string]bool{}}
-	for _, b := range f.Teams {
-		r.take(b.Range, KindTeam, b.Name, Team{b.CPUs, b.CPUsMax, b.GPUs, b.GPUsMax})
+	c := collector{platform: platform, seen: map[string]bool{}}
+	for _, block := range content.Teams {
+		c.addDocument(block.Range, KindTeam, block.Name, Team{block.CPUs, block.CPUsMax, block.GPUs, block.GPUsMax})
 	}
-	for _, b := range f.Cordons {
-		until, err := parseUntil(b.Until)
+	for _, block := range content.Cordons {
+		until, err := parseUntil(block.Until)
 		if err != nil {
-			r.fail(b.Range, fmt.Errorf("cordon %q: until: %w", b.Name, err))
+			c.failAt(block.Range, &DocumentError{KindCordon, block.Name, &FieldError{"until", err}})
 		}
-		r.take(b.Range, KindCordon, b.Name, Cordon{Zone: b.Zone, Type: b.Type, Machine: b.Machine, Drain: b.Drain, Reason: b.Reason, Until: until})
+		c.addDocument(block.Range, KindCordon, block.Name, Cordon{Zone: block.Zone, Type: block.Type, Machine: block.Machine, Drain: block.Drain, Reason: block.Reason, Until: until})
 	}
-	for _, b := range f.Settings {
-		values, err := numbers(b.Values, name)
-		r.fail(b.Range, err)
-		r.take(b.Range, KindSettings, SettingsName, Settings{values})
+	for _, block := range content.Settings {
+		values, err := parseNumbers(block.Values, name)
+		c.fail(err)
+		c.addDocument(block.Range, KindSettings, SettingsName, Settings{values})
 	}
-	for _, b := range f.Removes {
-		r.add(b.Range, Change{Document: Document{Kind: b.Kind, Name: b.Name}, Remove: true})
+	for _, block := range content.Removes {
+		c.addChange(block.Range, Change{Document: Document{Kind: block.Kind, Name: block.Name}, Remove: true})
 	}
-	return r.changes, r.err
+	return c.changes, c.err
 }
 
-// reader collects changes and keeps the first error.
-type reader struct {
-	set     *config.Settings
-	changes []Change
-	seen    map[string]bool
-	err     error
+// collector collects the changes of a file and keeps the first error.
+type collector struct {
+	platform *config.Settings
+	changes  []Change
+	seen     map[string]bool // ids of documents
+	err      error
 }
 
-func (r *reader) fail(at hcl.Range, err error) {
-	switch {
-	case err == nil || r.err != nil:
-	case strings.HasPrefix(err.Error(), at.Filename+":"):
-		r.err = err // it has a place of its own
-	default:
-		r.err = hclfile.At(at, "%v", err)
+// fail records an error that has a position in the file, or nil.
+func (c *collector) fail(err error) {
+	if c.err == nil {
+		c.err = err
 	}
 }
 
-func (r *reader) take(at hcl.Range, kind, name string, body any) {
-	d, err := NewDocument(kind, name, body)
-	r.fail(at, err)
-	r.add(at, Change{Document: d})
+// failAt records an error, or nil, of the block at a position in the file.
+func (c *collector) failAt(at hcl.Range, err error) {
+	if err != nil {
+		c.fail(hclfile.At(at, "%v", err))
+	}
+}
+
+func (c *collector) addDocument(at hcl.Range, kind, name string, body any) {
+	document, err := NewDocument(kind, name, body)
+	c.failAt(at, err)
+	c.addChange(at, Change{Document: document})
 }
 
-func (r *reader) add(at hcl.Range, c Change) {
-	if r.seen[c.ID()] {
-		r.fail(at, fmt.Errorf("%s %q: it is there twice", c.Kind, c.Name))
+func (c *collector) addChange(at hcl.Range, change Change) {
+	if c.seen[change.ID()] {
+		c.failAt(at, &DocumentError{change.Kind, change.Name, ErrDuplicate})
 	}
-	r.seen[c.ID()] = true
-	r.fail(at, Check(r.set, &c))
-	r.changes = append(r.changes, c)
+	c.seen[change.ID()] = true
+	c.failAt(at, Check(c.platform, &change))
+	c.changes = append(c.changes, change)
 }
 
+// parseUntil returns a time of day in microseconds, 0 for an empty text.
 func parseUntil(text string) (int64, error) {
 	if text == "" {
 		return 0, nil
 	}
 	at, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return 0, fmt.Errorf("%q is not a time such as 2026-12-31T18:00:00Z", text)
+		return 0, &TimeError{text}
 	}
 	return at.UnixMicro(), nil
 }
 
-// numbers reads a body whose attributes all are numbers.
-func numbers(body hcl.Body, name string) (map[string]float64, error) {
-	attributes, diags := body.JustAttributes()
-	if diags.HasErrors() {
-		return nil, hclfile.First(diags, name)
+// parseNumbers reads a body all of whose attributes are numbers. Its errors have a position
+// in the file.
+func parseNumbers(body hcl.Body, name string) (map[string]float64, error) {
+	attributes, diagnostics := body.JustAttributes()
+	if diagnostics.HasErrors() {
+		return nil, hclfile.First(diagnostics, name)
 	}
-	out := map[string]float64{}
-	for field, a := range attributes {
-		var v float64
-		if diags := gohcl.DecodeExpression(a.Expr, nil, &v); diags.HasErrors() {
-			return nil, hclfile.First(diags, name)
+	numbers := map[string]float64{}
+	for field, attribute := range attributes {
+		var value float64
+		if diagnostics := gohcl.DecodeExpression(attribute.Expr, nil, &value); diagnostics.HasErrors() {
+			return nil, hclfile.First(diagnostics, name)
 		}
-		out[field] = v
+		numbers[field] = value
 	}
-	return out, nil
+	return numbers, nil
 }
--- /dev/null
+++ b/internal/dynconfig/merge.go
@@ -0,0 +1,96 @@
+package dynconfig
+
+import (
+	"slices"
+
+	"dalefront/internal/config"
+	"dalefront/wire"
+)
+
+// Merge returns the settings of the platform with the documents in force. A limit never
+// exceeds the platform's, whatever was stored under other settings of the platform. The
+// settings given are not changed. Documents that can't be used are left out: unusable has
+// their ids.
+func Merge(platform *config.Settings, documents []Document) (merged *config.Settings, cordons []Cordon, unusable []string) {
+	settings := *platform
+	settings.Deployment.Teams = slices.Clone(platform.Deployment.Teams)
+	for i := range documents {
+		document := &documents[i]
+		ok := false
+		switch document.Kind {
+		case KindTeam:
+			ok = applyTeam(&settings, document)
+		case KindCordon:
+			cordon := Cordon{}
+			if ok = wire.Unmarshal(document.Body, &cordon) == nil; ok {
+				cordon.Name = document.Name
+				cordons = append(cordons, cordon)
+			}
+		case KindSettings:
+			ok = applySettings(&settings, document)
+		}
+		if !ok {
+			unusable = append(unusable, document.ID())
+		}
+	}
+	return &settings, cordons, unusable
+}
+
+// applyTeam merges a team's document into the settings and reports whether it could.
+func applyTeam(settings *config.Settings, document *Document) bool {
+	var team Team
+	at := indexOfTeam(settings, document.Name)
+	if at < 0 || wire.Unmarshal(document.Body, &team) != nil {
+		return false
+	}
+	settings.Deployment.Teams[at] = mergeTeam(settings.Deployment.Teams[at], &team)
+	return true
+}
+
+// applySettings merges a document with settings into the settings and reports whether it
+// could.
+func applySettings(settings *config.Settings, document *Document) bool {
+	var changes Settings
+	tuned := *settings
+	if wire.Unmarshal(document.Body, &changes) != nil ||
+		checkSettings(&tuned, document.Name, &changes) != nil ||
+		tuned.Tune(changes.Values) != nil {
+		return false
+	}
+	*settings = tuned
+	return true
+}
+
+// mergeTeam returns the platform's settings of a team, lowered by its document.
+func mergeTeam(platform config.Team, team *Team) config.Team {
+	merged := platform
+	merged.CPUsMax = lowerLimit(platform.CPUsMax, team.CPUsMax)
+	merged.GPUsMax = lowerLimit(platform.GPUsMax, team.GPUsMax)
+	merged.CPUs = lowerGuarantee(platform.CPUs, merged.CPUsMax, team.CPUs)
+	merged.GPUs = lowerGuarantee(platform.GPUs, merged.GPUsMax, team.GPUs)
+	return merged
+}
+
+// lowerLimit returns the lower of two limits; 0 and nil are none.
+func lowerLimit(platform float64, document *float64) float64 {
+	switch {
+	case document == nil || *document <= 0:
+		return platform
+	case platform == 0:
+		return *document
+	}
+	return min(platform, *document)
+}
+
+// lowerGuarantee returns the lower of two guarantees, and not more than the limit; a nil
+// guarantee and a limit of 0 are none.
+func lowerGuarantee(platform, limit float64, document *float64) float64 {
+	guarantee := platform
+	if document != nil {
+		guarantee = min(guarantee, max(0, *document))
+	}
+	if limit > 0 {
+		guarantee = min(guarantee, limit)
+	}
+	return guarantee
+}
--- a/internal/dynconfig/plan.go
+++ b/internal/dynconfig/plan.go
@@ -1,252 +1,237 @@
 package dynconfig
 
 import (
-	"errors"
 	"fmt"
 	"maps"
 	"slices"
-	"strings"
 
 	"dalefront/wire"
 )
 
 // Bounds of what is stored.
 const (
-	MaxDocuments   = 2000
-	KeptHistory    = 200 // generations
-	mostTidied     = 4   // keys of no more use that go along with a change
-	conditionsEach = 3   // of each transaction of a plan: generation, leadership, and one more
+	MaxDocuments      = 2000
+	MaxHistory        = 200 // generations whose history is kept
+	maxCleanedKeys    = 4   // keys without a document that are deleted along with a change
+	conditionsPerTxn  = 3   // of each transaction of a plan: generation, leadership, and one more
+	reservedVersion   = 1 << 60
+	reservedPartCount = 1 << 20 // values as long as any that occur, to compute sizes with
 )
 
-var (
-	// ErrNoChange means that all documents are as the changes want them.
-	ErrNoChange = errors.New("nothing changes")
-	// ErrStaging means that another apply is writing pending versions, or was when it ended:
-	// whoever plans must first take GenerationKey over, and then read again.
-	ErrStaging = errors.New("another change is being stored")
-	// ErrGeneration means that the generation is another than the one asked for.
-	ErrGeneration = errors.New("the configuration has changed")
-)
-
-// Request is what an apply asks for.
-type Request struct {
-	ID           string // names the apply; repeated with the same name it takes effect once
-	By           string
+// ApplyRequest is what an apply asks for.
+type ApplyRequest struct {
+	ID           string // idempotency key: repeated requests with it take effect once
+	Author       string
 	Changes      []Change
 	IfGeneration *uint64 // fail if another one is in force
 	At           int64   // microseconds, time of day
 }
 
-// Plan is how a request is carried out: Stage, then each of the Batches, then Switch, each a
-// transaction conditional on the version that GenerationKey has got from the one before it.
-// A plan that fits one transaction has only Switch. After that, Tidy may be deleted at any
-// time.
+// Plan is how a request is carried out: Claim, then each of the StageBatches, then Activate,
+// each a transaction conditional on the version that GenerationKey has got from the one
+// before it. A plan that fits one transaction has only Activate. After that, ObsoleteKeys
+// may be deleted at any time.
 type Plan struct {
-	Generation uint64
-	Stage      []wire.Mutation
-	Batches    [][]wire.Mutation
-	Switch     []wire.Mutation
-	Tidy       []string
-	Changes    []HistoryChange
+	Generation   uint64
+	Claim        []wire.Mutation
+	StageBatches [][]wire.Mutation
+	Activate     []wire.Mutation
+	ObsoleteKeys []string
+	Changes      []HistoryChange
 }
 
-// Claim is the change of GenerationKey by which an apply takes over from one that is writing
-// pending versions. Everything is to be read again after it: what the other wrote until then
-// is there, and nothing can be added to it.
-func (s *State) Claim(id string) []wire.Mutation {
-	staging := s.Generation
-	staging.Staging = id
-	return []wire.Mutation{{Put: GenerationKey, Value: staging}}
+// Claim returns the change of GenerationKey by which an apply takes over from one that is
+// writing pending versions. Everything has to be read again after it: what the other wrote
+// until then is there, and nothing can be added to it.
+func (s *State) Claim(applyID string) []wire.Mutation {
+	claimed := s.Generation
+	claimed.StagingApplyID = applyID
+	return []wire.Mutation{{Put: GenerationKey, Value: claimed}}
 }
 
-// Plan plans a request against the state, and the oldest and newest keys of the history. It
-// changes nothing. Documents are not checked again.
-func (s *State) Plan(q *Request, history []string, limits wire.TxnLimits) (*Plan, error) {
-	if q.IfGeneration != nil && *q.IfGeneration != s.Generation.Number {
-		return nil, fmt.Errorf("%w: generation %d is in force, not %d", ErrGeneration, s.Generation.Number, *q.IfGeneration)
+// Plan plans a request against the state and the oldest and newest keys of the history. It
+// changes nothing. Documents are not checked again. Errors are ErrGenerationChanged,
+// ErrApplyInProgress, ErrNoChange, ErrTooLarge and *DocumentCountError.
+func (s *State) Plan(request *ApplyRequest, historyKeys []string, limits wire.TxnLimits) (*Plan, error) {
+	if request.IfGeneration != nil && *request.IfGeneration != s.Generation.Number {
+		return nil, &GenerationMismatchError{InForce: s.Generation.Number, Wanted: *request.IfGeneration}
 	}
-	if s.Generation.Staging != "" && s.Generation.Staging != q.ID {
-		return nil, ErrStaging
+	if s.Generation.StagingApplyID != "" && s.Generation.StagingApplyID != request.ID {
+		return nil, ErrApplyInProgress
 	}
-	p := &Plan{Generation: s.Generation.Number + 1}
-	s.differences(q, p)
-	if len(p.Changes) == 0 {
+	p := planner{state: s, request: request, limits: limits}
+	p.plan.Generation = s.Generation.Number + 1
+	p.plan.Changes = s.differences(request.Changes)
+	if len(p.plan.Changes) == 0 {
 		return nil, ErrNoChange
 	}
-	if n := len(s.Documents()) + len(p.Changes); n > MaxDocuments {
-		return nil, fmt.Errorf("%d documents, of %d at most", n, MaxDocuments)
+	if count := len(s.Documents()) + len(p.plan.Changes); count > MaxDocuments {
+		return nil, &DocumentCountError{count, MaxDocuments}
 	}
-	generation := Generation{Number: p.Generation, Apply: q.ID, At: q.At}
-	records := s.replaced(p)
-	past, err := historyOf(p, q, limits)
-	if err != nil {
+	if err := p.planMutations(historyKeys); err != nil {
 		return nil, err
 	}
-	stale := s.staleHistory(history, p.Generation, len(past))
-	p.Switch = slices.Concat(records, past, []wire.Mutation{{Put: GenerationKey, Value: generation}})
-	p.Switch = append(p.Switch, deletions(stale.abandoned)...)
-	p.Tidy = stale.old
-	if fits(limits, p.Switch) {
-		return p, nil
-	}
-	return p, s.stage(p, q, generation, slices.Concat(past, deletions(stale.abandoned)), limits)
+	return &p.plan, nil
 }
 
-// differences finds what the request changes.
-func (s *State) differences(q *Request, p *Plan) {
-	for i := range q.Changes {
-		c := &q.Changes[i]
-		old := s.Find(c.Kind, c.Name)
-		h := HistoryChange{Kind: c.Kind, Name: c.Name}
-		if old != nil {
-			h.Before = old.Body
+// differences returns what changes do to the documents in force.
+func (s *State) differences(changes []Change) (differences []HistoryChange) {
+	for i := range changes {
+		change := &changes[i]
+		difference := HistoryChange{Kind: change.Kind, Name: change.Name}
+		if old := s.Find(change.Kind, change.Name); old != nil {
+			difference.Before = old.Body
 		}
-		if !c.Remove {
-			h.After = c.Body
+		if !change.Remove {
+			difference.After = change.Body
 		}
-		if !slices.Equal(h.Before, h.After) {
-			p.Changes = append(p.Changes, h)
+		if !slices.Equal(difference.Before, difference.After) {
+			differences = append(differences, difference)
 		}
 	}
+	return differences
 }
 
-// replaced is the documents as one transaction stores them. Versions that an abandoned apply
-// has left go, since the new generation would put them in force.
-func (s *State) replaced(p *Plan) (out []wire.Mutation) {
-	changed := map[string]bool{}
-	for _, c := range p.Changes {
-		key := documentKey(c.Kind, c.Name)
-		changed[key] = true
-		if c.After == nil {
-			out = append(out, wire.Mutation{Delete: key})
-			continue
-		}
-		out = append(out, wire.Mutation{Put: key, Value: Record{Current: &Version{Generation: p.Generation, Body: c.After}}})
+// planner makes a plan from the differences that it is to bring about.
+type planner struct {
+	state   *State
+	request *ApplyRequest
+	limits  wire.TxnLimits
+	plan    Plan
+}
+
+// planMutations plans the transactions: one, if it fits the limits.
+func (p *planner) planMutations(historyKeys []string) error {
+	next := Generation{Number: p.plan.Generation, ApplyID: p.request.ID, At: p.request.At}
+	activate := wire.Mutation{Put: GenerationKey, Value: next}
+	history, err := p.historyMutations()
+	if err != nil {
+		return err
+	}
+	abandoned, obsolete := classifyHistory(historyKeys, p.plan.Generation, len(history))
+	p.plan.ObsoleteKeys = obsolete
+	p.plan.Activate = slices.Concat(p.replaceDocuments(), p.cleanRecords(), history, []wire.Mutation{activate}, deletions(abandoned))
+	if p.fits(p.plan.Activate) {
+		return nil
+	}
+	p.plan.Activate = []wire.Mutation{activate}
+	if p.state.Generation.StagingApplyID == "" {
+		p.plan.Claim = p.state.Claim(p.request.ID)
 	}
-	return append(out, s.cleaned(func(key string) bool { return changed[key] })...)
+	return p.planBatches(slices.Concat(p.cleanRecords(), p.stageDocuments(), history, deletions(abandoned)))
 }
 
-// cleaned rewrites the records, but for some, that have versions of an abandoned apply, and
-// deletes some of those that hold nothing.
-func (s *State) cleaned(but func(key string) bool) (out []wire.Mutation) {
-	tidied := 0
-	for _, key := range slices.Sorted(maps.Keys(s.records)) {
-		r := s.records[key]
-		v := r.inForce(s.Generation.Number)
-		switch {
-		case but(key):
-		case v == nil && (r.abandoned(s.Generation.Number) || tidied < mostTidied):
-			tidied++
-			out = append(out, wire.Mutation{Delete: key})
-		case r.abandoned(s.Generation.Number):
-			out = append(out, wire.Mutation{Put: key, Value: Record{Current: v}})
+// replaceDocuments returns the changes of documents as one transaction stores them.
+func (p *planner) replaceDocuments() (mutations []wire.Mutation) {
+	for _, change := range p.plan.Changes {
+		key := documentKey(change.Kind, change.Name)
+		if change.After == nil {
+			mutations = append(mutations, wire.Mutation{Delete: key})
+			continue
 		}
+		current := &Version{Generation: p.plan.Generation, Body: change.After}
+		mutations = append(mutations, wire.Mutation{Put: key, Value: Record{Current: current}})
 	}
-	return out
+	return mutations
 }
 
-// stage plans a change that is too large for one transaction: documents get pending versions
-// in as many transactions as that takes, and the last write puts all in force.
-func (s *State) stage(p *Plan, q *Request, next Generation, past []wire.Mutation, limits wire.TxnLimits) error {
-	if s.Generation.Staging == "" {
-		p.Stage = s.Claim(q.ID)
+// stageDocuments returns the changes of documents as pending versions, which are not in
+// force before the new generation is.
+func (p *planner) stageDocuments() (mutations []wire.Mutation) {
+	for _, change := range p.plan.Changes {
+		key := documentKey(change.Kind, change.Name)
+		old := p.state.records[key]
+		mutations = append(mutations, wire.Mutation{Put: key, Value: Record{
+			Current: old.inForce(p.state.Generation.Number),
+			Pending: &Version{Generation: p.plan.Generation, Body: change.After, Removed: change.After == nil},
+		}})
 	}
-	var writes []wire.Mutation
+	return mutations
+}
+
+// cleanRecords rewrites the records of unchanged documents that have versions of an
+// abandoned apply, since the new generation would put them in force, and deletes some of
+// those that hold nothing.
+func (p *planner) cleanRecords() (mutations []wire.Mutation) {
 	changed := map[string]bool{}
-	for _, c := range p.Changes {
-		key := documentKey(c.Kind, c.Name)
-		changed[key] = true
-		old := s.records[key]
-		writes = append(writes, wire.Mutation{Put: key, Value: Record{
-			Current: old.inForce(s.Generation.Number),
-			Pending: &Version{Generation: p.Generation, Body: c.After, Removed: c.After == nil},
-		}})
+	for _, change := range p.plan.Changes {
+		changed[documentKey(change.Kind, change.Name)] = true
+	}
+	generation := p.state.Generation.Number
+	deleted := 0
+	for _, key := range slices.Sorted(maps.Keys(p.state.records)) {
+		record := p.state.records[key]
+		current := record.inForce(generation)
+		switch {
+		case changed[key]:
+		case current == nil && (record.abandoned(generation) || deleted < maxCleanedKeys):
+			deleted++
+			mutations = append(mutations, wire.Mutation{Delete: key})
+		case record.abandoned(generation):
+			mutations = append(mutations, wire.Mutation{Put: key, Value: Record{Current: current}})
+		}
 	}
-	writes = slices.Concat(s.cleaned(func(key string) bool { return changed[key] }), writes, past)
+	return mutations
+}
+
+// planBatches divides mutations into as many transactions as they take.
+func (p *planner) planBatches(mutations []wire.Mutation) error {
 	var batch []wire.Mutation
-	for _, w := range writes {
-		if !fits(limits, []wire.Mutation{w}) {
-			return fmt.Errorf("%s: too large for the state service", w.Put)
+	for _, mutation := range mutations {
+		if !p.fits([]wire.Mutation{mutation}) {
+			return fmt.Errorf("%s: %w", mutation.Put, ErrTooLarge)
 		}
-		if !fits(limits, append(slices.Clone(batch), w)) {
-			p.Batches = append(p.Batches, batch)
+		if !p.fits(append(slices.Clone(batch), mutation)) {
+			p.plan.StageBatches = append(p.plan.StageBatches, batch)
 			batch = nil
 		}
-		batch = append(batch, w)
+		batch = append(batch, mutation)
 	}
 	if len(batch) > 0 {
-		p.Batches = append(p.Batches, batch)
+		p.plan.StageBatches = append(p.plan.StageBatches, batch)
 	}
-	p.Switch = []wire.Mutation{{Put: GenerationKey, Value: next}}
 	return nil
 }
 
-// fits says whether a transaction with the conditions of a plan is within the limits.
-func fits(limits wire.TxnLimits, changes []wire.Mutation) bool {
-	txn := wire.Txn{Mutations: changes}
-	for range conditionsEach {
-		txn.Conditions = append(txn.Conditions, wire.Condition{Key: GenerationKey, Version: 1 << 60})
+// fits reports whether a transaction of these mutations is within the limits.
+func (p *planner) fits(mutations []wire.Mutation) bool {
+	txn := wire.Txn{Mutations: mutations}
+	for range conditionsPerTxn {
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: GenerationKey, Version: reservedVersion})
 	}
-	return limits.Check(txn) == nil
+	return p.limits.Check(txn) == nil
 }
 
-// historyOf cuts what a generation did into as many keys as that takes.
-func historyOf(p *Plan, q *Request, limits wire.TxnLimits) (out []wire.Mutation, err error) {
-	var parts []History
-	one := func(changes []HistoryChange) History {
-		return History{Generation: p.Generation, Apply: q.ID, By: q.By, At: q.At, Parts: 1 << 20, Changes: changes}
+// historyMutations stores what the generation does in as many keys as that takes.
+func (p *planner) historyMutations() (mutations []wire.Mutation, err error) {
+	generation, changes := p.plan.Generation, p.plan.Changes
+	part := func(changes []HistoryChange) History {
+		return History{Generation: generation, ApplyID: p.request.ID, Author: p.request.Author, At: p.request.At, Parts: reservedPartCount, Changes: changes}
 	}
-	from := 0
-	for i := range p.Changes {
-		whole := wire.Mutation{Put: historyKey(p.Generation, len(parts)), Value: one(p.Changes[from : i+1])}
-		if fits(limits, []wire.Mutation{whole}) {
+	var parts []History
+	first := 0 // change of the part that is being filled
+	for i, change := range changes {
+		filled := wire.Mutation{Put: historyKey(generation, len(parts)), Value: part(changes[first : i+1])}
+		if p.fits([]wire.Mutation{filled}) {
 			continue
 		}
-		if i == from {
-			return nil, fmt.Errorf("%s %q: too large for the state service", p.Changes[i].Kind, p.Changes[i].Name)
+		if i == first {
+			return nil, &DocumentError{change.Kind, change.Name, ErrTooLarge}
 		}
-		parts = append(parts, one(p.Changes[from:i]))
-		from = i
+		parts = append(parts, part(changes[first:i]))
+		first = i
 	}
-	parts = append(parts, one(p.Changes[from:]))
+	parts = append(parts, part(changes[first:]))
 	for i := range parts {
 		parts[i].Parts = len(parts)
-		out = append(out, wire.Mutation{Put: historyKey(p.Generation, i), Value: parts[i]})
+		mutations = append(mutations, wire.Mutation{Put: historyKey(generation, i), Value: parts[i]})
 	}
-	return out, nil
-}
-
-// stale is history that is of no more use.
-type stale struct {
-	abandoned []string // parts of an apply that never came into force, not overwritten now
-	old       []string
+	return mutations, nil
 }
 
-func (s *State) staleHistory(keys []string, next uint64, parts int) (out stale) {
+func deletions(keys []string) (mutations []wire.Mutation) {
 	for _, key := range keys {
-		switch {
-		case key >= historyKey(next, parts):
-			out.abandoned = append(out.abandoned, key)
-		case next > KeptHistory && key < historyKey(next-KeptHistory+1, 0):
-			out.old = append(out.old, key)
-		}
-	}
-	return out
-}
-
-func deletions(keys []string) (out []wire.Mutation) {
-	for _, k := range keys {
-		out = append(out, wire.Mutation{Delete: k})
-	}
-	return out
-}
-
-// HistoryKeys are the keys of the history among entries.
-func HistoryKeys(entries []wire.KeyValue) (out []string) {
-	for _, e := range entries {
-		if strings.HasPrefix(e.Key, HistoryPrefix) {
-			out = append(out, e.Key)
-		}
+		mutations = append(mutations, wire.Mutation{Delete: key})
 	}
-	return out
+	return mutations
 }
--- a/internal/peer/limits_test.go
+++ b/internal/peer/limits_test.go
@@ -85,7 +85,7 @@
 			server.configRead.Documents = append(server.configRead.Documents, change.Document)
 		}
 		const each = 200 // documents that a generation changes: a row of machines, cordoned or not
-		for g := range dynconfig.KeptHistory {
+		for g := range dynconfig.MaxHistory {
 			h := dynconfig.History{Generation: uint64(g)}
 			for _, change := range changes[:each] {
 				h.Changes = append(h.Changes, dynconfig.HistoryChange{Kind: change.Kind, Name: change.Name, After: change.Body})
@@ -100,7 +100,7 @@
 		if err != nil {
 			t.Fatalf("%d bytes: %v", len(b), err)
 		}
-		if len(a.History) != dynconfig.KeptHistory || len(a.Documents) != len(changes) {
+		if len(a.History) != dynconfig.MaxHistory || len(a.Documents) != len(changes) {
 			t.Errorf("%d generations and %d documents arrived", len(a.History), len(a.Documents))
 		}
 	})
--- a/internal/simulation/controllerconfig_test.go
+++ b/internal/simulation/controllerconfig_test.go
@@ -257,7 +257,7 @@
 	c.applied(1, removeX("x is not there")) // changes nothing
 	c.applied(1, cordonX("third"))
 	read, err := c.nodes[2].PeerConfigRead(context.Background(), &peer.ConfigReadRequest{History: true})
-	if err != nil || read.Generation != 2 || len(read.Documents) != 21 || read.History[0].Apply != "third" || len(read.History[0].Changes) != 1 {
+	if err != nil || read.Generation != 2 || len(read.Documents) != 21 || read.History[0].ApplyID != "third" || len(read.History[0].Changes) != 1 {
 		t.Fatalf("generation %d, %d documents, history %+v, %v", read.Generation, len(read.Documents), read.History, err)
 	}
 	for _, d := range read.Documents {
