--- a/internal/sched/admit.go
+++ b/internal/sched/admit.go
@@ -1,71 +1,80 @@
 package sched
 
 import (
+	"errors"
 	"fmt"
-	"maps"
+	"slices"
 
 	"dalefront/internal/config"
 	"dalefront/wire"
 )
 
+var (
+	// ErrNoMachineType says that a job's tasks fit no machine type that it may use.
+	ErrNoMachineType = errors.New("a task fits no allowed machine type")
+	// ErrSpreadInOneZone says that a job asks for tasks in several zones, and may have them in one only.
+	ErrSpreadInOneZone = errors.New("its tasks must be spread over zones, and may be in one only")
+)
+
+// UnknownTeamError says that a job names a team that the settings don't have.
+type UnknownTeamError struct{ Team string }
+
+func (e *UnknownTeamError) Error() string { return fmt.Sprintf("unknown team %q", e.Team) }
+
+// OverLimitError says that the tasks of a job that must run together exceed their team's limit.
+type OverLimitError struct{ Team string }
+
+func (e *OverLimitError) Error() string { return fmt.Sprintf("more than the limit of team %q", e.Team) }
+
 // fitsType says whether a task of the job may ever run on an empty machine of
 // the type.
 func fitsType(j *wire.Job, t *wire.MachineType) bool {
-	if j.Types != nil {
-		ok := false
-		for _, n := range j.Types {
-			ok = ok || n == t.Name
-		}
-		if !ok {
-			return false
-		}
+	if j.Types != nil && !slices.Contains(j.Types, t.Name) {
+		return false
 	}
-	if j.Zone != nil {
-		ok := false
-		for _, z := range t.Zones {
-			ok = ok || z == *j.Zone
-		}
-		if !ok {
-			return false
-		}
+	if j.Zone != nil && !slices.Contains(t.Zones, *j.Zone) {
+		return false
 	}
 	return j.CPUs <= t.CPUs+epsilon && j.GPUs <= t.GPUs+epsilon && j.MemoryGB <= t.MemoryGB+epsilon
 }
 
-// Admit says why a well-formed job can never run, or returns nil.
-func Admit(set *config.Settings, cat wire.Catalog, j *wire.Job) error {
-	var tm *config.Team
-	for i := range set.Deployment.Teams {
-		if set.Deployment.Teams[i].Name == j.Team {
-			tm = &set.Deployment.Teams[i]
+// fittingZones counts the zones in which a task of the job may run on a machine of some type.
+func fittingZones(j *wire.Job, types []wire.MachineType) int {
+	zones := map[string]bool{}
+	for i := range types {
+		if !fitsType(j, &types[i]) {
+			continue
 		}
-	}
-	if tm == nil {
-		return fmt.Errorf("unknown team %q", j.Team)
-	}
-	zones := map[string]bool{} // in which a task fits
-	for i := range cat.Types {
-		if t := &cat.Types[i]; fitsType(j, t) {
-			for _, z := range t.Zones {
-				zones[z] = zones[z] || j.Zone == nil || *j.Zone == z
+		for _, zone := range types[i].Zones {
+			if j.Zone == nil || *j.Zone == zone {
+				zones[zone] = true
 			}
 		}
 	}
-	maps.DeleteFunc(zones, func(_ string, in bool) bool { return !in })
-	if len(zones) == 0 {
-		return fmt.Errorf("a task fits no allowed machine type")
+	return len(zones)
+}
+
+// Admit says why a well-formed job can never run, or returns nil.
+func Admit(settings *config.Settings, machineTypes wire.Catalog, j *wire.Job) error {
+	teams := settings.Deployment.Teams
+	at := slices.IndexFunc(teams, func(t config.Team) bool { return t.Name == j.Team })
+	if at < 0 {
+		return &UnknownTeamError{j.Team}
+	}
+	zones := fittingZones(j, machineTypes.Types)
+	if zones == 0 {
+		return ErrNoMachineType
 	}
-	n := 1.0
+	together := 1.0 // tasks that must run at the same time: an array may run in parts
 	if j.Shape != wire.Array {
-		n = float64(j.Tasks)
-		// An array may run in halves; these need all their tasks at once.
-		if j.Spread && j.Tasks > 1 && (j.OneZone || len(zones) == 1) {
-			return fmt.Errorf("its tasks must be spread over zones, and may be in one only")
+		together = float64(j.Tasks)
+		if j.Spread && j.Tasks > 1 && (j.OneZone || zones == 1) {
+			return ErrSpreadInOneZone
 		}
 	}
-	t := team{Team: *tm}
-	if !t.withinLimit(n*j.CPUs, n*j.GPUs) {
-		return fmt.Errorf("more than the limit of team %q", j.Team)
+	t := team{Team: teams[at]}
+	if !t.withinLimit(together*j.CPUs, together*j.GPUs) {
+		return &OverLimitError{j.Team}
 	}
 	return nil
 }
--- a/internal/sched/fleet.go
+++ b/internal/sched/fleet.go
@@ -153,7 +153,7 @@
 	}
 	lag := config.Micro(c.settings.Deployment.Cloud.ListLagS)
 	hosts := slices.Clone(c.machines.all())
-	room := &rescheduleCosts{c: c}
+	room := newRescheduleCosts(c)
 	boots := c.bootCurves()
 	for _, m := range hosts {
 		if m.scalingIn {
--- a/internal/sched/quarantine.go
+++ b/internal/sched/quarantine.go
@@ -6,7 +6,7 @@
 )
 
 // A task that failed speaks against its machine or against its job. A machine is
-// to blame if it fails jobs that do well elsewhere; a job is suspect once it has
+// at fault if it fails jobs that do well elsewhere; a job is suspect once it has
 // failed on two machines and nowhere done anything, and what it does from then on
 // says nothing against any machine.
 
@@ -14,15 +14,19 @@
 // with one task (a gang as a whole) after ever longer pauses, and only in room that
 // is there: nothing makes way, is kept or is rented for it. It is never given up,
 // since the fault may have been the machines' after all.
-func (j *job) isSuspect() bool { return j.completedCount == 0 && len(j.failedHosts) >= 2 }
+func (j *job) isSuspect() bool { return j.completedCount == 0 && len(j.failedHosts) >= suspectHosts }
+
+// suspectHosts is the number of machines on which a job must have failed to be suspect.
+const suspectHosts = 2
 
 const (
 	failureBackoffCap      = 60 * second
-	backoffDoublings       = 6          // beyond which the pause would exceed its cap anyway
-	machineFailurePause    = 4 * second // for which a machine, or a job that does well elsewhere, pauses after a failure
-	quarantineAfterJobs    = 2          // jobs that do well elsewhere and fail on a machine
-	quarantineAfterAnyJobs = 4          // jobs of any kind that fail on a machine on which nothing completes
-	suspectScaleOutDelayS  = 30         // seconds that a suspect's try may wait for room before it is rented
+	backoffDoublings       = 6           // beyond which the pause would exceed its cap anyway
+	machineFailurePause    = 4 * second  // for which a machine, or a job that does well elsewhere, pauses after a failure
+	quarantineAfterJobs    = 2           // jobs that do well elsewhere and fail on a machine
+	quarantineAfterAnyJobs = 4           // jobs of any kind that fail on a machine on which nothing completes
+	suspectScaleOutDelay   = 30 * second // for which a suspect's try may wait for room before it is rented
+	recoveryMargin         = 5 * second  // see clearSuspicion
 )
 
 // failureHistory is what a job's failures say about it.
@@ -144,7 +148,7 @@
 // the time after which others failed.
 func (c *Core) clearSuspicion(j *job) {
 	for p := range j.placements {
-		if p.runningSince > 0 && !p.recovered && !p.stopping && c.now-p.runningSince > 2*j.longestFailedRun+5*second {
+		if p.runningSince > 0 && !p.recovered && !p.stopping && c.now-p.runningSince > 2*j.longestFailedRun+recoveryMargin {
 			j.reset()
 			return
 		}
@@ -167,7 +171,7 @@
 // so long that nobody else can be expected to leave anything.
 func (c *Core) mayScaleOutFor(j *job) bool {
 	if j.isSuspect() {
-		return c.now > j.backoffUntil+config.Micro(suspectScaleOutDelayS)
+		return c.now > j.backoffUntil+suspectScaleOutDelay
 	}
 	return !j.hasNoObjective() || c.now-j.arrival > config.Micro(*c.settings.Operator.LeftoverRentS)
 }
--- a/internal/sched/reconcile.go
+++ b/internal/sched/reconcile.go
@@ -95,11 +95,7 @@
 // stopBrokenGangs stops what is left of gang attempts that can't complete any more.
 func (c *Core) stopBrokenGangs() {
 	for _, j := range c.jobs.sorted(func(j *job) bool { return j.isGang() && j.gangBroken }) {
-		for _, p := range j.sortedPlacements() {
-			if !p.checkpointing {
-				c.stopPlacement(p, false)
-			}
-		}
+		c.stopGang(j)
 	}
 }
 
--- a/internal/sched/replacement.go
+++ b/internal/sched/replacement.go
@@ -9,64 +9,126 @@
 	"dalefront/wire"
 )
 
+// slowestFetch is the least rate of fetching images, in GB/s, that is reckoned with.
+const slowestFetch = 0.01
+
 // rescheduleCosts knows, during one round of decisions about silent machines, how soon
-// their tasks could start on others.
+// their tasks could start on others. What it found out for one machine it uses for the next.
 type rescheduleCosts struct {
-	c    *Core
-	free map[*class]int    // places that nobody waits for
-	boot map[*class]Micros // until a rented machine could take one, -1 if none can be had
-	need map[string]bool   // whether room on such a machine would be used
+	core      *Core
+	freeSlots map[*class]int    // slots that nobody waits for
+	bootDelay map[*class]Micros // until a rented machine could take a task, negative if none can be had
+	wanted    map[string]bool   // by type, zone and kind of machine: whether room on it would be used
+}
+
+func newRescheduleCosts(c *Core) *rescheduleCosts {
+	return &rescheduleCosts{core: c, freeSlots: map[*class]int{}, bootDelay: map[*class]Micros{}, wanted: map[string]bool{}}
 }
 
 // delay is how long a task of a returned machine would wait until it runs again: it
-// takes a free place, or a machine that has to be rented, or, where none can be had,
+// takes a free slot, or a machine that has to be rented, or, where none can be had,
 // the one that takes the returned one's place once it can be reached.
-func (e *rescheduleCosts) delay(j *job, m *machine, f *failuredomain.Finding) Micros {
-	c := e.c
-	if e.free == nil {
-		e.free, e.boot = map[*class]int{}, map[*class]Micros{}
-	}
-	n, ok := e.free[j.class]
-	if !ok {
-		for _, o := range c.lastPass.schedulable {
-			if allowed(j, o) && (o.reservedFor == nil || o.reservedFor == j) {
-				n += slotsFor(j, o.machineType, o.used())
-			}
-		}
-		for o := range c.jobs.all() {
-			if o.rank >= j.rank && o.pendingCount() > 0 && o.team.withinLimit(o.spec.CPUs, o.spec.GPUs) && (o.class == j.class || o.spec.GPUs > 0 == (j.spec.GPUs > 0)) {
-				n -= o.pendingCount()
-			}
+func (r *rescheduleCosts) delay(j *job, m *machine, finding *failuredomain.Finding) Micros {
+	fetch := config.Micro(j.spec.ImageGB / max(m.machineType.FetchGBPS, slowestFetch))
+	if r.takeSlot(j) {
+		return fetch
+	}
+	if boot := r.boot(j); boot >= 0 {
+		return boot + fetch
+	}
+	boot := config.Micro(m.machineType.BootS)
+	if finding.Verdict == failuredomain.Cut {
+		boot = max(finding.Expect, boot)
+	}
+	return boot + fetch
+}
+
+// takeSlot takes one of the slots for the job's class that nobody waits for, and says whether there was one.
+func (r *rescheduleCosts) takeSlot(j *job) bool {
+	slots, known := r.freeSlots[j.class]
+	if !known {
+		slots = r.core.slotsBeyondWaiting(j)
+	}
+	r.freeSlots[j.class] = slots - 1
+	return slots > 0
+}
+
+// boot is how long a rented machine for a task of the job takes to boot, negative if none can be had.
+func (r *rescheduleCosts) boot(j *job) Micros {
+	boot, known := r.bootDelay[j.class]
+	if !known {
+		boot = r.core.fastestBoot(j)
+		r.bootDelay[j.class] = boot
+	}
+	return boot
+}
+
+// wants says whether room on the machine would be used if it were there now.
+func (r *rescheduleCosts) wants(m *machine) bool {
+	key := spotKey(m.machineType.Name, m.zone, m.spot)
+	wanted, known := r.wanted[key]
+	if !known {
+		wanted = r.core.wantsRoom(m)
+		r.wanted[key] = wanted
+	}
+	return wanted
+}
+
+// slotsBeyondWaiting is how many tasks of the job there is room for beside the waiting ones that compete with them;
+// it is negative if more wait.
+func (c *Core) slotsBeyondWaiting(j *job) int {
+	slots := 0
+	for _, m := range c.lastPass.schedulable {
+		if allowed(j, m) && (m.reservedFor == nil || m.reservedFor == j) {
+			slots += slotsFor(j, m.machineType, m.used())
 		}
 	}
-	e.free[j.class] = n - 1
-	fetch := config.Micro(j.spec.ImageGB / max(m.machineType.FetchGBPS, 0.01))
-	if n > 0 {
-		return fetch
+	for other := range c.jobs.all() {
+		if other.rank >= j.rank && other.pendingCount() > 0 && other.team.withinLimit(other.spec.CPUs, other.spec.GPUs) && other.competesWith(j) {
+			slots -= other.pendingCount()
+		}
 	}
-	boot, ok := e.boot[j.class]
-	if !ok {
-		boot = -1
-		for _, t := range c.machineTypes {
-			for _, z := range t.Zones {
-				if !fitsType(&j.spec, t) || (j.spec.Zone != nil && *j.spec.Zone != z) || c.detector.IsCut(z) ||
-					(c.lacksCapacity(t.Name, z, false) && (!j.spec.Spot || c.lacksCapacity(t.Name, z, true))) {
-					continue
-				}
-				if b := config.Micro(t.BootS); boot < 0 || b < boot {
-					boot = b
-				}
+	return slots
+}
+
+// competesWith says whether two jobs use the same kind of machines, roughly.
+func (j *job) competesWith(other *job) bool {
+	return j.class == other.class || (j.spec.GPUs > 0) == (other.spec.GPUs > 0)
+}
+
+// fastestBoot is how long the fastest type of machine that can be had for the job takes to boot, negative if none
+// can.
+func (c *Core) fastestBoot(j *job) Micros {
+	fastest := Micros(-1)
+	for _, t := range c.machineTypes {
+		for _, zone := range t.Zones {
+			if !c.isRentable(j, t, zone) {
+				continue
+			}
+			if boot := config.Micro(t.BootS); fastest < 0 || boot < fastest {
+				fastest = boot
 			}
 		}
-		e.boot[j.class] = boot
 	}
-	switch {
-	case boot >= 0:
-		return boot + fetch
-	case f.Verdict == failuredomain.Cut:
-		return max(f.Expect, config.Micro(m.machineType.BootS)) + fetch
+	return fastest
+}
+
+// isRentable says whether, as far as known, the cloud has such a machine for the job that could be reached.
+func (c *Core) isRentable(j *job, t *wire.MachineType, zone string) bool {
+	if !fitsType(&j.spec, t) || (j.spec.Zone != nil && *j.spec.Zone != zone) || c.detector.IsCut(zone) {
+		return false
+	}
+	return !c.lacksCapacity(t.Name, zone, false) || (j.spec.Spot && !c.lacksCapacity(t.Name, zone, true))
+}
+
+// wantsRoom says whether waiting or expected tasks could use the machine.
+func (c *Core) wantsRoom(m *machine) bool {
+	for j := range c.jobs.all() {
+		if j.pendingCount() > 0 && allowed(j, m) && fitsType(&j.spec, m.machineType) {
+			return true
+		}
 	}
-	return config.Micro(m.machineType.BootS) + fetch
+	return c.expectedTasks(m.machineType) > 0 || (c.standbyDemand() > 0 && c.serves(m.machineType, m.zone, m.spot) > 0)
 }
 
 // shouldReplace weighs, for a machine that is silent beyond its lease, what waiting for it
@@ -76,111 +138,115 @@
 // saves, and from what a replacement takes. Returning is the only way to free what
 // may still be on the machine; it is never free of cost, since a machine that is only
 // cut off goes on working.
-func (c *Core) shouldReplace(m *machine, e *rescheduleCosts) (why string, ok bool) {
-	f := c.detector.judge(c.now, m)
-	if f.Verdict == failuredomain.Blind {
+func (c *Core) shouldReplace(m *machine, costs *rescheduleCosts) (why string, replace bool) {
+	finding := c.detector.judge(c.now, m)
+	switch {
+	case finding.Verdict == failuredomain.Blind:
 		return "", false
-	}
-	if f.Verdict == failuredomain.Dead {
-		return f.Evidence, true
-	}
-	patience := *c.settings.Operator.Patience
-	if patience == 0 {
+	case finding.Verdict == failuredomain.Dead:
+		return finding.Evidence, true
+	case *c.settings.Operator.Patience == 0:
 		return "no patience is set", true
 	}
-	expect := float64(f.Expect)
-	if f.Verdict == failuredomain.Unclear {
+	weighing := replacementWeighing{core: c, machine: m, costs: costs, finding: &finding, wait: expectedSilence(&finding) / *c.settings.Operator.Patience}
+	if weighing.gain() <= 0 {
+		return "", false
+	}
+	return fmt.Sprintf("%s, %s, expected for %.0f s more", finding.Verdict, finding.Evidence, weighing.wait/float64(second)), true
+}
+
+// expectedSilence is how long a silent machine is expected to stay so, in microseconds.
+func expectedSilence(finding *failuredomain.Finding) float64 {
+	back := float64(finding.Expect)
+	if finding.Verdict == failuredomain.Unclear {
 		// Either it is dead, which the list will tell, or it comes back.
-		expect = f.Dying*float64(f.Known) + (1-f.Dying)*expect
+		return finding.Dying*float64(finding.Known) + (1-finding.Dying)*back
 	}
-	expect /= patience
+	return back
+}
+
+// replacementWeighing is what a decision about one silent machine rests on.
+type replacementWeighing struct {
+	core    *Core
+	machine *machine
+	costs   *rescheduleCosts
+	finding *failuredomain.Finding
+	wait    float64 // microseconds until the machine is expected back, by the set patience
+}
+
+// gain is how much time of tasks, in microseconds of the whole machine, returning it now is expected to save.
+func (w *replacementWeighing) gain() float64 {
 	gain, idle := 0.0, 1.0
-	m.eachPlacement(func(p *placement) {
-		j := p.job
-		part := j.spec.CPUs / max(m.machineType.CPUs, epsilon)
-		if m.machineType.GPUs > 0 {
-			part = max(part, j.spec.GPUs/m.machineType.GPUs)
-		}
-		if j.finalStatus == wire.JobCancelled {
-			gain += part * expect // its user waits for the word that it is gone
+	w.machine.eachPlacement(func(p *placement) {
+		part := w.part(p.job)
+		taskGain, needed := w.gainFor(p, part)
+		gain += taskGain
+		if needed {
 			idle -= part
-			return
 		}
-		if j.isOver() || j.isCompleted(p.taskIndex) {
-			return // nobody waits for it: room, which also counts against its team's limit
-		}
-		idle -= part
-		if j.isGang() && (j.gangBroken || p.stopping) {
-			// Its whole gang waits for this attempt to be gone.
-			gain += part * expect * float64(j.spec.Tasks)
-			return
-		}
-		delay := float64(e.delay(j, m, &f))
-		if p.stopping || !f.Working {
-			gain += part * (expect - delay) // it runs no more: it only has to start again
-			return
-		}
-		left, lost, unended := c.workAtRisk(p, f.Since)
-		gain += part * (unended*(max(expect, left)-(delay+left+lost)) + (1-unended)*(expect-delay))
 	})
 	if idle > epsilon {
 		replace := 0.0
-		if e.needs(m) {
-			replace = m.machineType.BootS * float64(second)
+		if w.costs.wants(w.machine) {
+			replace = w.machine.machineType.BootS * float64(second)
 		}
-		gain += idle * (expect - replace)
-	}
-	if gain <= 0 {
-		return "", false
+		gain += idle * (w.wait - replace)
 	}
-	return fmt.Sprintf("%s, %s, expected for %.0f s more", f.Verdict, f.Evidence, expect/float64(second)), true
+	return gain
+}
+
+// part is the part of the machine that a task of the job takes.
+func (w *replacementWeighing) part(j *job) float64 {
+	t := w.machine.machineType
+	part := j.spec.CPUs / max(t.CPUs, epsilon)
+	if t.GPUs > 0 {
+		part = max(part, j.spec.GPUs/t.GPUs)
+	}
+	return part
+}
+
+// gainFor is what a task that may be on the machine, and takes a part of it, gains if the machine is returned now.
+// needed says whether anybody waits for the task or for the word that it is gone; what others take counts as idle.
+func (w *replacementWeighing) gainFor(p *placement, part float64) (gain float64, needed bool) {
+	j := p.job
+	switch {
+	case j.finalStatus == wire.JobCancelled:
+		return part * w.wait, true // its user waits for the word that it is gone
+	case j.isOver() || j.isCompleted(p.taskIndex):
+		return 0, false // it is room, which also counts against its team's limit
+	case j.isGang() && (j.gangBroken || p.stopping):
+		return part * w.wait * float64(j.spec.Tasks), true // its whole gang waits for this attempt to be gone
+	}
+	delay := float64(w.costs.delay(j, w.machine, w.finding))
+	if p.stopping || !w.finding.Working {
+		return part * (w.wait - delay), true // it runs no more: it only has to start again
+	}
+	left, lost, unended := w.core.workAtRisk(p, w.finding.Since)
+	return part * (unended*(max(w.wait, left)-(delay+left+lost)) + (1-unended)*(w.wait-delay)), true
 }
 
 // workAtRisk is what a task that goes on working out of sight has still to run, what it
-// would have to repeat if its machine were returned now, and how likely it has not
+// would have to repeat if its machine were returned now, both in microseconds, and how likely it has not
 // ended yet, which nobody can see: run times are taken to vary as much as they are
 // long. One that has ended has lost nothing, as its result is kept.
 func (c *Core) workAtRisk(p *placement, since Micros) (left, lost, unended float64) {
-	est := float64(p.job.expectedRunTime())
-	if est == 0 {
+	estimate := float64(p.job.expectedRunTime())
+	if estimate == 0 {
 		return math.MaxInt32 * float64(second), 0, 1 // a replica runs until it is stopped
 	}
-	ran := est / 2 // at the beginning of the silence; it ran before this term
+	ran := estimate / 2 // at the beginning of the silence; it ran before this term
 	switch {
 	case p.runningSince > 0:
 		ran = float64(since - p.runningSince)
 	case !p.recovered:
 		ran = 0
 	}
-	left = max(est-ran, est/4) // later than expected is likely to be a while later still
+	left = max(estimate-ran, estimate/4) // later than expected is likely to be a while later still
 	silent := float64(c.now - since)
 	unended = math.Exp(-silent / left)
 	lost = max(0, ran) + silent
-	if every := p.job.spec.CheckpointIntervalS; every > 0 {
-		lost = min(lost, every*float64(second))
+	if interval := p.job.spec.CheckpointIntervalS; interval > 0 {
+		lost = min(lost, interval*float64(second))
 	}
 	return left, lost, unended
 }
-
-// needs says whether room on the machine would be used if it were there now.
-func (e *rescheduleCosts) needs(m *machine) bool {
-	k := spotKey(m.machineType.Name, m.zone, m.spot)
-	need, ok := e.need[k]
-	if !ok {
-		if e.need == nil {
-			e.need = map[string]bool{}
-		}
-		need = e.c.needs(m)
-		e.need[k] = need
-	}
-	return need
-}
-
-func (c *Core) needs(m *machine) bool {
-	for j := range c.jobs.all() {
-		if j.pendingCount() > 0 && allowed(j, m) && fitsType(&j.spec, m.machineType) {
-			return true
-		}
-	}
-	return c.expectedTasks(m.machineType) > 0 || (c.standbyDemand() > 0 && c.serves(m.machineType, m.zone, m.spot) > 0)
-}
--- a/internal/sched/statistics.go
+++ b/internal/sched/statistics.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"maps"
 	"slices"
-	"sort"
 
 	"dalefront/internal/failuredomain"
 )
@@ -96,37 +95,52 @@
 	l.Teams = slices.DeleteFunc(l.Teams, func(t TeamStatistics) bool { return !kept[t.Name] })
 }
 
+// learnedDone is the decayed count of ended jobs below which nothing is stored of a team.
+const learnedDone = 0.1
+
 // Statistics sums up what was observed.
 func (c *Core) Statistics(now Micros) Statistics {
-	l := Statistics{At: now, Write: c.bandwidth.write, Silence: c.detector.Memory()}
+	l := Statistics{
+		At: now, Write: c.bandwidth.write, Silence: c.detector.Memory(),
+		Classes: c.classStatistics(now), Teams: c.teamStatistics(now), Suspect: c.suspectStatistics(),
+	}
+	l.cutTeams(c.settings.Deployment.State.ValueKB * 1024)
+	return l
+}
+
+// classStatistics sums up the classes that most arrives of, these first.
+func (c *Core) classStatistics(now Micros) (classes []ClassStatistics) {
 	for _, cl := range c.classes.sorted() {
 		cl.decay(now)
 		if len(cl.name) <= maxLearnedName {
 			cl.service.decay(now)
-			l.Classes = append(l.Classes, ClassStatistics{cl.name, cl.runTimeRatio, cl.decayedArrivals, cl.meanTasks, cl.service.decayedDone})
+			classes = append(classes, ClassStatistics{cl.name, cl.runTimeRatio, cl.decayedArrivals, cl.meanTasks, cl.service.decayedDone})
 		}
 	}
+	slices.SortFunc(classes, func(a, b ClassStatistics) int {
+		return cmp.Or(cmp.Compare(b.Arrivals, a.Arrivals), cmp.Compare(a.Name, b.Name))
+	})
+	return classes[:min(len(classes), mostLearned)]
+}
+
+// teamStatistics sums up the teams of which jobs have ended lately, by name.
+func (c *Core) teamStatistics(now Micros) (teams []TeamStatistics) {
 	for _, t := range c.teams.sorted() {
-		if t.service.decay(now); t.service.decayedDone > 0.1 && len(t.Name) <= maxLearnedName {
-			l.Teams = append(l.Teams, TeamStatistics{t.Name, t.service.decayedDone})
+		if t.service.decay(now); t.service.decayedDone > learnedDone && len(t.Name) <= maxLearnedName {
+			teams = append(teams, TeamStatistics{t.Name, t.service.decayedDone})
 		}
 	}
-	sort.Slice(l.Classes, func(a, b int) bool {
-		x, y := &l.Classes[a], &l.Classes[b]
-		if x.Arrivals != y.Arrivals {
-			return x.Arrivals > y.Arrivals
-		}
-		return x.Name < y.Name
-	})
-	l.Classes = l.Classes[:min(len(l.Classes), mostLearned)]
-	for _, j := range c.jobs.sorted(func(j *job) bool { return !j.isOver() && j.isSuspect() }) {
-		if len(l.Suspect) < mostLearned {
-			hosts := slices.Sorted(maps.Keys(j.failedHosts))
-			l.Suspect = append(l.Suspect, JobStatistics{j.id, hosts[:2], j.failureRounds})
-		}
+	return teams
+}
+
+// suspectStatistics sums up the first suspect jobs, by id.
+func (c *Core) suspectStatistics() (suspects []JobStatistics) {
+	jobs := c.jobs.sorted(func(j *job) bool { return !j.isOver() && j.isSuspect() })
+	for _, j := range jobs[:min(len(jobs), mostLearned)] {
+		hosts := slices.Sorted(maps.Keys(j.failedHosts))
+		suspects = append(suspects, JobStatistics{j.id, hosts[:suspectHosts], j.failureRounds})
 	}
-	l.cutTeams(c.settings.Deployment.State.ValueKB * 1024)
-	return l
+	return suspects
 }
 
 // RestoreStatistics takes what the last leader observed, after the jobs. Times of day of
@@ -136,30 +150,47 @@
 		c.bandwidth.write = l.Write
 	}
 	c.detector.Remember(l.Silence)
-	for _, x := range l.Classes {
-		if x.Ratio <= 0 || x.Arrivals < 0 || x.Size < 0 {
-			continue
-		}
-		cl := c.classOf(x.Name)
-		cl.runTimeRatio = x.Ratio
-		cl.service.restore(x.Ended, min(l.At, c.now), c.now)
-		old := class{decayedArrivals: x.Arrivals, decayedAt: min(l.At, c.now)}
-		old.decay(c.now)
-		if old.decayedArrivals > cl.decayedArrivals {
-			cl.decayedArrivals, cl.decayedAt, cl.meanTasks = old.decayedArrivals, c.now, x.Size
-			if cl.lastArrival == 0 {
-				cl.lastArrival = c.now // nobody says how long before
-			}
-		}
+	at := min(l.At, c.now)
+	for i := range l.Classes {
+		c.restoreClass(&l.Classes[i], at)
 	}
-	for _, x := range l.Suspect {
-		if j := c.jobs.find(x.ID); j != nil && j.completedCount == 0 && len(x.Hosts) == 2 && x.Hosts[0] != x.Hosts[1] {
-			j.restore(x.Hosts, x.Times, c.now)
+	for _, suspect := range l.Suspect {
+		if j := c.jobs.find(suspect.ID); j != nil && j.completedCount == 0 && suspect.isValid() {
+			j.restore(suspect.Hosts, suspect.Times, c.now)
 		}
 	}
 	for _, x := range l.Teams {
 		if t := c.teams.find(x.Name); t != nil {
-			t.service.restore(x.Ended, min(l.At, c.now), c.now)
+			t.service.restore(x.Ended, at, c.now)
 		}
 	}
 }
+
+// restoreClass takes what the last leader observed of a class until a time.
+func (c *Core) restoreClass(x *ClassStatistics, at Micros) {
+	if x.Ratio <= 0 || x.Arrivals < 0 || x.Size < 0 {
+		return
+	}
+	cl := c.classOf(x.Name)
+	cl.runTimeRatio = x.Ratio
+	cl.service.restore(x.Ended, at, c.now)
+	cl.restoreArrivals(x.Arrivals, x.Size, at, c.now)
+}
+
+// restoreArrivals takes the count of arrivals as of a time, unless more have been seen already.
+func (cl *class) restoreArrivals(arrivals, meanTasks float64, at, now Micros) {
+	old := class{decayedArrivals: arrivals, decayedAt: at}
+	old.decay(now)
+	if old.decayedArrivals <= cl.decayedArrivals {
+		return
+	}
+	cl.decayedArrivals, cl.decayedAt, cl.meanTasks = old.decayedArrivals, now, meanTasks
+	if cl.lastArrival == 0 {
+		cl.lastArrival = now // nobody says how long before
+	}
+}
+
+// isValid says whether it names as many different machines as make a job suspect.
+func (s *JobStatistics) isValid() bool {
+	return len(s.Hosts) == suspectHosts && s.Hosts[0] != s.Hosts[1]
+}
