--- a/internal/sched/admit.go
+++ b/internal/sched/admit.go
@@ -72,8 +72,8 @@
 			return ErrSpreadInOneZone
 		}
 	}
-	t := team{Team: teams[at]}
-	if !t.withinLimit(together*j.CPUs, together*j.GPUs) {
+	q := quota{Team: teams[at]}
+	if !q.withinLimit(together*j.CPUs, together*j.GPUs) {
 		return &OverLimitError{j.Team}
 	}
 	return nil
--- a/internal/sched/bootestimate.go
+++ b/internal/sched/bootestimate.go
@@ -10,7 +10,7 @@
 
 // How long to wait for a machine that was rented and does not come up goes by what was
 // seen of its type lately: a survival estimate (Kaplan and Meier, 1958) of the time from
-// the request to the first report, in the type's boot times, in which machines that still
+// the request to the first heartbeat, in the type's boot times, in which machines that still
 // boot count for as long as they have. A trouble that slows boots down shows at once in
 // those that still boot, and nothing is given up that a fresh one would not overtake; one
 // that keeps machines from ever coming up shows as soon as others of the same age have
@@ -171,7 +171,7 @@
 func (c *Core) unlikelyToBoot(m *machine, boots map[string]survivalCurve) bool {
 	s, known := boots[m.machineType.Name]
 	if !known || !m.booting || m.registered || m.lastListedRunning > 0 || c.detector.IsCut(m.zone) {
-		return false // what the cloud shows running boots no more, and in a cut zone nothing is heard
+		return false // what the cloud shows running boots no more, and nothing comes through from a zone that is cut off
 	}
 	age := m.bootAge(c.now)
 	return age > leastBoot && freshGain*s.upWithin(age, bootHorizon) < s.upWithin(0, bootHorizon)
--- a/internal/sched/class.go
+++ b/internal/sched/class.go
@@ -61,13 +61,13 @@
 	sampleJob       *job    // a recent job, for its shape
 	meanTasks       float64 // tasks of a job, a mean that forgets
 	service         serviceShare
-	largeJobService serviceShare // of had, what the largest jobs had
+	largeJobService serviceShare // of service, that of the largest jobs
 	recentSizes     sizeWindow
 
 	capacity   float64 // CPUs that its jobs have between them
 	capacityAt Micros
 
-	// what the aims ask for, the strictest first
+	// what the objectives ask for, the strictest first
 	waitObjectives       []Micros
 	completionObjectives []Micros
 	deadlineFactors      []float64 // of the deadline
@@ -76,6 +76,11 @@
 // arrivalDecayTime is the time in which arrivals lose two thirds of their weight.
 const arrivalDecayTime = 120 * second
 
+const (
+	meanTasksWeight = 0.1 // of a new job in the mean
+	rareArrivals    = 3   // arrivals in a while in which none came that can be excluded with 95% confidence
+)
+
 // recordArrival counts a job that was submitted lately, of so many tasks.
 func (cl *class) recordArrival(now Micros, tasks float64) {
 	cl.decay(now)
@@ -83,7 +88,7 @@
 	if cl.meanTasks == 0 {
 		cl.meanTasks = tasks
 	}
-	cl.meanTasks += 0.1 * (tasks - cl.meanTasks)
+	cl.meanTasks += meanTasksWeight * (tasks - cl.meanTasks)
 }
 
 // decay forgets arrivals by their age.
@@ -101,7 +106,7 @@
 	cl.decay(now)
 	rate := cl.decayedArrivals / (float64(arrivalDecayTime) / float64(second))
 	if cl.lastArrival > 0 && now > cl.lastArrival {
-		rate = min(rate, 3*max(1, cl.meanTasks)*float64(second)/float64(now-cl.lastArrival))
+		rate = min(rate, rareArrivals*max(1, cl.meanTasks)*float64(second)/float64(now-cl.lastArrival))
 	}
 	return rate
 }
--- a/internal/sched/commit.go
+++ b/internal/sched/commit.go
@@ -22,7 +22,7 @@
 	// commit; this is the one to be stored after it. Nothing of any is launched before the
 	// last is stored. One that is refused undoes all; what was stored of them until then
 	// are entries without launches. If the leader ends in between, the next one finds
-	// those: they are proven gone by the machines' reports, like any launch that never
+	// those: they are proven gone by the machines' heartbeats, like any launch that never
 	// arrived, and the gang's missing tasks are placed anew.
 	next *Commit
 }
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -13,8 +13,8 @@
 
 const second = config.Second
 
-// Core is the scheduler's state in a term. Its parts own what they hold; the files of the package each
-// have one concern of the decisions about it.
+// Core is the scheduler's state in a term. Each part owns its fields; the files of the package
+// each have one concern of the decisions about them.
 type Core struct {
 	clock
 	policy
--- a/internal/sched/failures.go
+++ b/internal/sched/failures.go
@@ -5,7 +5,7 @@
 	"dalefront/internal/failuredomain"
 )
 
-// PeerContact takes when another controller last heard a machine. It comes with the
+// PeerContact takes when another controller last heard from a machine. It comes with the
 // hellos at a takeover: the last leader's knowledge is gone, its peers' is not.
 // It is evidence for the detector alone and proves nothing.
 func (c *Core) PeerContact(host string, at Micros) {
@@ -44,7 +44,7 @@
 // isWatched says whether the detector looks at the machine: its silence would say something.
 func (m *machine) isWatched() bool { return m.registered && !m.scalingIn }
 
-// observation is what the detector is told of a machine. Another controller may know
+// observation is what the detector gets to know of a machine. Another controller may know
 // when it was last heard from before its first heartbeat in this term.
 func (m *machine) observation() failuredomain.Machine {
 	return failuredomain.Machine{Zone: m.zone, Mine: m.confirmed || m.leaseExpired, Heard: max(m.lastHeartbeat, m.lastPeerContact), Running: m.lastListedRunning, Failed: m.failed}
@@ -96,9 +96,9 @@
 	return f.Expect > config.Micro(0.8*m.machineType.BootS) || f.Verdict == failuredomain.Dead
 }
 
-// releaseUndispatched frees launches of a silent machine that were stored but never went with an
+// releaseUndispatched releases launches of a silent machine that were stored but never went with an
 // answer to it. The proof is that launches take no other way, that only this
-// leader would send these, and that it frees them in the same turn.
+// leader would send these, and that it releases them before it handles another event.
 func (c *Core) releaseUndispatched(m *machine) {
 	m.eachPlacement(func(p *placement) {
 		if p.durable && !p.dispatched && !p.observed && !p.recovered {
--- a/internal/sched/gpus.go
+++ b/internal/sched/gpus.go
@@ -69,7 +69,7 @@
 		return true
 	}
 	v := &ps.gpus
-	if m.usedGPUs < epsilon && j.hasNoObjective() {
+	if m.usedGPUs < epsilon && j.isLeftover() {
 		return false // nothing would ever let the dearest machines go
 	}
 	if m.usedGPUs < epsilon && ps.core.now-m.gpusIdleSince > ps.core.idleTimeout(m.machineType, true) && !ps.core.allLackCapacity(j) {
--- a/internal/sched/heartbeat.go
+++ b/internal/sched/heartbeat.go
@@ -37,7 +37,7 @@
 	if r.FencingToken != c.Token() {
 		// The worker has not seen this term's token. Its list may predate a
 		// launch by an older leader, so it proves nothing; but the answer
-		// hands out the token, and the worker reports again at once.
+		// hands out the token, and the worker sends another heartbeat at once.
 		m.registered = true
 		m.addr = r.Addr
 		if !m.confirmed {
@@ -48,7 +48,7 @@
 	c.acceptHeartbeat(m, r)
 	c.reconcileTasks(m, r, &answer)
 	if !m.scalingIn { // its tasks are about to go: nothing is launched, stops still make sense
-		c.appendLaunches(m, &answer)
+		m.appendLaunches(&answer)
 	}
 	return answer
 }
@@ -133,7 +133,7 @@
 
 // appendLaunches adds the stored launches that the machine does not hold yet. They
 // are repeated until a heartbeat shows them, which the protocol allows.
-func (c *Core) appendLaunches(m *machine, answer *wire.HeartbeatResponse) {
+func (m *machine) appendLaunches(answer *wire.HeartbeatResponse) {
 	m.eachPlacement(func(p *placement) {
 		if p.durable && !p.observed && !p.stopping && !p.recovered && len(answer.Commands) < maxAnswerOrders {
 			p.dispatched = true
@@ -146,7 +146,7 @@
 func (c *Core) LaunchCommands(host string) []wire.Command {
 	var answer wire.HeartbeatResponse
 	if m := c.machines.find(host); m != nil && m.confirmed && !m.scalingIn {
-		c.appendLaunches(m, &answer)
+		m.appendLaunches(&answer)
 	}
 	return answer.Commands
 }
--- a/internal/sched/placement.go
+++ b/internal/sched/placement.go
@@ -100,7 +100,7 @@
 //     the leader of the term that stored them.
 //   - The launch never went with an answer to the machine (releaseUndispatched).
 //   - The worker says that the task has exited (handleExit). It never starts the same attempt again
-//     unless it is told to after a clear, and launches are repeated only until they were observed.
+//     but on a command after a clear, and launches are repeated only until they were observed.
 //   - The worker's list does not have the task (releaseAbsent). The list must be exact: of the newest
 //     heartbeat of a worker that has seen this term's token, see Heartbeat; from an answer to a direct
 //     command only what was observed before counts, see CommandAnswered.
@@ -218,12 +218,11 @@
 	if !j.isGang() {
 		return
 	}
-	if p.attempt == j.gangAttempt && !j.isOver() && (j.gangStarted || p.state == wire.TaskExited) {
-		j.gangBroken = true
+	if !j.isOver() && (j.gangStarted || p.state == wire.TaskExited) {
+		j.markBroken(p.attempt)
 	}
 	if len(j.placements) == 0 {
-		j.gangStarted, j.gangBroken = false, false
-		j.gangAttempt = 0
+		j.endAttempt()
 	}
 }
 
--- a/internal/sched/progress.go
+++ b/internal/sched/progress.go
@@ -56,8 +56,8 @@
 // progress is which tasks of a job have completed, and how much of that is stored.
 //
 // Invariants: durable is a subset of completed; a chunk in which they differ is dirty unless the
-// job has ended. A worker may be told to forget a completed task only once it is in durable: until
-// then the worker's report is the only record of it.
+// job has ended. A completed task is cleared on its machine only once it is in durable: until
+// then the worker's list of tasks is the only record of it.
 type progress struct {
 	completed      taskSet
 	completedCount int
--- a/internal/sched/quarantine.go
+++ b/internal/sched/quarantine.go
@@ -167,17 +167,17 @@
 }
 
 // mayScaleOutFor says whether machines may be rented for the job. Work of lowest priority
-// for which nothing is aimed at uses what others leave; it is rented for only after
+// without an objective uses what others leave; it is rented for only after
 // so long that nobody else can be expected to leave anything.
 func (c *Core) mayScaleOutFor(j *job) bool {
 	if j.isSuspect() {
 		return c.now > j.backoffUntil+suspectScaleOutDelay
 	}
-	return !j.hasNoObjective() || c.now-j.arrival > config.Micro(*c.settings.Operator.LeftoverRentS)
+	return !j.isLeftover() || c.now-j.arrival > config.Micro(*c.settings.Operator.LeftoverRentS)
 }
 
-// hasNoObjective says whether the job has the lowest priority, no deadline and no aim that
-// watches it: it runs in room that nobody else wants.
-func (j *job) hasNoObjective() bool {
-	return j.rank == 0 && j.spec.DeadlineS == nil && j.spec.Shape != wire.Service && len(j.class.waitObjectives)+len(j.class.completionObjectives) == 0
+// isLeftover says whether the job has the lowest priority, no deadline and no objective: it runs in room
+// that nobody else wants.
+func (j *job) isLeftover() bool {
+	return j.rank == 0 && j.spec.Shape != wire.Service && !j.hasObjective()
 }
--- a/internal/sched/reconcile.go
+++ b/internal/sched/reconcile.go
@@ -5,15 +5,15 @@
 )
 
 const (
-	// minPushes is how many machines a pass tells of the term's token, so that they report at
+	// minPushes is how many machines a pass sends the term's token to, so that they send a heartbeat at
 	// once, at a site of up to minPushes*machinesPerPush machines.
 	minPushes = 16
-	// machinesPerPush is how many machines there are for each that a pass tells of the token at a
-	// larger site: there, too, all are told within some hundred passes.
+	// machinesPerPush is how many machines there are for each that a pass sends the token to at a
+	// larger site: there, too, all have it within some hundred passes.
 	machinesPerPush = 100
-	// pushInterval is how long a machine that was told of the token is given to report.
+	// pushInterval is how long a machine that was sent the token is given to answer.
 	pushInterval = 2 * second
-	// firstPushes is how long after the term's start fewer machines are told: most report by themselves
+	// firstPushes is how long after the term's start it is sent to fewer machines: most report by themselves
 	// meanwhile.
 	firstPushes = 2 * second
 
@@ -21,7 +21,7 @@
 	saveMargin    = 5 * second // that the start of a save must be ahead of it, beyond the save itself
 )
 
-// maxPushes is how many machines a pass tells of the term's token.
+// maxPushes is how many machines a pass sends the term's token to.
 func (c *Core) maxPushes() int { return max(minPushes, c.machines.count()/machinesPerPush) }
 
 // reconcile looks after machines and tasks as time passes.
@@ -52,7 +52,7 @@
 	c.stopBrokenGangs()
 }
 
-// pushLimit is how many machines this pass tells of the term's token.
+// pushLimit is how many machines this pass sends the term's token to.
 func (c *Core) pushLimit() int {
 	if c.now-c.termStart < firstPushes {
 		return c.maxPushes() / 2
@@ -60,21 +60,21 @@
 	return c.maxPushes()
 }
 
-// pushToken sends the term's token to a machine that has not reported with it.
+// pushToken sends the term's token to a machine that has not confirmed it.
 //
-// Once its worker has seen this token it reports at once, instead of up to a
-// report's interval later. And it may still report to an older leader that
-// is cut off from us and keeps it: it drops that one's answers then, and finds
+// Once its worker has seen this token it sends a heartbeat at once, instead of up to an
+// interval later. And it may still send them to an older leader that
+// is cut off from us: it drops that one's answers then, and finds
 // its way here. One that reaches no controller at all may still answer a command:
-// what it says then frees the places of what it lost with its lease.
+// what it says then releases what it lost with its lease.
 func (c *Core) pushToken(m *machine) {
 	m.tokenPushedAt = c.now
 	c.outbox.addCommands(m, c.Token())
 }
 
-// needsToken says whether the machine's worker should be told of the token: it can be reached, as far as known, and has
-// not confirmed it. One whose lease has expired is told only as long as its tasks keep their places. One that was
-// just told is given time to report.
+// needsToken says whether the machine's worker should be sent the token: it can be reached, as far as known, and has
+// not confirmed it. One whose lease has expired gets it only as long as its tasks are not released. One that just
+// got it is given time to answer.
 func (c *Core) needsToken(m *machine) bool {
 	if !m.registered || m.confirmed || m.scalingIn || m.addr == "" || m.incarnation == 0 || c.now-m.tokenPushedAt <= pushInterval {
 		return false
--- a/internal/sched/recovery.go
+++ b/internal/sched/recovery.go
@@ -56,7 +56,7 @@
 		p.durable, p.recovered = true, true
 		entry.record(p)
 	}
-	if j.isGang() && run.Attempt > j.gangAttempt {
-		j.gangAttempt = run.Attempt
+	if j.isGang() {
+		j.recoverAttempt(run.Attempt)
 	}
 }
--- a/internal/sched/replacement.go
+++ b/internal/sched/replacement.go
@@ -9,7 +9,7 @@
 	"dalefront/wire"
 )
 
-// slowestFetch is the least rate of fetching images, in GB/s, that is reckoned with.
+// slowestFetch is the least rate of fetching images, in GB/s, that is assumed.
 const slowestFetch = 0.01
 
 // rescheduleCosts knows, during one round of decisions about silent machines, how soon
--- a/internal/sched/stop.go
+++ b/internal/sched/stop.go
@@ -5,7 +5,7 @@
 // stopPlacement marks a placement to be stopped and sends the stop at once. A launch
 // that was never stored or sent simply isn't sent any more. As in the paper's
 // resource manager, checkpoints of a machine queue, one at a time; kills don't
-// wait, and neither do gangs, whose tasks must be told together.
+// wait, and neither do gangs, whose tasks must stop together.
 func (c *Core) stopPlacement(p *placement, checkpoint bool) {
 	if p.stopping && (checkpoint || !p.checkpointing) {
 		return
--- a/internal/sched/taskreports.go
+++ b/internal/sched/taskreports.go
@@ -83,8 +83,8 @@
 	if status.State == wire.TaskRunning && p.runningSince == 0 {
 		p.runningSince = c.now
 		c.recordStart(j)
-		if j.isGang() && p.attempt == j.gangAttempt {
-			j.gangStarted = true
+		if j.isGang() {
+			j.markRunning(p.attempt)
 		}
 	}
 	switch status.State {
@@ -97,7 +97,7 @@
 	m.markCached(j.spec.Image, c.now)
 }
 
-// repeatsStop says whether the worker is told to stop the task with each answer: until it does.
+// repeatsStop says whether each answer has the command to stop the task: until the worker obeys.
 func (p *placement) repeatsStop() bool {
 	isSaving := p.checkpointing && p.state == wire.TaskSaving
 	return p.stopping && !p.checkpointQueued && !isSaving
@@ -160,8 +160,8 @@
 	case wire.CauseUnknown:
 		j.backoffUntil = c.now + refusalPause
 	case wire.CauseGangIncomplete, wire.CauseGangMemberLost:
-		if j.isGang() && p.attempt == j.gangAttempt {
-			j.gangBroken = true
+		if j.isGang() {
+			j.markBroken(p.attempt)
 		}
 	}
 	c.release(p)
--- a/internal/sched/team.go
+++ b/internal/sched/team.go
@@ -26,7 +26,7 @@
 		if known := t.byName[settings.Name]; known != nil {
 			known.Team = settings
 		} else {
-			t.byName[settings.Name] = &team{Team: settings}
+			t.byName[settings.Name] = newTeam(settings)
 		}
 	}
 }
@@ -38,7 +38,7 @@
 // accepted under other settings.
 func (t *teamTable) findOrAdd(name string) *team {
 	if t.byName[name] == nil {
-		t.byName[name] = &team{Team: config.Team{Name: name}}
+		t.byName[name] = newTeam(config.Team{Name: name})
 	}
 	return t.byName[name]
 }
@@ -58,55 +58,10 @@
 	return false
 }
 
-// team is a team's limits and guarantee, and what it uses of them.
+// team is a team of users.
 type team struct {
-	config.Team
-	service            serviceShare
-	usedCPUs, usedGPUs float64 // in use, or possibly so
-
-	// of these, what has been told to stop
-	releasingCPUs, releasingGPUs float64
-}
-
-const epsilon = 1e-6
-
-// addUse counts what a placed task takes.
-func (t *team) addUse(use resourceUse) {
-	t.usedCPUs += use.cpus
-	t.usedGPUs += use.gpus
+	quota
+	service serviceShare
 }
 
-// removeUse gives back what a released task took. releasing says whether it had been told to stop.
-func (t *team) removeUse(use resourceUse, releasing bool) {
-	t.usedCPUs -= use.cpus
-	t.usedGPUs -= use.gpus
-	if releasing {
-		t.releasingCPUs -= use.cpus
-		t.releasingGPUs -= use.gpus
-	}
-}
-
-// addReleasing counts what a task that is told to stop is going to give back.
-func (t *team) addReleasing(use resourceUse) {
-	t.releasingCPUs += use.cpus
-	t.releasingGPUs += use.gpus
-}
-
-// withinLimit says whether the team's limit leaves room; 0 means no limit.
-func (t *team) withinLimit(cpus, gpus float64) bool {
-	return (t.CPUsMax == 0 || t.usedCPUs+cpus <= t.CPUsMax+epsilon) && (t.GPUsMax == 0 || t.usedGPUs+gpus <= t.GPUsMax+epsilon)
-}
-
-// withinGuarantee says whether the team has a guarantee that this use stays within.
-func (t *team) withinGuarantee(cpus, gpus float64) bool {
-	if t.CPUs == 0 && t.GPUs == 0 {
-		return false
-	}
-	return (t.CPUs == 0 || t.usedCPUs+cpus <= t.CPUs+epsilon) && (t.GPUs == 0 || t.usedGPUs+gpus <= t.GPUs+epsilon)
-}
-
-// exceedsGuarantee says whether the team uses more than its guarantee, what is leaving
-// apart.
-func (t *team) exceedsGuarantee() bool {
-	return (t.CPUs > 0 && t.usedCPUs-t.releasingCPUs > t.CPUs+epsilon) || (t.GPUs > 0 && t.usedGPUs-t.releasingGPUs > t.GPUs+epsilon) || (t.CPUs == 0 && t.GPUs == 0)
-}
+func newTeam(settings config.Team) *team { return &team{quota: quota{Team: settings}} }
