--- a/cmd/dalefront/calendar.go
+++ b/cmd/dalefront/calendar.go
@@ -71,8 +71,8 @@
 	}
 	add("show NAME", "Show a schedule", cobra.ExactArgs(1), one(http.MethodGet, "", false))
 	add("runs NAME", "Show a schedule's latest runs and misses", cobra.ExactArgs(1), one(http.MethodGet, "", true))
-	add("pause NAME", "Let a schedule's runs out until it is resumed", cobra.ExactArgs(1), one(http.MethodPost, "/"+wire.PauseVerb, false))
-	add("resume NAME", "Let a schedule run again", cobra.ExactArgs(1), one(http.MethodPost, "/"+wire.ResumeVerb, false))
+	add("pause NAME", "Let a schedule's runs out until it is resumed", cobra.ExactArgs(1), one(http.MethodPost, "/"+wire.PauseAction, false))
+	add("resume NAME", "Let a schedule run again", cobra.ExactArgs(1), one(http.MethodPost, "/"+wire.ResumeAction, false))
 	return root
 }
 
--- a/internal/api/schedules.go
+++ b/internal/api/schedules.go
@@ -28,7 +28,7 @@
 	route(mux, "GET "+wire.PathSchedules+"/{name}", submitTimeout, func(ctx context.Context, r *http.Request) (any, error) {
 		return service.Schedule(ctx, r.PathValue("name"))
 	})
-	for verb, paused := range map[string]bool{wire.PauseVerb: true, wire.ResumeVerb: false} {
+	for verb, paused := range map[string]bool{wire.PauseAction: true, wire.ResumeAction: false} {
 		route(mux, "POST "+wire.PathSchedules+"/{name}/"+verb, submitTimeout, func(ctx context.Context, r *http.Request) (any, error) {
 			return service.PauseSchedule(ctx, r.PathValue("name"), paused)
 		})
--- a/internal/simulation/controller_test.go
+++ b/internal/simulation/controller_test.go
@@ -475,7 +475,7 @@
 		t.Errorf("listed as %+v", all)
 	}
 	c.until("it is paused", func() bool {
-		code, _ := c.ask(1, http.MethodPost, wire.PathSchedules+"/yearly/"+wire.PauseVerb, nil, &s)
+		code, _ := c.ask(1, http.MethodPost, wire.PathSchedules+"/yearly/"+wire.PauseAction, nil, &s)
 		return code == 200 && s.Paused
 	})
 	before := c.token
@@ -483,7 +483,7 @@
 	c.stop[1]()
 	c.addrs = c.addrs[2:]
 	c.until("it is resumed after two nodes ended", func() bool {
-		code, _ := c.ask(0, http.MethodPost, wire.PathSchedules+"/yearly/"+wire.ResumeVerb, nil, &s)
+		code, _ := c.ask(0, http.MethodPost, wire.PathSchedules+"/yearly/"+wire.ResumeAction, nil, &s)
 		return code == 200 && !s.Paused
 	})
 	c.until("the last node serves", func() bool { return c.report(0) == 200 && c.token >= before })
--- /dev/null
+++ b/wire/job.go
@@ -0,0 +1,101 @@
+package wire
+
+import (
+	"strconv"
+	"strings"
+)
+
+// Shapes of jobs.
+const (
+	Array   = "sweep"    // independent tasks, each runs to completion
+	Gang    = "ensemble" // all tasks run at the same time or none does
+	Service = "service"  // replicas run until the job is cancelled
+)
+
+// Priorities of jobs, the highest first.
+const (
+	Production = "production"
+	High       = "urgent"
+	Normal     = "normal"
+	Low        = "low"
+)
+
+// States of jobs as users see them.
+const (
+	JobQueued    = "queued"
+	JobRunning   = "running"
+	JobDone      = "done"
+	JobCancelled = "aborted"
+)
+
+// Job is a submission. Resources are for each task.
+type Job struct {
+	ID                  string   `msgpack:"Id"`             // "j-" and up to 32 digits, see ValidID
+	Class               string   `msgpack:"Jobclass"`       // what the service-level objectives are set for
+	Team                string   `msgpack:"Owner"`          // whose quota applies
+	Shape               string   `msgpack:"Shape"`          // Array, Gang or Service
+	Priority            string   `msgpack:"Urgency"`        // Production, High, Normal or Low
+	Tasks               int      `msgpack:"Pieces"`         // number of tasks, numbered from 0
+	CPUs                float64  `msgpack:"Cores"`          // processor cores of a task
+	GPUs                float64  `msgpack:"Gpus"`           // accelerators of a task
+	MemoryGB            float64  `msgpack:"RamGb"`          // gigabytes of a task
+	Image               string   `msgpack:"Bundle"`         // image that a machine must have before a task starts
+	ImageGB             float64  `msgpack:"SizeGb"`         // gigabytes of the image
+	Types               []string `msgpack:"Builds"`         // allowed machine types; nil: any
+	Zone                *string  `msgpack:"District"`       // the only allowed zone; nil: any
+	OneZone             bool     `msgpack:"SamePlace"`      // all tasks in the same zone
+	Spread              bool     `msgpack:"Spread"`         // at most half of the tasks, rounded up, in one zone
+	Spot                bool     `msgpack:"Loaners"`        // spot machines are allowed
+	EstimateS           float64  `msgpack:"ExpectedS"`      // estimated seconds of a task's run; 0 for services
+	CheckpointIntervalS float64  `msgpack:"SnapshotEveryS"` // seconds of progress between checkpoints; 0: there are none
+	CheckpointDurationS float64  `msgpack:"SnapshotS"`      // seconds to save a checkpoint when stopped
+	DeadlineS           *float64 `msgpack:"DueS"`           // seconds from submission to completion; nil: no deadline
+}
+
+// JobStatus answers submissions, queries and cancellations.
+type JobStatus struct {
+	ID      string `msgpack:"Id"`
+	Status  string `msgpack:"Status"`  // JobQueued, JobRunning, JobDone or JobCancelled
+	Done    int    `msgpack:"done"`    // completed tasks
+	Running int    `msgpack:"running"` // running tasks
+}
+
+// Final reports whether a status can never change again.
+func Final(status string) bool { return status == JobDone || status == JobCancelled }
+
+const (
+	idPrefix    = "j-"
+	maxIDDigits = 32
+)
+
+// ValidID reports whether a job ID has the protocol's form.
+func ValidID(id string) bool {
+	digits, ok := strings.CutPrefix(id, idPrefix)
+	if !ok || len(digits) < 1 || len(digits) > maxIDDigits {
+		return false
+	}
+	for _, digit := range digits {
+		if digit < '0' || digit > '9' {
+			return false
+		}
+	}
+	return true
+}
+
+// TaskName is the name of a job's task, such as "j-12/3".
+func TaskName(jobID string, task int32) string {
+	return jobID + "/" + strconv.Itoa(int(task))
+}
+
+// ParseTask splits a task's name; ok is false if it has another form.
+func ParseTask(name string) (jobID string, task int32, ok bool) {
+	jobID, digits, found := strings.Cut(name, "/")
+	if !found || !ValidID(jobID) {
+		return "", 0, false
+	}
+	number, err := strconv.ParseInt(digits, 10, 32)
+	if err != nil || number < 0 {
+		return "", 0, false
+	}
+	return jobID, int32(number), true
+}
--- /dev/null
+++ b/wire/submission.go
@@ -0,0 +1,200 @@
+package wire
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// ErrMalformed marks a body that is not a valid message.
+var ErrMalformed = errors.New("malformed")
+
+// FieldError says which field of a submission is not valid. It is an ErrMalformed.
+type FieldError struct {
+	Field   string // name on the wire
+	Problem string // what is wrong with its value
+}
+
+// Error names the field and the problem in one line.
+func (e *FieldError) Error() string {
+	return fmt.Sprintf("%v: %s %s", ErrMalformed, e.Field, e.Problem)
+}
+
+// Unwrap returns ErrMalformed, so that errors.Is finds it.
+func (*FieldError) Unwrap() error { return ErrMalformed }
+
+// Limits of the fields of a submission.
+const (
+	maxTasks = 100_000 // the protocol's limit
+	maxTypes = 64      // machine types that a job names
+	maxID    = 64      // bytes
+	maxName  = 200     // bytes of the names of class, team, zone and machine types
+	maxImage = 400     // bytes of the image's name
+)
+
+// maxAmount bounds resources, sizes and durations, so that whole microseconds fit into 64 bits.
+const maxAmount = 1e9
+
+// ParseJob decodes and checks a submission. Its errors wrap ErrMalformed. With an error, the job
+// has only its ID if that is valid, and is nil otherwise.
+func ParseJob(body []byte) (*Job, error) {
+	values, err := decodeMap(body)
+	if err != nil {
+		return nil, err
+	}
+	fields := &fieldReader{values: values}
+	job := fields.job()
+	switch {
+	case fields.err == nil:
+		return job, nil
+	case ValidID(job.ID):
+		return &Job{ID: job.ID}, fields.err
+	}
+	return nil, fields.err
+}
+
+// decodeMap decodes a body that has to be one map and nothing else.
+func decodeMap(body []byte) (map[string]any, error) {
+	reader := bytes.NewReader(body)
+	decoder := msgpack.NewDecoder(reader)
+	decoder.UseLooseInterfaceDecoding(true) // all integers become int64 or uint64, all floats float64
+	values, err := decoder.DecodeMap()
+	if err != nil || values == nil {
+		return nil, fmt.Errorf("%w: not a map", ErrMalformed)
+	}
+	if reader.Len() > 0 {
+		return nil, fmt.Errorf("%w: bytes after the map", ErrMalformed)
+	}
+	return values, nil
+}
+
+// fieldReader reads the fields of a loosely decoded map. It keeps the first error and goes on, so
+// that the ID is known even if another field is not valid.
+type fieldReader struct {
+	values map[string]any
+	err    error
+}
+
+// job reads all fields of a submission. This is where names on the wire become terms of the code.
+func (r *fieldReader) job() *Job {
+	job := &Job{
+		ID:                  r.text("Id", maxID),
+		Class:               r.text("Jobclass", maxName),
+		Team:                r.text("Owner", maxName),
+		Shape:               r.oneOf("Shape", Array, Gang, Service),
+		Priority:            r.oneOf("Urgency", Production, High, Normal, Low),
+		CPUs:                r.amount("Cores"),
+		GPUs:                r.amount("Gpus"),
+		MemoryGB:            r.amount("RamGb"),
+		Image:               r.text("Bundle", maxImage),
+		ImageGB:             r.amount("SizeGb"),
+		OneZone:             r.flag("SamePlace"),
+		Spread:              r.flag("Spread"),
+		Spot:                r.flag("Loaners"),
+		EstimateS:           r.amount("ExpectedS"),
+		CheckpointIntervalS: r.amount("SnapshotEveryS"),
+		CheckpointDurationS: r.amount("SnapshotS"),
+	}
+	if !ValidID(job.ID) {
+		r.fail("Id", "has the wrong form")
+	}
+	job.Tasks = r.taskCount("Pieces")
+	if r.values["District"] != nil {
+		zone := r.text("District", maxName)
+		job.Zone = &zone
+	}
+	if r.values["DueS"] != nil {
+		deadline := r.amount("DueS")
+		job.DeadlineS = &deadline
+	}
+	if r.values["Builds"] != nil {
+		job.Types = r.machineTypes("Builds")
+	}
+	return job
+}
+
+func (r *fieldReader) fail(name, problem string) {
+	if r.err == nil {
+		r.err = &FieldError{Field: name, Problem: problem}
+	}
+}
+
+// text reads a text that is not empty and has at most maxBytes.
+func (r *fieldReader) text(name string, maxBytes int) string {
+	text, ok := r.values[name].(string)
+	if !ok || text == "" || len(text) > maxBytes {
+		r.fail(name, "is missing or not a text")
+	}
+	return text
+}
+
+// oneOf reads a text that is one of the allowed values.
+func (r *fieldReader) oneOf(name string, allowed ...string) string {
+	text, _ := r.values[name].(string)
+	if !slices.Contains(allowed, text) {
+		r.fail(name, "is missing or unknown")
+	}
+	return text
+}
+
+func (r *fieldReader) flag(name string) bool {
+	flag, ok := r.values[name].(bool)
+	if !ok {
+		r.fail(name, "is missing or not a boolean")
+	}
+	return flag
+}
+
+// amount reads a resource, a size or a duration: a number from 0 to maxAmount.
+func (r *fieldReader) amount(name string) float64 {
+	amount, ok := number(r.values[name])
+	if !ok || math.IsNaN(amount) || amount < 0 || amount > maxAmount {
+		r.fail(name, "is missing or not an amount")
+	}
+	return amount
+}
+
+// taskCount reads a whole number of tasks; 0 with an error.
+func (r *fieldReader) taskCount(name string) int {
+	count, ok := number(r.values[name])
+	if !ok || count != math.Trunc(count) || count < 1 || count > maxTasks {
+		r.fail(name, "is missing or out of range")
+		return 0
+	}
+	return int(count)
+}
+
+// machineTypes reads a list of names. It is never nil: an empty list allows no type, nil any.
+func (r *fieldReader) machineTypes(name string) []string {
+	const problem = "is not a list of texts"
+	list, ok := r.values[name].([]any)
+	if !ok || len(list) > maxTypes {
+		r.fail(name, problem)
+	}
+	types := []string{}
+	for _, element := range list {
+		machineType, ok := element.(string)
+		if !ok || len(machineType) > maxName {
+			r.fail(name, problem)
+		}
+		types = append(types, machineType)
+	}
+	return types
+}
+
+// number converts the types of numbers that loose decoding gives.
+func number(value any) (float64, bool) {
+	switch n := value.(type) {
+	case float64:
+		return n, true
+	case int64:
+		return float64(n), true
+	case uint64:
+		return float64(n), true
+	}
+	return 0, false
+}
