--- a/internal/controller/stored.go
+++ b/internal/controller/stored.go
@@ -59,7 +59,7 @@
 func storedOf(c *standby.Copy) *stored {
 	s := newStored()
 	s.revision = c.Revision()
-	for _, key := range c.Under(jobPrefix) {
+	for _, key := range c.Keys(jobPrefix) {
 		item, _ := c.Get(key)
 		s.jobs = append(s.jobs, item.Decoded.(*jobRecord))
 		id := strings.TrimPrefix(key, jobPrefix)
@@ -67,18 +67,18 @@
 			s.ends = append(s.ends, storedEnd{id, *end.Decoded.(*endRecord)})
 		}
 	}
-	for _, key := range c.Under(progressPrefix) {
+	for _, key := range c.Keys(progressPrefix) {
 		item, _ := c.Get(key)
 		s.addChunk(key, item.Version, item.Decoded.(string))
 	}
-	for _, key := range c.Under(ledgerPrefix) {
+	for _, key := range c.Keys(ledgerPrefix) {
 		item, _ := c.Get(key)
 		s.ledger[strings.TrimPrefix(key, ledgerPrefix)] = *item.Decoded.(*sched.LedgerEntry)
 	}
 	if item, ok := c.Get(learnedKey); ok {
 		s.setStatistics(item.Value)
 	}
-	s.scaleOuts = c.Under(scaleOutPrefix)
+	s.scaleOuts = c.Keys(scaleOutPrefix)
 	s.config = entriesUnder(c, dynconfig.Prefix)
 	s.schedules = entriesUnder(c, schedulePrefix)
 	return s
@@ -86,7 +86,7 @@
 
 // entriesUnder returns the entries of a copy with a prefix.
 func entriesUnder(c *standby.Copy, prefix string) (entries []wire.KeyValue) {
-	for _, key := range c.Under(prefix) {
+	for _, key := range c.Keys(prefix) {
 		item, _ := c.Get(key)
 		entries = append(entries, wire.KeyValue{Key: key, Value: item.Value, Version: item.Version})
 	}
