--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -209,7 +209,7 @@
 		}
 		core.JobEnded(end.id, end.Status, c.now())
 	}
-	return core, l.loadSchedules(state.schedules)
+	return core, l.schedules.load(state.schedules)
 }
 
 // restoreProgress hands a core a chunk of progress. That of a job that is over and gone is to be deleted.
--- a/internal/sched/replacement.go
+++ b/internal/sched/replacement.go
@@ -16,13 +16,13 @@
 // their tasks could start on others. What it found out for one machine it uses for the next.
 type rescheduleCosts struct {
 	core      *Core
-	freeSlots map[*class]int    // slots that nobody waits for
-	bootDelay map[*class]Micros // until a rented machine could take a task, negative if none can be had
-	wanted    map[string]bool   // by type, zone and kind of machine: whether room on it would be used
+	freeSlots map[*class]int       // slots that nobody waits for
+	bootDelay map[*class]Micros    // until a rented machine could take a task, negative if none can be had
+	wanted    map[machineKind]bool // whether room on a machine of the kind would be used
 }
 
 func newRescheduleCosts(c *Core) *rescheduleCosts {
-	return &rescheduleCosts{core: c, freeSlots: map[*class]int{}, bootDelay: map[*class]Micros{}, wanted: map[string]bool{}}
+	return &rescheduleCosts{core: c, freeSlots: map[*class]int{}, bootDelay: map[*class]Micros{}, wanted: map[machineKind]bool{}}
 }
 
 // delay is how long a task of a returned machine would wait until it runs again: it
@@ -65,11 +65,10 @@
 
 // wants says whether room on the machine would be used if it were there now.
 func (r *rescheduleCosts) wants(m *machine) bool {
-	key := spotKey(m.machineType.Name, m.zone, m.spot)
-	wanted, known := r.wanted[key]
+	wanted, known := r.wanted[m.kind()]
 	if !known {
 		wanted = r.core.wantsRoom(m)
-		r.wanted[key] = wanted
+		r.wanted[m.kind()] = wanted
 	}
 	return wanted
 }
@@ -128,7 +127,7 @@
 			return true
 		}
 	}
-	return c.expectedTasks(m.machineType) > 0 || (c.standbyDemand() > 0 && c.serves(m.machineType, m.zone, m.spot) > 0)
+	return c.expectedMachines(m.machineType) > 0 || (c.standbyDemand() > 0 && c.serves(m.machineType, m.zone, m.spot) > 0)
 }
 
 // shouldReplace weighs, for a machine that is silent beyond its lease, what waiting for it
