--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -19,247 +19,270 @@
 	"dalefront/wire"
 )
 
-// scene is a node that holds no term, a state service, and a compactor beside it
-// that runs at moments of the test's choice.
-type scene struct {
-	t       *testing.T
-	svc     *emulator.Services
-	n       *Controller
-	compact *archive.Compactor
-	reader  *archive.Reader
-	before  func(request int64) // runs before each of the node's requests
-	count   atomic.Int64
+// archiveFixture is a controller that does not lead, a key-value store, and a compactor beside it that
+// runs at moments of the test's choice.
+type archiveFixture struct {
+	t             *testing.T
+	services      *emulator.Services
+	controller    *Controller
+	compactor     *archive.Compactor
+	reader        *archive.Reader
+	beforeRequest func(number int64) // runs before each request of the controller
+	requests      atomic.Int64
 }
 
-const sceneJobs = 40 // j-000000 and so on, all in one shard
+const fixtureJobs = 40 // j-000000 and so on, all in one shard
 
-func sceneID(i int) string { return fmt.Sprintf("j-%06d", i) }
+func testJobID(i int) string { return fmt.Sprintf("j-%06d", i) }
 
-func newScene(t *testing.T) *scene {
+func newArchiveFixture(t *testing.T) *archiveFixture {
 	t.Helper()
-	s := &scene{t: t, svc: emulator.NewServices(wire.Catalog{})}
-	s.n = testNode(t, func(w http.ResponseWriter, r *http.Request) {
-		if k := s.count.Add(1); s.before != nil {
-			s.before(k)
+	f := &archiveFixture{t: t, services: emulator.NewServices(wire.Catalog{})}
+	f.controller = newTestController(t, func(w http.ResponseWriter, r *http.Request) {
+		if number := f.requests.Add(1); f.beforeRequest != nil {
+			f.beforeRequest(number)
 		}
-		s.svc.ServeHTTP(w, r)
-	}, func(set *config.Settings) {
-		set.Deployment.Teams = []config.Team{{Name: "a"}}
-		set.Deployment.State.ValueKB, set.Deployment.State.TxnOps = 16, 12
+		f.services.ServeHTTP(w, r)
+	}, func(settings *config.Settings) {
+		settings.Deployment.Teams = []config.Team{{Name: "a"}}
+		settings.Deployment.State.ValueKB, settings.Deployment.State.TxnOps = 16, 12
 	})
-	s.n.setCatalog(wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 4, Zones: []string{"x"}}}})
-	direct := httptest.NewServer(s.svc)
+	f.controller.setCatalog(wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 4, Zones: []string{"x"}}}})
+	direct := httptest.NewServer(f.services)
 	t.Cleanup(direct.Close)
-	s.svc.Set(termKey, termRecord{Node: "b", Mark: "b.1"})
-	e, _ := s.svc.Entry(termKey)
+	f.services.Set(termKey, termRecord{Node: "b", Mark: "b.1"})
+	term, _ := f.services.Entry(termKey)
 	store := kvstore.New(strings.TrimPrefix(direct.URL, "http://"), 1e6, 1e6, 1)
-	s.reader = archive.NewReader(store)
-	s.compact = archive.NewCompactor(s.reader,
-		endSource(func() wire.Condition { return wire.Condition{Key: termKey, Version: e.Version} }, func() int64 { return 1000 }),
+	f.reader = archive.NewReader(store)
+	f.compactor = archive.NewCompactor(f.reader,
+		endSource(func() wire.Condition { return wire.Condition{Key: termKey, Version: term.Version} }, func() int64 { return 1000 }),
 		archive.Limits{Ops: 12, Value: 16 << 10, After: 10})
-	return s
+	return f
 }
 
-// end stores the ends of some jobs.
-func (s *scene) end(from, to int) {
+// storeEnds stores the ends of the jobs with numbers from one up to another.
+func (f *archiveFixture) storeEnds(from, to int) {
 	for i := from; i < to; i++ {
-		s.svc.Set(endKey(sceneID(i)), sceneEnd(i))
+		f.services.Set(endKey(testJobID(i)), testEnd(i))
 	}
 }
 
-func sceneEnd(i int) endRecord {
+func testEnd(i int) endRecord {
 	return endRecord{Status: []string{wire.JobDone, wire.JobCancelled}[i%2], EndedAt: 5, TasksDone: i % 3}
 }
 
-// move archives; with drop, the keys of the ends go too.
-func (s *scene) move(drop bool) {
+// archiveEnds archives what has ended; with drop, the keys of the ends are deleted, too.
+func (f *archiveFixture) archiveEnds(drop bool) {
 	for range 100 {
-		_, idle, err := s.compact.Step(context.Background())
+		_, idle, err := f.compactor.Step(context.Background())
 		if err != nil {
-			s.t.Fatal(err)
+			f.t.Fatal(err)
 		}
-		if idle || !drop && s.compact.Counts.Moved >= 16 {
+		if idle || !drop && f.compactor.Counts.Moved >= 16 {
 			return
 		}
 	}
-	s.t.Fatal("no end of archiving")
+	f.t.Fatal("no end of archiving")
 }
 
-var sceneOps = map[string]func(*Controller, string) (wire.JobStatus, error){
-	"poll": func(n *Controller, id string) (wire.JobStatus, error) { return n.Status(context.Background(), id) },
-	"submit": func(n *Controller, id string) (wire.JobStatus, error) {
-		st, _, err := n.Submit(context.Background(), sceneJob(id))
-		return st, err
+// userRequest is what a user may ask of a controller about a job.
+type userRequest func(c *Controller, id string) (wire.JobStatus, error)
+
+var userRequests = map[string]userRequest{
+	"poll": func(c *Controller, id string) (wire.JobStatus, error) { return c.Status(context.Background(), id) },
+	"submit": func(c *Controller, id string) (wire.JobStatus, error) {
+		status, _, err := c.Submit(context.Background(), testJob(id))
+		return status, err
 	},
-	"withdraw": func(n *Controller, id string) (wire.JobStatus, error) { return n.Cancel(context.Background(), id) },
+	"cancel": func(c *Controller, id string) (wire.JobStatus, error) { return c.Cancel(context.Background(), id) },
 }
 
-func sceneJob(id string) *wire.Job {
+func testJob(id string) *wire.Job {
 	return &wire.Job{ID: id, Team: "a", Shape: wire.Array, Tasks: 1, CPUs: 1}
 }
 
-// check asks until it gets an answer, which must be the job's end, and looks whether
-// anything of the job came back to life.
-func (s *scene) check(what string, op func(*Controller, string) (wire.JobStatus, error), id string, want endRecord) {
-	s.t.Helper()
+// check asks until it gets an answer, which must be the job's end, and looks whether anything of the
+// job was created again.
+func (f *archiveFixture) check(what string, request userRequest, id string, want endRecord) {
+	f.t.Helper()
 	for tries := 0; ; tries++ {
-		st, err := op(s.n, id)
+		status, err := request(f.controller, id)
 		if errors.Is(err, api.ErrUnavailable) && tries < 3 {
 			continue
 		}
-		if err != nil || st.Status != want.Status || st.Done != want.TasksDone || st.ID != id {
-			s.t.Fatalf("%s: got %+v, %v; want %+v", what, st, err, want)
+		if err != nil || status.Status != want.Status || status.Done != want.TasksDone || status.ID != id {
+			f.t.Fatalf("%s: got %+v, %v; want %+v", what, status, err, want)
 		}
 		break
 	}
-	s.svc.Arrive()
-	if _, ok := s.svc.Entry(jobKey(id)); ok {
-		s.t.Fatalf("%s: the job was accepted again", what)
+	f.services.Arrive()
+	if _, ok := f.services.Entry(jobKey(id)); ok {
+		f.t.Fatalf("%s: the job was accepted again", what)
 	}
-	if e, ok := s.svc.Entry(endKey(id)); ok {
-		var rec endRecord
-		if err := wire.Unmarshal(e.Value, &rec); err != nil || rec.Status != want.Status {
-			s.t.Fatalf("%s: there is another end: %+v", what, rec)
+	if entry, ok := f.services.Entry(endKey(id)); ok {
+		var end endRecord
+		if err := wire.Unmarshal(entry.Value, &end); err != nil || end.Status != want.Status {
+			f.t.Fatalf("%s: there is another end: %+v", what, end)
 		}
 	}
 }
 
-// Ends are archived, with and without their keys dropped, before each request that a
-// poll, a submission or a withdrawal consists of; by a node that knows nothing, knows
-// the job, or has an older manifest.
-func TestArchivedMeanwhile(t *testing.T) {
-	for name, op := range sceneOps {
-		for request := int64(1); request <= 5; request++ {
+// Ends are archived, with and without their keys deleted, before each request to the store that a
+// query, a submission or a cancellation consists of; by a controller that knows nothing, knows the
+// job, or has an older manifest.
+func TestRequestsWhileArchiving(t *testing.T) {
+	for name, request := range userRequests {
+		for before := int64(1); before <= 5; before++ {
 			for _, drop := range []bool{false, true} {
 				for _, knows := range []string{"nothing", "the job", "an older manifest"} {
-					what := fmt.Sprintf("%s, archived before request %d, dropped: %v, knows %s", name, request, drop, knows)
-					s := newScene(t)
-					if knows == "an older manifest" {
-						s.end(20, sceneJobs)
-						s.move(true)
-						if err := s.n.archive.Warm(context.Background()); err != nil {
-							t.Fatal(err)
-						}
-						s.compact.Counts.Moved = 0
-					}
-					s.end(0, 20)
-					if knows == "the job" {
-						s.n.statuses.addAccepted(sceneID(7))
-					}
-					s.count.Store(0)
-					s.before = func(k int64) {
-						if k == request {
-							s.move(drop)
-						}
-					}
-					s.check(what, op, sceneID(7), sceneEnd(7))
-					s.before = nil
-					s.move(true)
-					s.check(what+", again", op, sceneID(8), sceneEnd(8))
+					t.Run(fmt.Sprintf("%s, archived before request %d, dropped %v, knows %s", name, before, drop, knows), func(t *testing.T) {
+						testWhileArchiving(t, request, before, drop, knows)
+					})
 				}
 			}
 		}
 	}
 }
 
-// The whole of a job's life passes before one of the requests of a withdrawal, or
-// while its transaction is on the way: it ends, its record goes, its end is archived.
-// Neither the withdrawal nor a submission may then bring it back.
-func TestLifeMeanwhile(t *testing.T) {
-	life := func(s *scene, i int) {
-		s.end(0, 20)
-		s.svc.Delete(jobKey(sceneID(i)))
-		s.move(true)
+func testWhileArchiving(t *testing.T, request userRequest, before int64, drop bool, knows string) {
+	f := newArchiveFixture(t)
+	if knows == "an older manifest" {
+		f.storeEnds(20, fixtureJobs)
+		f.archiveEnds(true)
+		if err := f.controller.archive.Warm(context.Background()); err != nil {
+			t.Fatal(err)
+		}
+		f.compactor.Counts.Moved = 0
 	}
-	for name, op := range sceneOps {
-		for request := int64(1); request <= 4; request++ {
-			for _, knows := range []bool{false, true} {
-				s := newScene(t)
-				const i = 6
-				s.svc.Set(jobKey(sceneID(i)), jobRecord{Job: *sceneJob(sceneID(i))})
-				if knows {
-					s.n.statuses.addAccepted(sceneID(i))
-				}
-				lived := false
-				s.before = func(k int64) {
-					if k == request {
-						lived = true
-						life(s, i)
-					}
-				}
-				st, err := op(s.n, sceneID(i))
-				s.before = nil
-				what := fmt.Sprintf("%s, lived before request %d, known: %v", name, request, knows)
-				if !lived {
-					if name == "withdraw" && (err != nil || st.Status != wire.JobCancelled) {
-						t.Fatalf("%s: got %+v, %v", what, st, err)
-					}
-					continue
-				}
-				if err == nil && wire.Final(st.Status) && st.Status != sceneEnd(i).Status {
-					t.Fatalf("%s: got %+v", what, st)
-				}
-				s.check(what, op, sceneID(i), sceneEnd(i))
-			}
+	f.storeEnds(0, 20)
+	if knows == "the job" {
+		f.controller.statuses.addAccepted(testJobID(7))
+	}
+	f.requests.Store(0)
+	f.beforeRequest = func(number int64) {
+		if number == before {
+			f.archiveEnds(drop)
 		}
 	}
-	for _, name := range []string{"submit", "withdraw"} {
-		s := newScene(t)
-		const i = 6
-		if name == "withdraw" {
-			s.svc.Set(jobKey(sceneID(i)), jobRecord{Job: *sceneJob(sceneID(i))})
+	f.check("while archiving", request, testJobID(7), testEnd(7))
+	f.beforeRequest = nil
+	f.archiveEnds(true)
+	f.check("after it", request, testJobID(8), testEnd(8))
+}
+
+// endAndArchive has a job end, its record be deleted and its end be archived.
+func (f *archiveFixture) endAndArchive(number int) {
+	f.storeEnds(0, 20)
+	f.services.Delete(jobKey(testJobID(number)))
+	f.archiveEnds(true)
+}
+
+// The whole of a job's life passes before one of the requests to the store that a cancellation, a
+// query or a submission consists of: it ends, its record is deleted, its end is archived. None of
+// them may then bring it back.
+func TestRequestsWhileJobEnds(t *testing.T) {
+	for name, request := range userRequests {
+		for before := int64(1); before <= 4; before++ {
+			for _, known := range []bool{false, true} {
+				t.Run(fmt.Sprintf("%s, ended before request %d, known %v", name, before, known), func(t *testing.T) {
+					testWhileJobEnds(t, name, before, known, request)
+				})
+			}
 		}
-		s.svc.HoldBack(1)
-		if _, err := sceneOps[name](s.n, sceneID(i)); !errors.Is(err, api.ErrUnavailable) {
-			t.Fatalf("%s without an answer: %v", name, err)
+	}
+}
+
+func testWhileJobEnds(t *testing.T, name string, before int64, known bool, request userRequest) {
+	const number = 6
+	f := newArchiveFixture(t)
+	f.services.Set(jobKey(testJobID(number)), jobRecord{Job: *testJob(testJobID(number))})
+	if known {
+		f.controller.statuses.addAccepted(testJobID(number))
+	}
+	ended := false
+	f.beforeRequest = func(count int64) {
+		if count == before {
+			ended = true
+			f.endAndArchive(number)
 		}
-		if name == "submit" { // the user tries again elsewhere, and that is taken
-			s.svc.Set(jobKey(sceneID(i)), jobRecord{Job: *sceneJob(sceneID(i))})
+	}
+	status, err := request(f.controller, testJobID(number))
+	f.beforeRequest = nil
+	if !ended {
+		if name == "cancel" && (err != nil || status.Status != wire.JobCancelled) {
+			t.Fatalf("got %+v, %v", status, err)
 		}
-		life(s, i)
-		s.check(name+" arrives after the archiving", sceneOps["poll"], sceneID(i), sceneEnd(i))
+		return
+	}
+	if err == nil && wire.Final(status.Status) && status.Status != testEnd(number).Status {
+		t.Fatalf("got %+v", status)
+	}
+	f.check("after the job has ended", request, testJobID(number), testEnd(number))
+}
+
+// The whole of a job's life passes while the transaction of a submission or a cancellation is on the
+// way: when it arrives it must not bring the job back.
+func TestLateTransactionAfterArchiving(t *testing.T) {
+	for _, name := range []string{"submit", "cancel"} {
+		t.Run(name, func(t *testing.T) {
+			const number = 6
+			f := newArchiveFixture(t)
+			store := func() { f.services.Set(jobKey(testJobID(number)), jobRecord{Job: *testJob(testJobID(number))}) }
+			if name == "cancel" {
+				store()
+			}
+			f.services.HoldBack(1)
+			if _, err := userRequests[name](f.controller, testJobID(number)); !errors.Is(err, api.ErrUnavailable) {
+				t.Fatalf("without an answer: %v", err)
+			}
+			if name == "submit" { // the user tries again elsewhere, and that is accepted
+				store()
+			}
+			f.endAndArchive(number)
+			f.check("the transaction arrives after the archiving", userRequests["poll"], testJobID(number), testEnd(number))
+		})
 	}
 }
 
-// Jobs that were never accepted get 404, and a submission of one is taken once, in
-// front of an archive that has others of its shard.
-func TestNeverArchived(t *testing.T) {
-	s := newScene(t)
-	s.end(0, 20)
-	s.move(true)
-	for _, id := range []string{sceneID(30), "j-000007000000000000000000007", "j-7"} {
-		for _, name := range []string{"poll", "withdraw"} {
-			if _, err := sceneOps[name](s.n, id); !errors.Is(err, api.ErrNotFound) {
+// Jobs that were never accepted are not found, and a submission of one is accepted once, beside an
+// archive that has others of its shard.
+func TestUnknownJobBesideArchive(t *testing.T) {
+	f := newArchiveFixture(t)
+	f.storeEnds(0, 20)
+	f.archiveEnds(true)
+	for _, id := range []string{testJobID(30), "j-000007000000000000000000007", "j-7"} {
+		for _, name := range []string{"poll", "cancel"} {
+			if _, err := userRequests[name](f.controller, id); !errors.Is(err, api.ErrNotFound) {
 				t.Fatalf("%s of %s: %v, want %v", name, id, err, api.ErrNotFound)
 			}
 		}
-		for k := range 2 {
-			st, fresh, err := s.n.Submit(context.Background(), sceneJob(id))
-			if err != nil || fresh != (k == 0) || st.Status != wire.JobQueued {
-				t.Fatalf("submission %d of %s: %+v, %v, %v", k+1, id, st, fresh, err)
+		for repeats := range 2 {
+			status, created, err := f.controller.Submit(context.Background(), testJob(id))
+			if err != nil || created != (repeats == 0) || status.Status != wire.JobQueued {
+				t.Fatalf("submission %d of %s: %+v, %v, %v", repeats+1, id, status, created, err)
 			}
 		}
 	}
 }
 
-// A node cut off from the state service says nothing about jobs whose answer it
-// hasn't: neither 404 nor an older answer.
-func TestArchiveOutOfReach(t *testing.T) {
-	s := newScene(t)
-	s.end(0, 20)
-	s.move(true)
-	if err := s.n.archive.Warm(context.Background()); err != nil {
+// A controller that can't reach the store says nothing about jobs whose status it doesn't have:
+// neither that they are not found nor an older status.
+func TestArchiveUnreachable(t *testing.T) {
+	f := newArchiveFixture(t)
+	f.storeEnds(0, 20)
+	f.archiveEnds(true)
+	if err := f.controller.archive.Warm(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	s.svc.SetDown(true)
-	for name, op := range sceneOps {
-		for _, i := range []int{3, 30} {
-			if st, err := op(s.n, sceneID(i)); !errors.Is(err, api.ErrUnavailable) {
-				t.Errorf("%s of %s: %+v, %v; want %v", name, sceneID(i), st, err, api.ErrUnavailable)
+	f.services.SetDown(true)
+	for name, request := range userRequests {
+		for _, number := range []int{3, 30} {
+			if status, err := request(f.controller, testJobID(number)); !errors.Is(err, api.ErrUnavailable) {
+				t.Errorf("%s of %s: %+v, %v; want %v", name, testJobID(number), status, err, api.ErrUnavailable)
 			}
 		}
 	}
-	s.svc.SetDown(false)
+	f.services.SetDown(false)
 	time.Sleep(time.Millisecond)
-	s.check("after the outage", sceneOps["poll"], sceneID(3), sceneEnd(3))
+	f.check("after the outage", userRequests["poll"], testJobID(3), testEnd(3))
 }
--- a/internal/controller/follower_test.go
+++ b/internal/controller/follower_test.go
@@ -15,47 +15,47 @@
 	"dalefront/wire"
 )
 
-// tended is a node at a played state service, in which it is the leader's writer too.
-type tended struct {
+// standbyFixture is a node at a played state service, in which it is the leader's writer too.
+type standbyFixture struct {
 	*Controller
-	t    testing.TB
-	svc  *emulator.Services
-	ctx  context.Context
-	rng  *rand.Rand
-	term uint64
-	jobs []string
-	seq  int
+	t        testing.TB
+	services *emulator.Services
+	ctx      context.Context
+	rng      *rand.Rand
+	term     uint64
+	jobs     []string
+	changes  int
 }
 
-func newTended(t testing.TB, seed uint64) *tended {
+func newStandbyFixture(t testing.TB, seed uint64) *standbyFixture {
 	t.Helper()
-	w := &tended{t: t, rng: rand.New(rand.NewPCG(seed, 23))}
-	w.svc = emulator.NewServices(wire.Catalog{})
+	w := &standbyFixture{t: t, rng: rand.New(rand.NewPCG(seed, 23))}
+	w.services = emulator.NewServices(wire.Catalog{})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	f := 1.0
 	zero, one := 0.0, 1
-	n := testNode(t, w.svc.ServeHTTP, func(set *config.Settings) {
+	n := newTestController(t, w.services.ServeHTTP, func(set *config.Settings) {
 		o := &set.Operator
 		o.EvictAfterS, o.CheckpointMBS, o.Standbys, o.SuspectS, o.TakeoverCopyS = &f, &f, &one, &f, &zero
 	})
 	n.catalog.set(wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 8, MemoryGB: 64, Zones: []string{"x"}}}})
 	n.owner.lastRun.Store(n.now())
 	w.Controller, w.ctx = n, ctx
-	w.take()
+	w.takeTerm()
 	return w
 }
 
 // write stores changes under the present term.
-func (w *tended) write(then ...wire.Mutation) {
+func (w *standbyFixture) write(then ...wire.Mutation) {
 	w.t.Helper()
 	if _, err := w.store.Txn(w.ctx, wire.Txn{Conditions: []wire.Condition{{Key: termKey, Version: w.term}}, Mutations: then}); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-// take replaces the term.
-func (w *tended) take() {
+// takeTerm replaces the term.
+func (w *standbyFixture) takeTerm() {
 	w.t.Helper()
 	a, err := w.store.Txn(w.ctx, wire.Txn{Conditions: []wire.Condition{{Key: termKey, Version: w.term}}, Mutations: []wire.Mutation{{Put: termKey, Value: termRecord{Node: "a", Mark: fmt.Sprint(w.term)}}}})
 	if err != nil {
@@ -65,22 +65,22 @@
 	w.observeTerm("a", w.term)
 }
 
-// live lets something happen to jobs, progress, ledger, ends, hires and what was learned.
-func (w *tended) live(times int) {
+// change lets something happen to jobs, progress, ledger, ends, hires and what was learned.
+func (w *standbyFixture) change(times int) {
 	for range times {
-		w.seq++
+		w.changes++
 		r := w.rng
 		pick := func() string { return w.jobs[r.IntN(len(w.jobs))] }
 		switch k := r.IntN(10); {
 		case k < 3 || len(w.jobs) == 0:
-			id := fmt.Sprintf("j-%06d", w.seq)
+			id := fmt.Sprintf("j-%06d", w.changes)
 			w.jobs = append(w.jobs, id)
 			j := wire.Job{ID: id, Class: "c", Team: "a", Shape: []string{wire.Array, wire.Gang}[r.IntN(2)], Priority: wire.Normal, Tasks: 1 + r.IntN(9), CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 60}
 			w.write(wire.Mutation{Put: jobKey(id), Value: jobRecord{Job: j, SubmittedAt: w.now()}})
 		case k < 6:
 			e := sched.LedgerEntry{Hosts: []sched.LedgerHost{{Host: fmt.Sprintf("n-%02d", r.IntN(9)), Type: "s", Zone: "x", Incarnation: 1}},
-				Runs: []sched.LedgerRun{{Job: pick(), Attempt: uint64(w.seq), Tasks: []int32{int32(r.IntN(9))}}}}
-			w.write(wire.Mutation{Put: ledgerPrefix + fmt.Sprintf("%016x.%08x", w.term, w.seq), Value: e})
+				Runs: []sched.LedgerRun{{Job: pick(), Attempt: uint64(w.changes), Tasks: []int32{int32(r.IntN(9))}}}}
+			w.write(wire.Mutation{Put: ledgerPrefix + fmt.Sprintf("%016x.%08x", w.term, w.changes), Value: e})
 		case k < 7:
 			w.write(wire.Mutation{Put: progressKey(pick(), 0), Value: "AQAAAAAAAAA="})
 		case k < 8:
@@ -91,7 +91,7 @@
 				w.write(wire.Mutation{Delete: es[r.IntN(len(es))].Key})
 			}
 		default:
-			w.write(wire.Mutation{Put: learnedKey, Value: sched.Statistics{At: w.now(), Write: 0.1 + r.Float64()}}, wire.Mutation{Put: scaleOutPrefix + fmt.Sprint(w.seq), Value: "x"})
+			w.write(wire.Mutation{Put: learnedKey, Value: sched.Statistics{At: w.now(), Write: 0.1 + r.Float64()}}, wire.Mutation{Put: scaleOutPrefix + fmt.Sprint(w.changes), Value: "x"})
 		}
 		if r.IntN(12) == 0 { // a job that is over and gone
 			id := pick()
@@ -103,12 +103,12 @@
 }
 
 // reignNow is a term of this node that has not loaded anything yet.
-func (w *tended) leadsNow() *leadership {
+func (w *standbyFixture) startLeadership() *leadership {
 	return newLeadership(w.ctx, w.Controller, w.term, &lease{})
 }
 
-// followed reads the state as a standby does, and lets things happen while it follows.
-func (w *tended) followed(rounds int) *standby.Copy {
+// follow reads the state as a standby does, and lets things happen while it follows.
+func (w *standbyFixture) follow(rounds int) *standby.Copy {
 	w.t.Helper()
 	c, err := w.follower.read(w.ctx, paced{w.store, 0})
 	if err != nil {
@@ -116,7 +116,7 @@
 	}
 	w.follower.copy = c
 	for range rounds {
-		w.live(w.rng.IntN(6))
+		w.change(w.rng.IntN(6))
 		ev, err := w.store.Watch(w.ctx, "", c.Revision(), 0)
 		w.follower.applyEvents(c, ev, err)
 		if w.rng.IntN(4) == 0 {
@@ -131,20 +131,20 @@
 
 // From the same store a warm and a cold takeover build the same core, whatever happened
 // while it was followed and however far behind it was when the term was taken.
-func TestWarmEqualsCold(t *testing.T) {
+func TestWarmTakeoverEqualsCold(t *testing.T) {
 	loads := 0
 	for seed := uint64(1); seed <= 12; seed++ {
-		w := newTended(t, seed)
-		w.live(40)
-		w.followed(12)
-		w.live(w.rng.IntN(30)) // the copy lags
-		w.take()
-		cold := w.leadsNow()
+		w := newStandbyFixture(t, seed)
+		w.change(40)
+		w.follow(12)
+		w.change(w.rng.IntN(30)) // the copy lags
+		w.takeTerm()
+		cold := w.startLeadership()
 		read, err := cold.read()
 		if err != nil {
 			t.Fatal(err)
 		}
-		warm := w.leadsNow()
+		warm := w.startLeadership()
 		copied, why := w.follower.takeOver(w.ctx, w.term, warm.lease)
 		if copied == nil {
 			t.Fatalf("seed %d: %s", seed, why)
@@ -173,30 +173,30 @@
 // What is wrong with a copy, or with the node that has it, leads to the cold path: an
 // entry lost, doubled, stale or torn in the part that is compared, a term that it does not
 // reach, a lost hold, a standstill, a higher token.
-func TestDoubtMeansCold(t *testing.T) {
+func TestDoubtfulCopyIsNotUsed(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(w *tended, c *standby.Copy, h *lease)
+		do   func(w *standbyFixture, c *standby.Copy, h *lease)
 	}{
 		{"nothing", nil},
-		{"entry lost", func(w *tended, c *standby.Copy, _ *lease) {
+		{"entry lost", func(w *standbyFixture, c *standby.Copy, _ *lease) {
 			c.Keep = func(k string) bool { return !strings.HasPrefix(k, ledgerPrefix) && !strings.HasPrefix(k, jobPrefix) }
-			w.live(20) // what is created now is missed
+			w.change(20) // what is created now is missed
 			ev, err := w.store.Watch(w.ctx, "", c.Revision(), 0)
 			w.follower.applyEvents(c, ev, err)
 			c.Keep = func(string) bool { return true }
 		}},
-		{"hold lost", func(_ *tended, _ *standby.Copy, h *lease) { h.expired.Store(true) }},
-		{"standstill", func(w *tended, _ *standby.Copy, _ *lease) { w.owner.lastRun.Store(w.now() - 3*stallThreshold) }},
-		{"higher token", func(w *tended, _ *standby.Copy, _ *lease) { w.observeTerm("b", w.term+1000) }},
-		{"no store", func(w *tended, _ *standby.Copy, _ *lease) { w.svc.SetDown(true) }},
-		{"compacted", func(w *tended, c *standby.Copy, _ *lease) { c.Lost("compacted") }},
+		{"hold lost", func(_ *standbyFixture, _ *standby.Copy, h *lease) { h.expired.Store(true) }},
+		{"standstill", func(w *standbyFixture, _ *standby.Copy, _ *lease) { w.owner.lastRun.Store(w.now() - 3*stallThreshold) }},
+		{"higher token", func(w *standbyFixture, _ *standby.Copy, _ *lease) { w.observeTerm("b", w.term+1000) }},
+		{"no store", func(w *standbyFixture, _ *standby.Copy, _ *lease) { w.services.SetDown(true) }},
+		{"compacted", func(w *standbyFixture, c *standby.Copy, _ *lease) { c.Lost("compacted") }},
 	} {
-		w := newTended(t, 5)
-		w.live(60)
-		copied := w.followed(5)
+		w := newStandbyFixture(t, 5)
+		w.change(60)
+		copied := w.follow(5)
 		h := &lease{}
-		w.take()
+		w.takeTerm()
 		w.owner.lastRun.Store(w.now())
 		if c.do != nil {
 			c.do(w, copied, h)
@@ -211,7 +211,7 @@
 // BenchmarkWarmTakeover is what a takeover takes from the term to a core, cold and warm.
 func BenchmarkWarmTakeover(b *testing.B) {
 	for _, jobs := range []int{300, 3000, 10_000} {
-		w := newTended(b, 1)
+		w := newStandbyFixture(b, 1)
 		w.settings.Deployment.State.RPS = 1e6
 		for i := range jobs {
 			id := fmt.Sprintf("j-%06d", i)
@@ -225,8 +225,8 @@
 				n := 0
 				for b.Loop() {
 					w.owner.lastRun.Store(w.now())
-					w.take()
-					r := w.leadsNow()
+					w.takeTerm()
+					r := w.startLeadership()
 					began := time.Now()
 					if _, err := r.build(load(r)); err != nil {
 						b.Fatal(err)
@@ -246,7 +246,7 @@
 			}
 			return s
 		})
-		copied := w.followed(0)
+		copied := w.follow(0)
 		run("warm", func(r *leadership) *stored {
 			w.follower.copy = copied
 			s, why := w.follower.takeOver(w.ctx, r.token, r.lease)
--- a/internal/controller/instability_test.go
+++ b/internal/controller/instability_test.go
@@ -111,7 +111,7 @@
 		s.leave(c.node)
 		_, before := s.holder()
 		f := 1.0
-		n := testNode(t, s.serve, func(set *config.Settings) {
+		n := newTestController(t, s.serve, func(set *config.Settings) {
 			set.Operator.EvictAfterS, set.Operator.CheckpointMBS = &f, &f
 		})
 		p, err := peer.Dial("127.0.0.1:1")
@@ -150,7 +150,7 @@
 // Peers count how often a node is started anew, whatever its clock says; they forget it
 // after a minute, and a node that hears of it lets those go first that end less often.
 func TestFlapping(t *testing.T) {
-	n := testNode(t, func(http.ResponseWriter, *http.Request) {})
+	n := newTestController(t, func(http.ResponseWriter, *http.Request) {})
 	p, _ := peer.Dial("127.0.0.1:1")
 	n.peers["b"] = p
 	now := time.Now()
--- a/internal/controller/largesite_test.go
+++ b/internal/controller/largesite_test.go
@@ -22,7 +22,7 @@
 func TestSendOnFollowsWorkers(t *testing.T) {
 	for _, test := range []struct{ workers, atOnce int }{{0, 80}, {350, 80}, {480, 80}, {1_333, 222}, {2_667, 444}} {
 		t.Run(fmt.Sprint(test.workers), func(t *testing.T) {
-			n := testNode(t, func(http.ResponseWriter, *http.Request) {}, func(set *config.Settings) { set.Label = "c" })
+			n := newTestController(t, func(http.ResponseWriter, *http.Request) {}, func(set *config.Settings) { set.Label = "c" })
 			n.peerTable.recordSeen("a", time.Now())
 			old := time.Now().Add(-time.Minute) // gone: they don't count
 			for i := range 10_000 {
@@ -54,7 +54,7 @@
 	var mu sync.Mutex
 	var asked [][]string
 	refuse := 2 // this request
-	n := testNode(t, func(w http.ResponseWriter, r *http.Request) {
+	n := newTestController(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		if r.URL.Path == wire.PathScaleIn {
 			var h wire.MachineIDs
--- /dev/null
+++ b/internal/controller/lookup_test.go
@@ -0,0 +1,73 @@
+package controller
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"runtime"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+
+	"dalefront/wire"
+)
+
+// Hundreds of users polling once used up all requests that the key-value store takes, so that no
+// controller could renew a term: what is asked at the same time is looked up together, and every
+// answer still rests on a read that began later.
+func TestLookupsShareReads(t *testing.T) {
+	const (
+		users     = 100
+		doneUser  = 7 // whose job is done
+		doneJob   = "j-7"
+		batchSize = 24 // lookups that a transaction with 12 operations takes at most
+	)
+	var reads atomic.Int64
+	release := make(chan struct{})
+	c := newTestController(t, func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Path != "/multi" {
+			body, _ := wire.Marshal(wire.KeyValue{Key: endKey(doneJob), Value: []byte{0x81, 0xa1, 'S', 0xa4, 'd', 'o', 'n', 'e'}})
+			_, _ = w.Write(body)
+			return
+		}
+		reads.Add(1)
+		<-release
+		var txn wire.Txn
+		body, _ := io.ReadAll(r.Body)
+		_ = wire.Unmarshal(body, &txn)
+		var response wire.TxnResponse
+		for _, condition := range txn.Conditions {
+			if strings.HasPrefix(condition.Key, jobPrefix) || condition.Key == endKey(doneJob) {
+				response.FailedKeys = append(response.FailedKeys, condition.Key)
+			}
+		}
+		w.WriteHeader(http.StatusConflict)
+		body, _ = wire.Marshal(response)
+		_, _ = w.Write(body)
+	})
+	var all sync.WaitGroup
+	var wrong atomic.Int64
+	for i := range users {
+		all.Go(func() {
+			id := fmt.Sprint("j-", i)
+			status, err := c.Status(context.Background(), id)
+			want := wire.JobQueued
+			if i == doneUser {
+				want = wire.JobDone
+			}
+			if err != nil || status.Status != want || status.ID != id {
+				wrong.Add(1)
+			}
+		})
+	}
+	for int(reads.Load()) < lookupWorkers || len(c.lookups.queue) < users-lookupWorkers*batchSize {
+		runtime.Gosched()
+	}
+	close(release)
+	all.Wait()
+	if got := reads.Load(); got > users/5 || wrong.Load() > 0 {
+		t.Errorf("%d users cost %d reads, %d answers were wrong", users, got, wrong.Load())
+	}
+}
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -26,7 +26,7 @@
 		rnd := rand.New(rand.NewPCG(seed, 16))
 		svc := emulator.NewServices(wire.Catalog{})
 		srv := httptest.NewServer(svc)
-		n := testNode(t, svc.ServeHTTP, func(set *config.Settings) { *set.Operator.TakeoverCopyS = 60 })
+		n := newTestController(t, svc.ServeHTTP, func(set *config.Settings) { *set.Operator.TakeoverCopyS = 60 })
 		client := kvstore.New(strings.TrimPrefix(srv.URL, "http://"), 1e6, 1e6, 1)
 		write := func(k int) {
 			var txn wire.Txn
@@ -98,7 +98,7 @@
 func takeover(b *testing.B, live, over int, copies bool) {
 	svc := emulator.NewServices(wire.Catalog{})
 	var requests, bytes atomic.Int64
-	n := testNode(b, func(w http.ResponseWriter, r *http.Request) {
+	n := newTestController(b, func(w http.ResponseWriter, r *http.Request) {
 		requests.Add(1)
 		svc.ServeHTTP(counted{w, &bytes}, r)
 	}, func(set *config.Settings) {
@@ -108,13 +108,13 @@
 		}
 	})
 	for i := range live {
-		j := sceneJob(sceneID(i))
+		j := testJob(testJobID(i))
 		j.Class, j.Image, j.Tasks = "some-class", "some-image", 4
 		svc.Set(jobKey(j.ID), jobRecord{Job: *j, SubmittedAt: int64(i)})
 		svc.Set(fmt.Sprintf("%s%d.%d", ledgerPrefix, 7, i), sched.LedgerEntry{})
 	}
 	for i := range over {
-		svc.Set(endKey(fmt.Sprintf("j-9%06d", i)), sceneEnd(i))
+		svc.Set(endKey(fmt.Sprintf("j-9%06d", i)), testEnd(i))
 	}
 	svc.Set(termKey, termRecord{Node: "a", Mark: "a.1"})
 	e, _ := svc.Entry(termKey)
--- a/internal/controller/stall_test.go
+++ b/internal/controller/stall_test.go
@@ -21,7 +21,7 @@
 		acts bool
 	}{{"kept", 5, true}, {"taken", 6, false}} {
 		f := 1.0
-		n := testNode(t, func(w http.ResponseWriter, r *http.Request) {
+		n := newTestController(t, func(w http.ResponseWriter, r *http.Request) {
 			b, _ := wire.Marshal(wire.KeyValue{Key: termKey, Version: c.term, Value: []byte{0x80}})
 			_, _ = w.Write(b)
 		}, func(set *config.Settings) {
@@ -59,7 +59,7 @@
 // it had been refused for three seconds.
 func TestNothingIsReturnedUnderATermInDoubt(t *testing.T) {
 	for _, code := range []int{200, 409, 429, 503, 0} {
-		n := testNode(t, func(w http.ResponseWriter, r *http.Request) {
+		n := newTestController(t, func(w http.ResponseWriter, r *http.Request) {
 			if code == 0 {
 				panic(http.ErrAbortHandler)
 			}
@@ -79,7 +79,7 @@
 // A worker whose report nobody can take is sent on to a node that is alive: left to
 // try them in turn it may meet two silent ones, and its lease runs out.
 func TestSentPastSilentNodes(t *testing.T) {
-	n := testNode(t, func(http.ResponseWriter, *http.Request) {}, func(set *config.Settings) { set.Label = "c" })
+	n := newTestController(t, func(http.ResponseWriter, *http.Request) {}, func(set *config.Settings) { set.Label = "c" })
 	now := time.Now()
 	for _, label := range []string{"a", "b", "e"} {
 		n.peerTable.recordSeen(label, now)
