--- a/internal/controller/follower_test.go
+++ b/internal/controller/follower_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"strings"
@@ -122,8 +123,8 @@
 		if w.rng.IntN(4) == 0 {
 			w.follower.audit(w.ctx, c)
 		}
-		if c.Doubt() != "" {
-			w.t.Fatal("a good copy is doubted: ", c.Doubt())
+		if c.Err() != nil {
+			w.t.Fatal("a valid copy became invalid: ", c.Err())
 		}
 	}
 	return c
@@ -190,7 +191,7 @@
 		{"standstill", func(w *standbyFixture, _ *standby.Copy, _ *lease) { w.owner.lastRun.Store(w.now() - 3*stallThreshold) }},
 		{"higher token", func(w *standbyFixture, _ *standby.Copy, _ *lease) { w.observeTerm("b", w.term+1000) }},
 		{"no store", func(w *standbyFixture, _ *standby.Copy, _ *lease) { w.services.SetDown(true) }},
-		{"compacted", func(w *standbyFixture, c *standby.Copy, _ *lease) { c.Lost("compacted") }},
+		{"compacted", func(w *standbyFixture, c *standby.Copy, _ *lease) { c.Invalidate(errors.New("compacted")) }},
 	} {
 		w := newStandbyFixture(t, 5)
 		w.change(60)
