--- a/internal/sched/gpus.go
+++ b/internal/sched/gpus.go
@@ -95,7 +95,7 @@
 // back: nothing would ever let the dearest machines go for work that no objective watches, and
 // other work can have cheaper ones.
 func (c *Core) shouldEmpty(m *machine, j *job) bool {
-	return j.hasNoObjective() || (c.now-m.gpusIdleSince > c.idleTimeout(m.machineType, true) && !c.allLackCapacity(j))
+	return j.isLeftover() || (c.now-m.gpusIdleSince > c.idleTimeout(m.machineType, true) && !c.allLackCapacity(j))
 }
 
 // leavesRoomBeside says whether the machine has room for a task of the job beside what tasks on its
