--- a/cmd/dalefront/config.go
+++ b/cmd/dalefront/config.go
@@ -38,7 +38,7 @@
 		return nil, err
 	}
 	c := &configClient{set: set}
-	for _, m := range append([]config.Member{{Label: set.Label, Addr: set.MeshAddr}}, set.Members...) {
+	for _, m := range append([]config.Member{{Label: set.Label, Addr: set.PeerAddr}}, set.Members...) {
 		client, err := peer.Dial(m.Addr)
 		if err != nil {
 			return nil, err
--- a/cmd/dalefront/handover.go
+++ b/cmd/dalefront/handover.go
@@ -28,7 +28,7 @@
 			if err != nil {
 				return err
 			}
-			addrs := []string{s.MeshAddr}
+			addrs := []string{s.PeerAddr}
 			for _, m := range s.Members {
 				addrs = append(addrs, m.Addr)
 			}
--- a/cmd/dalefront/main.go
+++ b/cmd/dalefront/main.go
@@ -75,7 +75,7 @@
 			if err != nil {
 				return err
 			}
-			if file := s.Operator.Calendar; file != "" {
+			if file := s.Operator.CalendarFile; file != "" {
 				if _, err := calendar.Load(file); err != nil {
 					return err
 				}
--- a/cmd/dalefront/snapshot.go
+++ b/cmd/dalefront/snapshot.go
@@ -207,7 +207,7 @@
 		if err != nil {
 			return nil, err
 		}
-		file = s.Operator.SnapshotKey
+		file = s.Operator.SnapshotKeyFile
 	}
 	if file == "" {
 		return nil, nil
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -43,9 +43,9 @@
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
-	CPUsMax float64 `toml:"cpus_max"`
+	MaxCPUs float64 `toml:"cpus_max"`
 	GPUs    float64 `toml:"gpus"`
-	GPUsMax float64 `toml:"gpus_max"`
+	MaxGPUs float64 `toml:"gpus_max"`
 }
 
 // Objective is one aim of the users.
@@ -68,12 +68,12 @@
 
 // Settings is what the platform hands over.
 type Settings struct {
-	Label     string   `toml:"label"`
-	Zone      string   `toml:"zone"`
-	ServeOn   string   `toml:"serve_on"`
-	MeshAddr  string   `toml:"mesh_addr"`
-	Members   []Member `toml:"members"`
-	Endpoints struct {
+	Label      string   `toml:"label"`
+	Zone       string   `toml:"zone"`
+	ListenAddr string   `toml:"serve_on"`
+	PeerAddr   string   `toml:"mesh_addr"`
+	Members    []Member `toml:"members"`
+	Endpoints  struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
 	} `toml:"endpoints"`
@@ -120,28 +120,28 @@
 // Operator holds the settings that an operator may tune. docs/operations.md
 // lists them with their defaults and ranges.
 type Operator struct {
-	IdleReturnS   *float64 `hcl:"idle_return_s,optional"`
-	EvictAfterS   *float64 `hcl:"evict_after_s,optional"`
-	SpareFactor   *float64 `hcl:"spare_factor,optional"`
-	ReserveFactor *float64 `hcl:"reserve_factor,optional"`
-	MaxMachines   *int     `hcl:"max_machines,optional"`
-	TermS         *float64 `hcl:"term_s,optional"`
-	CheckpointMBS *float64 `hcl:"checkpoint_mb_per_s,optional"`
-	LeftoverRentS *float64 `hcl:"leftover_rent_s,optional"`
-	Patience      *float64 `hcl:"silent_patience,optional"`
-	DrainS        *float64 `hcl:"drain_s,optional"`
-	Eviction      string   `hcl:"eviction,optional"` // EvictAdaptive and so on
-	Order         string   `hcl:"order,optional"`    // OrderPriority or OrderArrival
-	ArchiveAfterS *float64 `hcl:"archive_after_s,optional"`
-	ArchiveShare  *float64 `hcl:"archive_share,optional"`
-	TakeoverCopyS *float64 `hcl:"takeover_copy_s,optional"`
-	Standbys      *int     `hcl:"standbys,optional"`
-	SuspectS      *float64 `hcl:"suspect_s,optional"`
-	CancelWaitS   *float64 `hcl:"cancel_wait_s,optional"` // of an earlier version; it has no effect
-	SnapshotEvery *float64 `hcl:"snapshot_every_s,optional"`
-	SnapshotDir   string   `hcl:"snapshot_dir,optional"`      // paths are, if relative, beside the operator's own file
-	SnapshotKey   string   `hcl:"snapshot_key_file,optional"` // any secret
-	Calendar      string   `hcl:"calendar,optional"`          // a file of recurring jobs
+	IdleTimeoutS              *float64 `hcl:"idle_return_s,optional"`
+	PreemptionDelayS          *float64 `hcl:"evict_after_s,optional"`
+	HeadroomFactor            *float64 `hcl:"spare_factor,optional"`
+	QuotaReserveFactor        *float64 `hcl:"reserve_factor,optional"`
+	MaxMachines               *int     `hcl:"max_machines,optional"`
+	LeaderLeaseS              *float64 `hcl:"term_s,optional"`
+	CheckpointMBPerS          *float64 `hcl:"checkpoint_mb_per_s,optional"`
+	LowPriorityScaleOutDelayS *float64 `hcl:"leftover_rent_s,optional"`
+	HeartbeatPatience         *float64 `hcl:"silent_patience,optional"`
+	DrainS                    *float64 `hcl:"drain_s,optional"`
+	PreemptionMode            string   `hcl:"eviction,optional"` // EvictAdaptive and so on
+	PlacementOrder            string   `hcl:"order,optional"`    // OrderPriority or OrderArrival
+	ArchiveAfterS             *float64 `hcl:"archive_after_s,optional"`
+	ArchiveShare              *float64 `hcl:"archive_share,optional"`
+	FailoverSnapshotS         *float64 `hcl:"takeover_copy_s,optional"`
+	Standbys                  *int     `hcl:"standbys,optional"`
+	SuspectS                  *float64 `hcl:"suspect_s,optional"`
+	CancelWaitS               *float64 `hcl:"cancel_wait_s,optional"` // of an earlier version; it has no effect
+	SnapshotIntervalS         *float64 `hcl:"snapshot_every_s,optional"`
+	SnapshotDir               string   `hcl:"snapshot_dir,optional"`      // paths are, if relative, beside the operator's own file
+	SnapshotKeyFile           string   `hcl:"snapshot_key_file,optional"` // any secret
+	CalendarFile              string   `hcl:"calendar,optional"`          // a file of recurring jobs
 }
 
 func or[T any](p *T, def T) *T {
@@ -152,25 +152,25 @@
 }
 
 func (o *Operator) defaults() {
-	o.IdleReturnS = or(o.IdleReturnS, 50)
-	o.EvictAfterS = or(o.EvictAfterS, 1.5)
-	o.SpareFactor = or(o.SpareFactor, 1)
-	o.ReserveFactor = or(o.ReserveFactor, 1.25)
+	o.IdleTimeoutS = or(o.IdleTimeoutS, 50)
+	o.PreemptionDelayS = or(o.PreemptionDelayS, 1.5)
+	o.HeadroomFactor = or(o.HeadroomFactor, 1)
+	o.QuotaReserveFactor = or(o.QuotaReserveFactor, 1.25)
 	o.MaxMachines = or(o.MaxMachines, defaultMaxMachines)
-	o.TermS = or(o.TermS, 2)
-	o.CheckpointMBS = or(o.CheckpointMBS, 100)
-	o.LeftoverRentS = or(o.LeftoverRentS, 600)
-	o.Patience = or(o.Patience, 1)
+	o.LeaderLeaseS = or(o.LeaderLeaseS, 2)
+	o.CheckpointMBPerS = or(o.CheckpointMBPerS, 100)
+	o.LowPriorityScaleOutDelayS = or(o.LowPriorityScaleOutDelayS, 600)
+	o.HeartbeatPatience = or(o.HeartbeatPatience, 1)
 	o.DrainS = or(o.DrainS, 3)
-	if o.Eviction == "" {
-		o.Eviction = EvictAdaptive
+	if o.PreemptionMode == "" {
+		o.PreemptionMode = PreemptAdaptive
 	}
-	if o.Order == "" {
-		o.Order = OrderPriority
+	if o.PlacementOrder == "" {
+		o.PlacementOrder = OrderPriority
 	}
 	o.ArchiveAfterS = or(o.ArchiveAfterS, 0)
-	o.SnapshotEvery = or(o.SnapshotEvery, 3600)
-	o.TakeoverCopyS = or(o.TakeoverCopyS, 0)
+	o.SnapshotIntervalS = or(o.SnapshotIntervalS, 3600)
+	o.FailoverSnapshotS = or(o.FailoverSnapshotS, 0)
 	o.Standbys = or(o.Standbys, 1)
 	o.SuspectS = or(o.SuspectS, 0.25)
 	o.ArchiveShare = or(o.ArchiveShare, 0.1)
@@ -179,10 +179,10 @@
 // How tasks make way. The paper's rule is the adaptive one; the others are there to
 // compare it with.
 const (
-	EvictAdaptive   = "adaptive"   // checkpointed if their progress is worth it, otherwise killed
-	EvictKill       = "kill"       // always killed
-	EvictCheckpoint = "checkpoint" // always checkpointed, if they can be
-	EvictNone       = "none"       // never
+	PreemptAdaptive   = "adaptive"   // checkpointed if their progress is worth it, otherwise killed
+	PreemptKill       = "kill"       // always killed
+	PreemptCheckpoint = "checkpoint" // always checkpointed, if they can be
+	PreemptNone       = "none"       // never
 )
 
 // In which order jobs are placed. First come, first served is there to compare with: it
@@ -194,31 +194,31 @@
 )
 
 func (o *Operator) check() error {
-	if o.Order != OrderPriority && o.Order != OrderArrival {
-		return fmt.Errorf("order: %q is not one of %s, %s", o.Order, OrderPriority, OrderArrival)
+	if o.PlacementOrder != OrderPriority && o.PlacementOrder != OrderArrival {
+		return fmt.Errorf("order: %q is not one of %s, %s", o.PlacementOrder, OrderPriority, OrderArrival)
 	}
-	switch o.Eviction {
-	case EvictAdaptive, EvictKill, EvictCheckpoint, EvictNone:
+	switch o.PreemptionMode {
+	case PreemptAdaptive, PreemptKill, PreemptCheckpoint, PreemptNone:
 	default:
-		return fmt.Errorf("eviction: %q is not one of %s, %s, %s, %s", o.Eviction, EvictAdaptive, EvictKill, EvictCheckpoint, EvictNone)
+		return fmt.Errorf("eviction: %q is not one of %s, %s, %s, %s", o.PreemptionMode, PreemptAdaptive, PreemptKill, PreemptCheckpoint, PreemptNone)
 	}
 	for _, f := range []struct {
 		name      string
 		v, lo, hi float64
 	}{
-		{"idle_return_s", *o.IdleReturnS, 1, 86400},
-		{"evict_after_s", *o.EvictAfterS, 0, 3600},
-		{"spare_factor", *o.SpareFactor, 0, 10},
-		{"reserve_factor", *o.ReserveFactor, 0, 10},
+		{"idle_return_s", *o.IdleTimeoutS, 1, 86400},
+		{"evict_after_s", *o.PreemptionDelayS, 0, 3600},
+		{"spare_factor", *o.HeadroomFactor, 0, 10},
+		{"reserve_factor", *o.QuotaReserveFactor, 0, 10},
 		{"max_machines", float64(*o.MaxMachines), 1, largestMaxMachines},
-		{"term_s", *o.TermS, 0.5, 60},
-		{"checkpoint_mb_per_s", *o.CheckpointMBS, 0.1, 1e6},
-		{"leftover_rent_s", *o.LeftoverRentS, 0, 1e9},
-		{"silent_patience", *o.Patience, 0, 1000},
+		{"term_s", *o.LeaderLeaseS, 0.5, 60},
+		{"checkpoint_mb_per_s", *o.CheckpointMBPerS, 0.1, 1e6},
+		{"leftover_rent_s", *o.LowPriorityScaleOutDelayS, 0, 1e9},
+		{"silent_patience", *o.HeartbeatPatience, 0, 1000},
 		{"drain_s", *o.DrainS, 0, 600},
 		{"archive_after_s", *o.ArchiveAfterS, 0, 1e9},
-		{"snapshot_every_s", *o.SnapshotEvery, 10, 1e9},
-		{"takeover_copy_s", *o.TakeoverCopyS, 0, 3600},
+		{"snapshot_every_s", *o.SnapshotIntervalS, 10, 1e9},
+		{"takeover_copy_s", *o.FailoverSnapshotS, 0, 3600},
 		{"standbys", float64(*o.Standbys), 0, 8},
 		{"suspect_s", *o.SuspectS, 0, 60},
 		{"archive_share", *o.ArchiveShare, 0.001, 0.5},
@@ -242,15 +242,15 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if operator != "" {
-		if err := s.ReadOperator(operator); err != nil {
+		if err := s.LoadOperator(operator); err != nil {
 			return nil, err
 		}
 	}
 	return s, nil
 }
 
-// ReadOperator takes the settings of an HCL file in place of those that are there.
-func (s *Settings) ReadOperator(path string) error {
+// LoadOperator takes the settings of an HCL file in place of those that are there.
+func (s *Settings) LoadOperator(path string) error {
 	s.Operator = Operator{}
 	if err := s.readOperator(path); err != nil {
 		return err
@@ -275,7 +275,7 @@
 		}
 		return fmt.Errorf("%s:%d: %s: %s", path, line, d.Summary, d.Detail)
 	}
-	for _, p := range []*string{&s.Operator.Calendar, &s.Operator.SnapshotDir, &s.Operator.SnapshotKey} {
+	for _, p := range []*string{&s.Operator.CalendarFile, &s.Operator.SnapshotDir, &s.Operator.SnapshotKeyFile} {
 		if *p != "" && !filepath.IsAbs(*p) {
 			*p = filepath.Join(filepath.Dir(path), *p)
 		}
@@ -296,9 +296,9 @@
 	}
 }
 
-// Tune sets operator's settings that are numbers, over those that are there. Settings that
+// OverrideOperator sets operator's settings that are numbers, over those that are there. Settings that
 // these are a copy of stay as they are.
-func (s *Settings) Tune(values map[string]float64) error {
+func (s *Settings) OverrideOperator(values map[string]float64) error {
 	s.Operator.unshare()
 	var text bytes.Buffer
 	for _, name := range slices.Sorted(maps.Keys(values)) {
@@ -334,7 +334,7 @@
 	if s.Label == "" {
 		return errors.New("label: missing")
 	}
-	addrs := map[string]string{"serve_on": s.ServeOn, "mesh_addr": s.MeshAddr,
+	addrs := map[string]string{"serve_on": s.ListenAddr, "mesh_addr": s.PeerAddr,
 		"endpoints.cloud": s.Endpoints.Cloud, "endpoints.state": s.Endpoints.State}
 	for _, m := range s.Members {
 		if m.Label == "" || m.Label == s.Label {
@@ -381,7 +381,7 @@
 		if t.Name == "" {
 			return errors.New("deployment.teams.name: missing")
 		}
-		for _, v := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
+		for _, v := range []float64{t.CPUs, t.MaxCPUs, t.GPUs, t.MaxGPUs} {
 			if !(v >= 0) {
 				return fmt.Errorf("deployment.teams.%s: amounts must not be negative", t.Name)
 			}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -67,7 +67,7 @@
 		switch {
 		case c.want == "" && err != nil:
 			t.Errorf("%s: %v", c.name, err)
-		case c.want == "" && c.hcl != "" && *s.Operator.EvictAfterS != 2:
+		case c.want == "" && c.hcl != "" && *s.Operator.PreemptionDelayS != 2:
 			t.Errorf("%s: the operator's setting was not taken", c.name)
 		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), dir) || strings.Contains(err.Error(), "\n")):
 			t.Errorf("%s: got %v; want one line with the file and %q", c.name, err, c.want)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -16,5 +16,5 @@
 
 // The words that settings take.
 func TestWordsStayAsTheyAre(t *testing.T) {
-	golden.Text(t, "words.golden", strings.Join([]string{EvictAdaptive, EvictKill, EvictCheckpoint, EvictNone, OrderPriority, OrderArrival}, "\n")+"\n")
+	golden.Text(t, "words.golden", strings.Join([]string{PreemptAdaptive, PreemptKill, PreemptCheckpoint, PreemptNone, OrderPriority, OrderArrival}, "\n")+"\n")
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -142,12 +142,12 @@
 
 // readFiles reads the files that the settings name.
 func (c *Controller) readFiles() (err error) {
-	if file := c.settings.Operator.Calendar; file != "" {
+	if file := c.settings.Operator.CalendarFile; file != "" {
 		if c.calendar, err = calendar.Load(file); err != nil {
 			return err
 		}
 	}
-	if file := c.settings.Operator.SnapshotKey; file != "" {
+	if file := c.settings.Operator.SnapshotKeyFile; file != "" {
 		if c.snapshotKey, err = snapshot.KeyFile(file); err != nil {
 			return err
 		}
@@ -175,11 +175,11 @@
 func (c *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	users, err := net.Listen("tcp", c.settings.ServeOn)
+	users, err := net.Listen("tcp", c.settings.ListenAddr)
 	if err != nil {
 		return err
 	}
-	mesh, err := net.Listen("tcp", c.settings.MeshAddr)
+	mesh, err := net.Listen("tcp", c.settings.PeerAddr)
 	if err != nil {
 		return err
 	}
@@ -190,7 +190,7 @@
 	go func() { failed <- httpServer.Serve(users) }()
 	go func() { failed <- rpcServer.Serve(mesh) }()
 	c.startLoops(ctx)
-	c.log.Info("serving", "node", c.settings.Label, "users", c.settings.ServeOn, "mesh", c.settings.MeshAddr)
+	c.log.Info("serving", "node", c.settings.Label, "users", c.settings.ListenAddr, "mesh", c.settings.PeerAddr)
 	select {
 	case <-ctx.Done():
 		_ = httpServer.Close()
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -71,7 +71,7 @@
 }
 
 func newElection(c *Controller) *election {
-	return &election{controller: c, leaseTTL: seconds(*c.settings.Operator.TermS)}
+	return &election{controller: c, leaseTTL: seconds(*c.settings.Operator.LeaderLeaseS)}
 }
 
 // run stands for election again and again until the context ends or the controller is about to end.
--- a/internal/controller/follower_test.go
+++ b/internal/controller/follower_test.go
@@ -38,7 +38,7 @@
 	zero, one := 0.0, 1
 	n := newTestController(t, w.services.ServeHTTP, func(set *config.Settings) {
 		o := &set.Operator
-		o.EvictAfterS, o.CheckpointMBS, o.Standbys, o.SuspectS, o.TakeoverCopyS = &f, &f, &one, &f, &zero
+		o.PreemptionDelayS, o.CheckpointMBPerS, o.Standbys, o.SuspectS, o.FailoverSnapshotS = &f, &f, &one, &f, &zero
 	})
 	n.catalog.set(wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 8, MemoryGB: 64, Zones: []string{"x"}}}})
 	n.owner.lastRun.Store(n.now())
--- a/internal/controller/instability_test.go
+++ b/internal/controller/instability_test.go
@@ -112,7 +112,7 @@
 		_, before := s.holder()
 		f := 1.0
 		n := newTestController(t, s.serve, func(set *config.Settings) {
-			set.Operator.EvictAfterS, set.Operator.CheckpointMBS = &f, &f
+			set.Operator.PreemptionDelayS, set.Operator.CheckpointMBPerS = &f, &f
 		})
 		p, err := peer.Dial("127.0.0.1:1")
 		if err != nil {
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -63,7 +63,7 @@
 	if operator.SnapshotDir == "" {
 		return
 	}
-	interval := seconds(*operator.SnapshotEvery)
+	interval := seconds(*operator.SnapshotIntervalS)
 	l.periodically(min(interval, firstSnapshotPause), interval, func() {
 		l.controller.writeSnapshot(ctx, operator.SnapshotDir)
 	})
@@ -93,7 +93,7 @@
 // storeSnapshots stores what a takeover needs in the state service from time to time, so that
 // the next leader reads few long values instead of many short ones.
 func (l *leadership) storeSnapshots(ctx context.Context) {
-	interval := seconds(*l.controller.settings.Operator.TakeoverCopyS)
+	interval := seconds(*l.controller.settings.Operator.FailoverSnapshotS)
 	if interval <= 0 {
 		return
 	}
@@ -127,7 +127,7 @@
 // older than the term is never used, since the last leader may have written after it.
 func (l *leadership) loadCopy() *snapshot.Snapshot {
 	c := l.controller
-	if *c.settings.Operator.TakeoverCopyS <= 0 {
+	if *c.settings.Operator.FailoverSnapshotS <= 0 {
 		return nil
 	}
 	began := time.Now()
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -26,7 +26,7 @@
 		rnd := rand.New(rand.NewPCG(seed, 16))
 		svc := emulator.NewServices(wire.Catalog{})
 		srv := httptest.NewServer(svc)
-		n := newTestController(t, svc.ServeHTTP, func(set *config.Settings) { *set.Operator.TakeoverCopyS = 60 })
+		n := newTestController(t, svc.ServeHTTP, func(set *config.Settings) { *set.Operator.FailoverSnapshotS = 60 })
 		client := kvstore.New(strings.TrimPrefix(srv.URL, "http://"), 1e6, 1e6, 1)
 		write := func(k int) {
 			var txn wire.Txn
@@ -104,7 +104,7 @@
 	}, func(set *config.Settings) {
 		set.Deployment.State.TxnOps = 12
 		if copies {
-			*set.Operator.TakeoverCopyS = 60
+			*set.Operator.FailoverSnapshotS = 60
 		}
 	})
 	for i := range live {
--- a/internal/controller/stall_test.go
+++ b/internal/controller/stall_test.go
@@ -25,7 +25,7 @@
 			b, _ := wire.Marshal(wire.KeyValue{Key: termKey, Version: c.term, Value: []byte{0x80}})
 			_, _ = w.Write(b)
 		}, func(set *config.Settings) {
-			set.Operator.EvictAfterS, set.Operator.CheckpointMBS = &f, &f
+			set.Operator.PreemptionDelayS, set.Operator.CheckpointMBPerS = &f, &f
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
--- a/internal/dynconfig/dynconfig_test.go
+++ b/internal/dynconfig/dynconfig_test.go
@@ -116,7 +116,7 @@
 		}
 		for i, m := range merged.Deployment.Teams {
 			p := set.Deployment.Teams[i]
-			if p.CPUsMax > 0 && (m.CPUsMax == 0 || m.CPUsMax > p.CPUsMax) || m.CPUs > p.CPUs || m.GPUs > p.GPUs || m.CPUsMax > 0 && m.CPUs > m.CPUsMax {
+			if p.MaxCPUs > 0 && (m.MaxCPUs == 0 || m.MaxCPUs > p.MaxCPUs) || m.CPUs > p.CPUs || m.GPUs > p.GPUs || m.MaxCPUs > 0 && m.CPUs > m.MaxCPUs {
 				t.Fatalf("%+v of the platform's %+v", m, p)
 			}
 		}
--- a/internal/dynconfig/merge.go
+++ b/internal/dynconfig/merge.go
@@ -54,7 +54,7 @@
 	tuned := *settings
 	if wire.Unmarshal(document.Body, &changes) != nil ||
 		checkSettings(&tuned, document.Name, &changes) != nil ||
-		tuned.Tune(changes.Values) != nil {
+		tuned.OverrideOperator(changes.Values) != nil {
 		return false
 	}
 	*settings = tuned
@@ -64,10 +64,10 @@
 // mergeTeam returns the platform's settings of a team, lowered by its document.
 func mergeTeam(platform config.Team, team *Team) config.Team {
 	merged := platform
-	merged.CPUsMax = lowerLimit(platform.CPUsMax, team.CPUsMax)
-	merged.GPUsMax = lowerLimit(platform.GPUsMax, team.GPUsMax)
-	merged.CPUs = lowerGuarantee(platform.CPUs, merged.CPUsMax, team.CPUs)
-	merged.GPUs = lowerGuarantee(platform.GPUs, merged.GPUsMax, team.GPUs)
+	merged.MaxCPUs = lowerLimit(platform.MaxCPUs, team.CPUsMax)
+	merged.MaxGPUs = lowerLimit(platform.MaxGPUs, team.GPUsMax)
+	merged.CPUs = lowerGuarantee(platform.CPUs, merged.MaxCPUs, team.CPUs)
+	merged.GPUs = lowerGuarantee(platform.GPUs, merged.MaxGPUs, team.GPUs)
 	return merged
 }
 
--- a/internal/dynconfig/validate.go
+++ b/internal/dynconfig/validate.go
@@ -88,19 +88,19 @@
 	platform := settings.Deployment.Teams[at]
 	for _, field := range []teamField{
 		{name: "cpus", value: team.CPUs, ceiling: platform.CPUs},
-		{name: "cpus_max", value: team.CPUsMax, ceiling: platform.CPUsMax, isLimit: true},
+		{name: "cpus_max", value: team.CPUsMax, ceiling: platform.MaxCPUs, isLimit: true},
 		{name: "gpus", value: team.GPUs, ceiling: platform.GPUs},
-		{name: "gpus_max", value: team.GPUsMax, ceiling: platform.GPUsMax, isLimit: true},
+		{name: "gpus_max", value: team.GPUsMax, ceiling: platform.MaxGPUs, isLimit: true},
 	} {
 		if err := field.check(); err != nil {
 			return err
 		}
 	}
 	merged := mergeTeam(platform, team)
-	if err := checkGuarantee(team.CPUs, merged.CPUsMax); err != nil {
+	if err := checkGuarantee(team.CPUs, merged.MaxCPUs); err != nil {
 		return &FieldError{"cpus", err}
 	}
-	if err := checkGuarantee(team.GPUs, merged.GPUsMax); err != nil {
+	if err := checkGuarantee(team.GPUs, merged.MaxGPUs); err != nil {
 		return &FieldError{"gpus", err}
 	}
 	return nil
@@ -143,5 +143,5 @@
 		}
 	}
 	tuned := *platform
-	return tuned.Tune(settings.Values)
+	return tuned.OverrideOperator(settings.Values)
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -352,7 +352,7 @@
 		}
 	}
 	for _, t := range f.teams {
-		if u := uses[t.Name]; t.CPUsMax > 0 && u.CPUs > t.CPUsMax+1e-6 || t.GPUsMax > 0 && u.GPUs > t.GPUsMax+1e-6 {
+		if u := uses[t.Name]; t.MaxCPUs > 0 && u.CPUs > t.MaxCPUs+1e-6 || t.MaxGPUs > 0 && u.GPUs > t.MaxGPUs+1e-6 {
 			f.rule("quota: %s uses %.1f CPUs and %.1f GPUs", t.Name, u.CPUs, u.GPUs)
 		}
 	}
--- a/internal/emulator/spec.go
+++ b/internal/emulator/spec.go
@@ -181,12 +181,12 @@
 
 // settings is the platform's file of a controller.
 func (s *Spec) settings(a address) ([]byte, error) {
-	c := config.Settings{Label: a.label, Zone: a.zone, ServeOn: a.users, MeshAddr: a.mesh, Members: a.members}
+	c := config.Settings{Label: a.label, Zone: a.zone, ListenAddr: a.users, PeerAddr: a.mesh, Members: a.members}
 	c.Endpoints.Cloud, c.Endpoints.State = a.services, a.services
 	d := &c.Deployment
 	d.Size, d.Zones, d.ClockOffMs = s.Controllers, s.Zones, 50
 	for _, t := range s.Teams {
-		d.Teams = append(d.Teams, config.Team{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax})
+		d.Teams = append(d.Teams, config.Team{Name: t.Name, CPUs: t.CPUs, MaxCPUs: t.CPUsMax, GPUs: t.GPUs, MaxGPUs: t.GPUsMax})
 	}
 	d.Workers = config.Workers(*s.Workers)
 	d.State.RPS, d.State.WriteRPS, d.State.ValueKB, d.State.TxnOps = s.State.RPS, s.State.WriteRPS, s.State.ValueKB, s.State.TxnOps
--- a/internal/emulator/waiting.go
+++ b/internal/emulator/waiting.go
@@ -74,7 +74,7 @@
 	over := false
 	for _, t := range f.teams {
 		n := float64(need)
-		over = over || t.Name == j.Team && (t.CPUsMax > 0 && team.CPUs+n*j.CPUs > t.CPUsMax+tiny || t.GPUsMax > 0 && team.GPUs+n*j.GPUs > t.GPUsMax+tiny)
+		over = over || t.Name == j.Team && (t.MaxCPUs > 0 && team.CPUs+n*j.CPUs > t.MaxCPUs+tiny || t.MaxGPUs > 0 && team.GPUs+n*j.GPUs > t.MaxGPUs+tiny)
 	}
 	if begun || missing == 0 || over {
 		clear(j.beside)
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -165,11 +165,11 @@
 		e.DrainS = 4 * e.DurationS
 	}
 	if len(e.Variants) == 0 {
-		e.Variants = []Variant{{Name: config.EvictAdaptive}}
+		e.Variants = []Variant{{Name: config.PreemptAdaptive}}
 	}
 	for i := range e.Variants {
 		v := &e.Variants[i]
-		v.Eviction, v.Order = cmp.Or(v.Eviction, config.EvictAdaptive), cmp.Or(v.Order, config.OrderPriority)
+		v.Eviction, v.Order = cmp.Or(v.Eviction, config.PreemptAdaptive), cmp.Or(v.Order, config.OrderPriority)
 	}
 	for i := range e.Classes {
 		if c := &e.Classes[i]; c.Shape == "" {
@@ -228,7 +228,7 @@
 	}
 	names := map[string]bool{}
 	for _, v := range e.Variants {
-		if !slices.Contains([]string{config.EvictAdaptive, config.EvictKill, config.EvictCheckpoint, config.EvictNone}, v.Eviction) {
+		if !slices.Contains([]string{config.PreemptAdaptive, config.PreemptKill, config.PreemptCheckpoint, config.PreemptNone}, v.Eviction) {
 			return hclfile.At(v.Range, "variant %s: eviction must be adaptive, kill, checkpoint or none", v.Name)
 		}
 		if v.Order != config.OrderPriority && v.Order != config.OrderArrival {
--- a/internal/experiment/load_test.go
+++ b/internal/experiment/load_test.go
@@ -69,7 +69,7 @@
 			if x.Jobs != 7 || x.Unfinished != 0 {
 				t.Errorf("%s: %d of %d jobs unfinished", x.Variant, x.Unfinished, x.Jobs)
 			}
-			if (x.Evictions > 0) != (x.Variant == config.EvictAdaptive) {
+			if (x.Evictions > 0) != (x.Variant == config.PreemptAdaptive) {
 				t.Errorf("%s: %d evictions", x.Variant, x.Evictions)
 			}
 		}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -137,8 +137,8 @@
 	if err != nil {
 		return nil, err
 	}
-	set.Operator.Eviction, set.Operator.Order = v.Eviction, v.Order
-	return set, set.Tune(v.Settings)
+	set.Operator.PreemptionMode, set.Operator.PlacementOrder = v.Eviction, v.Order
+	return set, set.OverrideOperator(v.Settings)
 }
 
 // Run plays one variant with one seed.
--- a/internal/scaletest/config.go
+++ b/internal/scaletest/config.go
@@ -68,7 +68,7 @@
 		if err != nil {
 			return err
 		}
-		client, err := peer.Dial(set.MeshAddr)
+		client, err := peer.Dial(set.PeerAddr)
 		if err != nil {
 			return err
 		}
@@ -81,7 +81,7 @@
 // starts little, at one controller after the other until one says that it is applied.
 func (c *configurer) change(i int) {
 	team := c.set.Deployment.Teams[i%len(c.set.Deployment.Teams)]
-	limit := team.CPUsMax - float64(1+i/len(c.set.Deployment.Teams)%16)
+	limit := team.MaxCPUs - float64(1+i/len(c.set.Deployment.Teams)%16)
 	d, err := dynconfig.NewDocument(dynconfig.KindTeam, team.Name, dynconfig.Team{CPUsMax: &limit})
 	if err != nil {
 		c.count(func(r *ConfigResult) { r.Failed++ })
--- a/internal/sched/checkpoint.go
+++ b/internal/sched/checkpoint.go
@@ -55,9 +55,9 @@
 // have set that one or the other is always done.
 func (c *Core) checkpoints(j *job, plan *stopPlan) bool {
 	switch {
-	case !canCheckpoint(j) || c.preemptionPolicy == config.EvictKill:
+	case !canCheckpoint(j) || c.preemptionPolicy == config.PreemptKill:
 		return false
-	case c.preemptionPolicy == config.EvictCheckpoint:
+	case c.preemptionPolicy == config.PreemptCheckpoint:
 		return true
 	}
 	return plan.progress > plan.overhead
--- a/internal/sched/churn_bench_test.go
+++ b/internal/sched/churn_bench_test.go
@@ -14,7 +14,7 @@
 	const machines, residents, starts, cores = 2700, 46_400, 920, 19
 	var teams []config.Team
 	for i := range 49 {
-		teams = append(teams, config.Team{Name: fmt.Sprint("t", i), CPUs: 800, CPUsMax: 3200})
+		teams = append(teams, config.Team{Name: fmt.Sprint("t", i), CPUs: 800, MaxCPUs: 3200})
 	}
 	b := newBed(bm, teams...)
 	b.settings.Deployment.State.TxnOps = 24
--- a/internal/sched/configure.go
+++ b/internal/sched/configure.go
@@ -22,16 +22,16 @@
 	return policy{
 		settings:             settings,
 		lease:                config.Micro(settings.Deployment.Workers.LeaseS),
-		preemptAfter:         config.Micro(*settings.Operator.EvictAfterS),
-		preemptionPolicy:     settings.Operator.Eviction,
-		firstComeFirstServed: settings.Operator.Order == config.OrderArrival,
+		preemptAfter:         config.Micro(*settings.Operator.PreemptionDelayS),
+		preemptionPolicy:     settings.Operator.PreemptionMode,
+		firstComeFirstServed: settings.Operator.PlacementOrder == config.OrderArrival,
 	}
 }
 
 // configure takes a generation of the configuration. What may not change within a term stays.
 func (p *policy) configure(settings *config.Settings, cordons []dynconfig.Cordon, generation uint64) {
 	p.settings, p.cordons, p.generation = settings, cordons, generation
-	p.preemptAfter = config.Micro(*settings.Operator.EvictAfterS)
+	p.preemptAfter = config.Micro(*settings.Operator.PreemptionDelayS)
 }
 
 // leaseExpiry is how long after a heartbeat its lease must have run out: the workers' clocks may be
--- a/internal/sched/configure_test.go
+++ b/internal/sched/configure_test.go
@@ -28,7 +28,7 @@
 // A limit lowered below what runs stops nothing; nothing starts until enough has ended, and the
 // job that exceeds it waits and says for what. Raised again, the rest starts.
 func TestLoweredLimit(t *testing.T) {
-	b := newBed(t, config.Team{Name: "a", CPUsMax: 6})
+	b := newBed(t, config.Team{Name: "a", MaxCPUs: 6})
 	b.report("n-1", "s", "x", 1)
 	b.AddJob(spec("j-1", "a", wire.Normal, 4, 1), b.now, b.now)
 	if cm := b.schedule(); cm == nil || cm.Launches() != 4 || cm.Generation != 0 {
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -64,7 +64,7 @@
 		ledger:       newLedger(),
 		detector:     newFailureMonitor(settings, now),
 		boots:        bootHistory{},
-		bandwidth:    newCheckpointBandwidth(*settings.Operator.CheckpointMBS),
+		bandwidth:    newCheckpointBandwidth(*settings.Operator.CheckpointMBPerS),
 		cloud:        newCloudCapacity(),
 		log:          log,
 	}
--- a/internal/sched/demand.go
+++ b/internal/sched/demand.go
@@ -80,7 +80,7 @@
 // deviation. What finishes meanwhile is left to chance.
 func (c *Core) expectedSlots(cl *class, bootS float64) int {
 	n := cl.arrivalRate(c.now) * (bootS + rentDelayS)
-	slots := int(math.Round((n + math.Sqrt(n)) * *c.settings.Operator.SpareFactor))
+	slots := int(math.Round((n + math.Sqrt(n)) * *c.settings.Operator.HeadroomFactor))
 	for _, m := range c.machines.all() {
 		if slots > 0 && c.isSchedulable(m) && canClear(cl.sampleJob, m) {
 			slots--
@@ -116,7 +116,7 @@
 	for _, t := range c.settings.Deployment.Teams {
 		guaranteed += t.CPUs
 	}
-	return guaranteed * *c.settings.Operator.ReserveFactor
+	return guaranteed * *c.settings.Operator.QuotaReserveFactor
 }
 
 // serves is how many CPUs of such a machine the classes seen can use: the least
--- a/internal/sched/ledger_test.go
+++ b/internal/sched/ledger_test.go
@@ -282,7 +282,7 @@
 
 // A refused batch leaves everything as it was.
 func TestRefusedBatch(t *testing.T) {
-	b := newBed(t, config.Team{Name: "a", CPUsMax: 8})
+	b := newBed(t, config.Team{Name: "a", MaxCPUs: 8})
 	b.report("n-1", "s", "x", 1)
 	b.AddJob(spec("j-1", "a", wire.Normal, 1, 8), b.now, b.now)
 	cm := b.Schedule(b.now)
--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -45,7 +45,7 @@
 // it may preempt can be running at all.
 func (ps *pass) mayPreempt(j *job) bool {
 	c := ps.core
-	if !ps.fleetSettled || c.preemptionPolicy == config.EvictNone || c.firstComeFirstServed || j.isSuspect() {
+	if !ps.fleetSettled || c.preemptionPolicy == config.PreemptNone || c.firstComeFirstServed || j.isSuspect() {
 		return false
 	}
 	if j.waitingSince == 0 || c.now-j.waitingSince < c.preemptAfter || c.now < j.preemptionBackoffUntil {
--- a/internal/sched/proof_test.go
+++ b/internal/sched/proof_test.go
@@ -116,7 +116,7 @@
 
 // A job that no placement can ever satisfy is not accepted; one that can run in parts is.
 func TestImpossible(t *testing.T) {
-	b := newBed(t, config.Team{Name: "a", CPUsMax: 16})
+	b := newBed(t, config.Team{Name: "a", MaxCPUs: 16})
 	x := "x"
 	for _, c := range []struct {
 		what, shape         string
@@ -141,7 +141,7 @@
 		for _, n := range []string{"s", "g"} {
 			cat.Types = append(cat.Types, *b.machineTypes[n])
 		}
-		b.settings.Deployment.Teams = []config.Team{{Name: "a", CPUsMax: 16}}
+		b.settings.Deployment.Teams = []config.Team{{Name: "a", MaxCPUs: 16}}
 		if err := Admit(b.settings, cat, &j); (err == nil) != c.ok {
 			t.Errorf("%s: %v", c.what, err)
 		}
@@ -151,7 +151,7 @@
 // Work that waits within its team's guarantee but at its team's limit can't start: it keeps no
 // machine from others.
 func TestLimitedClaimNothing(t *testing.T) {
-	b := newBed(t, config.Team{Name: "a", CPUs: 100, CPUsMax: 4}, config.Team{Name: "b"})
+	b := newBed(t, config.Team{Name: "a", CPUs: 100, MaxCPUs: 4}, config.Team{Name: "b"})
 	b.report("n-1", "s", "x", 1)
 	b.AddJob(spec("j-1", "a", wire.High, 3, 4), b.now, b.now)
 	b.AddJob(spec("j-2", "b", wire.Low, 1, 4), b.now, b.now)
--- a/internal/sched/quarantine.go
+++ b/internal/sched/quarantine.go
@@ -173,7 +173,7 @@
 	if j.isSuspect() {
 		return c.now > j.backoffUntil+suspectScaleOutDelay
 	}
-	return !j.isLeftover() || c.now-j.arrival > config.Micro(*c.settings.Operator.LeftoverRentS)
+	return !j.isLeftover() || c.now-j.arrival > config.Micro(*c.settings.Operator.LowPriorityScaleOutDelayS)
 }
 
 // isLeftover says whether the job has the lowest priority, no deadline and no objective: it runs in room
--- a/internal/sched/quota.go
+++ b/internal/sched/quota.go
@@ -39,7 +39,7 @@
 
 // withinLimit says whether the team's limit leaves room; 0 means no limit.
 func (q *quota) withinLimit(cpus, gpus float64) bool {
-	return (q.CPUsMax == 0 || q.usedCPUs+cpus <= q.CPUsMax+epsilon) && (q.GPUsMax == 0 || q.usedGPUs+gpus <= q.GPUsMax+epsilon)
+	return (q.MaxCPUs == 0 || q.usedCPUs+cpus <= q.MaxCPUs+epsilon) && (q.MaxGPUs == 0 || q.usedGPUs+gpus <= q.MaxGPUs+epsilon)
 }
 
 // withinGuarantee says whether the team has a guarantee that this use stays within.
--- a/internal/sched/replacement.go
+++ b/internal/sched/replacement.go
@@ -144,10 +144,10 @@
 		return "", false
 	case finding.Verdict == failuredomain.Dead:
 		return finding.Evidence, true
-	case *c.settings.Operator.Patience == 0:
+	case *c.settings.Operator.HeartbeatPatience == 0:
 		return "no patience is set", true
 	}
-	weighing := replacementWeighing{core: c, machine: m, costs: costs, finding: &finding, wait: expectedSilence(&finding) / *c.settings.Operator.Patience}
+	weighing := replacementWeighing{core: c, machine: m, costs: costs, finding: &finding, wait: expectedSilence(&finding) / *c.settings.Operator.HeartbeatPatience}
 	if weighing.gain() <= 0 {
 		return "", false
 	}
--- a/internal/sched/scalein.go
+++ b/internal/sched/scalein.go
@@ -216,7 +216,7 @@
 	if expected {
 		boots = expectedIdleBoots
 	}
-	return min(config.Micro(*c.settings.Operator.IdleReturnS), config.Micro(boots*t.BootS))
+	return min(config.Micro(*c.settings.Operator.IdleTimeoutS), config.Micro(boots*t.BootS))
 }
 
 // takeDemand says whether an idle machine is part of the room that is wanted, and takes it off the
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -27,7 +27,7 @@
 	d.Cloud.RPS, d.Cloud.ListLagS = 4, 5
 	f := func(x float64) *float64 { return &x }
 	n := 100
-	set.Operator = config.Operator{IdleReturnS: f(50), EvictAfterS: f(1), SpareFactor: f(1), ReserveFactor: f(1), MaxMachines: &n, TermS: f(3), CheckpointMBS: f(100), LeftoverRentS: f(600), Patience: f(1)}
+	set.Operator = config.Operator{IdleTimeoutS: f(50), PreemptionDelayS: f(1), HeadroomFactor: f(1), QuotaReserveFactor: f(1), MaxMachines: &n, LeaderLeaseS: f(3), CheckpointMBPerS: f(100), LowPriorityScaleOutDelayS: f(600), HeartbeatPatience: f(1)}
 	cat := wire.Catalog{Types: []wire.MachineType{
 		{Name: "s", CPUs: 8, MemoryGB: 64, FetchGBPS: 1, Price: 1, SpotPrice: 0.5, BootS: 20, Zones: []string{"x", "y"}},
 		{Name: "g", CPUs: 12, GPUs: 2, MemoryGB: 64, FetchGBPS: 1, Price: 8, SpotPrice: 4, BootS: 30, Zones: []string{"x", "y"}},
@@ -260,7 +260,7 @@
 
 // The limit counts what may still run on a machine that can't be seen.
 func TestQuotaCountsUnseen(t *testing.T) {
-	b := newBed(t, config.Team{Name: "a", CPUsMax: 8})
+	b := newBed(t, config.Team{Name: "a", MaxCPUs: 8})
 	b.report("n-1", "s", "x", 1)
 	b.report("n-2", "s", "x", 1)
 	b.AddJob(spec("j-1", "a", wire.Normal, 2, 8), b.now, b.now)
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -13,7 +13,7 @@
 // with images, and arrays that want more than there is.
 func crowd(t testing.TB, seed uint64, machines, jobs int) *bed {
 	r := rand.New(rand.NewPCG(seed, 2))
-	b := newBed(t, config.Team{Name: "a"}, config.Team{Name: "b", CPUsMax: 300})
+	b := newBed(t, config.Team{Name: "a"}, config.Team{Name: "b", MaxCPUs: 300})
 	b.settings.Deployment.State.ValueKB, b.settings.Deployment.State.TxnOps = 1e6, 24 // a batch takes all
 	for i := 0; i < machines; i++ {
 		h := fmt.Sprintf("n-%06d", i)
--- a/internal/simulation/answers_test.go
+++ b/internal/simulation/answers_test.go
@@ -254,7 +254,7 @@
 	var mu sync.Mutex
 	tried, deaf := false, 0
 	c := newCluster(t, 1, func(s *config.Settings) {
-		*s.Operator.TermS = 60
+		*s.Operator.LeaderLeaseS = 60
 		services := s.Endpoints.State
 		s.Endpoints.State = filter(t, services, func(r *http.Request) bool {
 			mu.Lock()
--- a/internal/simulation/config.go
+++ b/internal/simulation/config.go
@@ -70,7 +70,7 @@
 		}
 	}
 	for _, t := range w.config.settings.Deployment.Teams {
-		if u := uses[t.Name]; starts[t.Name] && (t.CPUsMax > 0 && u.CPUs > t.CPUsMax+1e-6 || t.GPUsMax > 0 && u.GPUs > t.GPUsMax+1e-6) {
+		if u := uses[t.Name]; starts[t.Name] && (t.MaxCPUs > 0 && u.CPUs > t.MaxCPUs+1e-6 || t.MaxGPUs > 0 && u.GPUs > t.MaxGPUs+1e-6) {
 			w.broken("a launch beyond the limit in force: team %s would use %+v of %+v", t.Name, u, t)
 		}
 	}
--- a/internal/simulation/controller_test.go
+++ b/internal/simulation/controller_test.go
@@ -72,7 +72,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		set.Label, set.ServeOn, set.MeshAddr = fmt.Sprint("node-", i), c.addrs[i], mesh[i]
+		set.Label, set.ListenAddr, set.PeerAddr = fmt.Sprint("node-", i), c.addrs[i], mesh[i]
 		set.Endpoints.State, set.Endpoints.Cloud = addr, addr
 		set.Deployment.State.RPS, set.Deployment.State.WriteRPS = 1000, 1000
 		for k := range mesh {
@@ -452,7 +452,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newCluster(t, 3, func(s *config.Settings) { s.Operator.Calendar = file })
+	c := newCluster(t, 3, func(s *config.Settings) { s.Operator.CalendarFile = file })
 	// As if the site had been down over the last New Year.
 	c.svc.Set("s/yearly", recurring.State{Revision: cal.Schedules[0].Revision, Upto: time.Now().AddDate(-1, 0, 0).UnixMicro()})
 	c.svc.Mute(3)
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	w := world(t, seed)
 	w.Most, w.Sound = 60, true
-	w.Set.Deployment.Teams[0].CPUsMax = 0
+	w.Set.Deployment.Teams[0].MaxCPUs = 0
 	for i := 0; i < 40; i++ {
 		w.Boot([]string{"s", "g"}[i%2], []string{"x", "y"}[i/2%2], false)
 	}
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -84,7 +84,7 @@
 func TestHistories(t *testing.T) {
 	c := newCluster(t, 3, func(s *config.Settings) {
 		after, share, copies := 1e-6, 0.5, 0.3
-		s.Operator.ArchiveAfterS, s.Operator.ArchiveShare, s.Operator.TakeoverCopyS = &after, &share, &copies
+		s.Operator.ArchiveAfterS, s.Operator.ArchiveShare, s.Operator.FailoverSnapshotS = &after, &share, &copies
 	})
 	for i := range c.addrs {
 		c.until("healthy", func() bool { code, _ := c.ask(i, http.MethodGet, wire.PathHealth, nil, nil); return code == 200 })
--- a/internal/simulation/takeover_bench_test.go
+++ b/internal/simulation/takeover_bench_test.go
@@ -123,7 +123,7 @@
 	c := newCluster(b, 3, func(s *config.Settings) {
 		*s.Operator.Standbys = standbys
 		s.Deployment.Resources.Sockets = 6000
-		s.Deployment.Teams[1].CPUsMax = 0
+		s.Deployment.Teams[1].MaxCPUs = 0
 	})
 	c.until("a leader", func() bool { return c.leader(0) || c.leader(1) || c.leader(2) })
 	k := newCrew(c, machines)
--- a/internal/simulation/trouble_test.go
+++ b/internal/simulation/trouble_test.go
@@ -30,7 +30,7 @@
 var troubles = []trouble{
 	{"teams at their limit, cancelled machines hang or are cut off, the leader changes", func(w *World) {
 		for i := range w.Set.Deployment.Teams {
-			w.Set.Deployment.Teams[i].CPUsMax = 12
+			w.Set.Deployment.Teams[i].MaxCPUs = 12
 		}
 	}, nil, func(w *World, step int) {
 		if a := w.Active(); w.often(160) && len(a) > 0 {
--- a/internal/simulation/warm_test.go
+++ b/internal/simulation/warm_test.go
@@ -40,7 +40,7 @@
 // fraction of the two seconds that the hold would still have run, under a higher token,
 // and goes on with what was there.
 func TestWarmStandbyTakesOver(t *testing.T) {
-	c := newCluster(t, 3, func(s *config.Settings) { *s.Operator.TermS = 30 }) // nobody waits for that
+	c := newCluster(t, 3, func(s *config.Settings) { *s.Operator.LeaderLeaseS = 30 }) // nobody waits for that
 	c.until("a leader", func() bool { return c.report(0) == 200 })
 	c.until("accepted", func() bool {
 		code, _ := c.ask(1, http.MethodPost, wire.PathJobs, c.submission("j-1", 2), nil)
@@ -120,7 +120,7 @@
 	c.until("a leader", func() bool { return c.report(0) == 200 })
 	var mesh []string
 	for _, s := range c.sets {
-		mesh = append(mesh, s.MeshAddr)
+		mesh = append(mesh, s.PeerAddr)
 	}
 	chief := -1
 	c.until("it shows", func() bool { chief = c.chief(); return chief >= 0 })
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -186,7 +186,7 @@
 func grownWorld(t *testing.T, seed uint64) *World {
 	w := world(t, seed)
 	w.Most = 320
-	w.Set.Deployment.Teams[0].CPUs, w.Set.Deployment.Teams[0].CPUsMax = 200, 500
+	w.Set.Deployment.Teams[0].CPUs, w.Set.Deployment.Teams[0].MaxCPUs = 200, 500
 	for i := 0; i < w.Most; i++ {
 		w.Boot([]string{"s", "s", "g"}[i%3], []string{"x", "y"}[i%2], i%5 == 0)
 	}
