--- a/internal/controller/instability_test.go
+++ b/internal/controller/instability_test.go
@@ -117,8 +117,8 @@
 			s.leave(test.holder)
 			_, before := s.holder()
 			one := 1.0
-			c := testNode(t, s.serve, func(set *config.Settings) {
-				set.Operator.EvictAfterS, set.Operator.CheckpointMBS = &one, &one
+			c := newTestController(t, s.serve, func(set *config.Settings) {
+				set.Operator.PreemptionDelayS, set.Operator.CheckpointMBPerS = &one, &one
 			})
 			addPeer(t, c, "b")
 			c.peerTable.recordSeen("b", time.Now())
@@ -163,7 +163,7 @@
 // Peers count how often a controller is restarted, whatever its clock says, and forget it
 // after a minute.
 func TestRestartsAreCounted(t *testing.T) {
-	c := testNode(t, func(http.ResponseWriter, *http.Request) {})
+	c := newTestController(t, func(http.ResponseWriter, *http.Request) {})
 	addPeer(t, c, "b")
 	now := time.Now()
 	restarts := 0
@@ -190,7 +190,7 @@
 // A controller that hears that it was restarted often lets those go first that were restarted less
 // often, for a bounded time, and forgets it after a minute.
 func TestUnstableControllerYields(t *testing.T) {
-	c := testNode(t, func(http.ResponseWriter, *http.Request) {})
+	c := newTestController(t, func(http.ResponseWriter, *http.Request) {})
 	addPeer(t, c, "b")
 	ctx := context.Background()
 	for i := range maxCountedRestarts + 1 {
--- a/internal/controller/largesite_test.go
+++ b/internal/controller/largesite_test.go
@@ -21,7 +21,7 @@
 func TestRedirectRateFollowsWorkers(t *testing.T) {
 	for _, test := range []struct{ workers, atOnce int }{{0, 80}, {350, 80}, {480, 80}, {1_333, 222}, {2_667, 444}} {
 		t.Run(fmt.Sprint(test.workers), func(t *testing.T) {
-			contacts := testNode(t, func(http.ResponseWriter, *http.Request) {}).workerContacts
+			contacts := newTestController(t, func(http.ResponseWriter, *http.Request) {}).workerContacts
 			old := time.Now().Add(-time.Minute) // gone: they don't count
 			for i := range 10_000 {
 				contacts.seenAt[fmt.Sprintf("old-%d", i)] = old
@@ -52,7 +52,7 @@
 	const refused = 2 // this request
 	var mu sync.Mutex
 	var requests [][]string
-	c := testNode(t, func(w http.ResponseWriter, r *http.Request) {
+	c := newTestController(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		if r.URL.Path == wire.PathScaleIn {
 			var machines wire.MachineIDs
--- a/internal/controller/stall_test.go
+++ b/internal/controller/stall_test.go
@@ -23,11 +23,11 @@
 	}{{"kept", 5, true}, {"taken", 6, false}} {
 		t.Run(test.name, func(t *testing.T) {
 			one := 1.0
-			c := testNode(t, func(w http.ResponseWriter, _ *http.Request) {
+			c := newTestController(t, func(w http.ResponseWriter, _ *http.Request) {
 				body, _ := wire.Marshal(wire.KeyValue{Key: termKey, Version: test.term, Value: []byte{0x80}})
 				_, _ = w.Write(body)
 			}, func(set *config.Settings) {
-				set.Operator.EvictAfterS, set.Operator.CheckpointMBS = &one, &one
+				set.Operator.PreemptionDelayS, set.Operator.CheckpointMBPerS = &one, &one
 			})
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
@@ -64,7 +64,7 @@
 	const noAnswer = 0
 	for _, code := range []int{http.StatusOK, http.StatusConflict, http.StatusTooManyRequests, http.StatusServiceUnavailable, noAnswer} {
 		t.Run(fmt.Sprint(code), func(t *testing.T) {
-			c := testNode(t, func(w http.ResponseWriter, _ *http.Request) {
+			c := newTestController(t, func(w http.ResponseWriter, _ *http.Request) {
 				if code == noAnswer {
 					panic(http.ErrAbortHandler)
 				}
@@ -85,7 +85,7 @@
 // A worker whose heartbeat nobody can take is redirected to a controller that is alive: left to
 // try them in turn it may meet two silent ones, and its lease runs out.
 func TestRedirectSkipsSilentControllers(t *testing.T) {
-	c := testNode(t, func(http.ResponseWriter, *http.Request) {}, func(set *config.Settings) { set.Label = "c" })
+	c := newTestController(t, func(http.ResponseWriter, *http.Request) {}, func(set *config.Settings) { set.Label = "c" })
 	now := time.Now()
 	for _, label := range []string{"a", "b", "e"} {
 		c.peerTable.recordSeen(label, now)
--- a/internal/simulation/controller_test.go
+++ b/internal/simulation/controller_test.go
@@ -72,7 +72,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		set.Label, set.ServeOn, set.MeshAddr = fmt.Sprint("node-", i), c.addrs[i], mesh[i]
+		set.Label, set.ListenAddr, set.PeerAddr = fmt.Sprint("node-", i), c.addrs[i], mesh[i]
 		set.Endpoints.State, set.Endpoints.Cloud = addr, addr
 		set.Deployment.State.RPS, set.Deployment.State.WriteRPS = 1000, 1000
 		for k := range mesh {
@@ -452,7 +452,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newCluster(t, 3, func(s *config.Settings) { s.Operator.Calendar = file })
+	c := newCluster(t, 3, func(s *config.Settings) { s.Operator.CalendarFile = file })
 	// As if the site had been down over the last New Year.
 	c.svc.Set("s/yearly", recurring.State{Revision: cal.Schedules[0].Revision, Upto: time.Now().AddDate(-1, 0, 0).UnixMicro()})
 	c.svc.Mute(3)
@@ -475,7 +475,7 @@
 		t.Errorf("listed as %+v", all)
 	}
 	c.until("it is paused", func() bool {
-		code, _ := c.ask(1, http.MethodPost, wire.PathSchedules+"/yearly/"+wire.PauseVerb, nil, &s)
+		code, _ := c.ask(1, http.MethodPost, wire.PathSchedules+"/yearly/"+wire.PauseAction, nil, &s)
 		return code == 200 && s.Paused
 	})
 	before := c.token
@@ -483,7 +483,7 @@
 	c.stop[1]()
 	c.addrs = c.addrs[2:]
 	c.until("it is resumed after two nodes ended", func() bool {
-		code, _ := c.ask(0, http.MethodPost, wire.PathSchedules+"/yearly/"+wire.ResumeVerb, nil, &s)
+		code, _ := c.ask(0, http.MethodPost, wire.PathSchedules+"/yearly/"+wire.ResumeAction, nil, &s)
 		return code == 200 && !s.Paused
 	})
 	c.until("the last node serves", func() bool { return c.report(0) == 200 && c.token >= before })
