--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -33,10 +33,14 @@
 	return wire.Catalog{}, false
 }
 
-// refreshCatalog reads the machine types from the cloud, and prices again from
+// catalogRefresher keeps a controller's catalog up to date.
+type catalogRefresher struct{ controller *Controller }
+
+// run reads the machine types from the cloud, and prices again from
 // time to time. A controller that starts while the cloud is in trouble uses the copy
 // that a leader stored: it must be able to take jobs all the same.
-func (c *Controller) refreshCatalog(ctx context.Context) {
+func (r catalogRefresher) run(ctx context.Context) {
+	c := r.controller
 	wait := catalogFirstRetry
 	for ctx.Err() == nil {
 		catalog, err := c.cloud.Catalog(ctx)
@@ -44,28 +48,29 @@
 			c.setCatalog(catalog)
 			wait = catalogRefresh
 			if leading := c.term.view().leading; leading != 0 {
-				c.storeCatalog(ctx, catalog, leading)
+				r.store(ctx, catalog, leading)
 				wait = catalogLeaderRefresh
 			}
 		} else {
 			wait = min(2*wait, catalogMaxRetry)
-			c.loadStoredCatalog(ctx)
+			r.loadStored(ctx)
 		}
 		sleepContext(ctx, wait)
 	}
 }
 
-// storeCatalog stores a copy of the catalog, on condition that the term of a token goes on. It is
+// store stores a copy of the catalog, on condition that the term of a token goes on. It is
 // tried again at the next refresh.
-func (c *Controller) storeCatalog(ctx context.Context, catalog wire.Catalog, token uint64) {
-	_, _ = c.store.Txn(ctx, wire.Txn{
+func (r catalogRefresher) store(ctx context.Context, catalog wire.Catalog, token uint64) {
+	_, _ = r.controller.store.Txn(ctx, wire.Txn{
 		Conditions: []wire.Condition{{Key: termKey, Version: token}},
 		Mutations:  []wire.Mutation{{Put: catalogKey, Value: catalog}},
 	})
 }
 
-// loadStoredCatalog takes the copy that a leader stored, if nothing is known yet.
-func (c *Controller) loadStoredCatalog(ctx context.Context) {
+// loadStored takes the copy that a leader stored, if nothing is known yet.
+func (r catalogRefresher) loadStored(ctx context.Context) {
+	c := r.controller
 	if _, known := c.machineTypes(); known {
 		return
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -210,7 +210,7 @@
 	election := newElection(c)
 	loops := []func(context.Context){
 		c.owner.run,
-		c.refreshCatalog,
+		catalogRefresher{c}.run,
 		election.run,
 		election.probeStore,
 		c.follower.run,
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -20,7 +20,7 @@
 	maxWaitPasses = 4
 
 	// minRedirects is how many workers a second are redirected to another controller at least. It serves
-	// minSendOn*workersPerRedirect workers.
+	// minRedirects*workersPerRedirect workers.
 	minRedirects = 40
 	// workersPerRedirect: where more workers report to this controller, one in so many is redirected in
 	// a second.
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -26,9 +26,11 @@
 	lease      *lease
 	ctx        context.Context // of the background work; its requests to the state service are urgent
 	cancel     context.CancelFunc
-	revision   uint64 // where the watch of the queue begins
 
-	directCommands chan sched.DirectCommand // to be sent to workers
+	// Loops beside the owner goroutine.
+	queue     queueWatch
+	commands  *commandSender
+	snapshots snapshotter
 
 	// Owned by the owner goroutine.
 	core             *sched.Core
@@ -51,9 +53,11 @@
 	sockets := c.settings.Deployment.Resources.Sockets
 	l := &leadership{
 		controller: c, token: token, lease: termLease, ctx: ctx, cancel: cancel,
-		directCommands: make(chan sched.DirectCommand, max(minDirectCommands, sockets/4)),
-		launchWaiters:  launchWaiters{limit: maxLaunchWaiters(sockets)},
+		launchWaiters: launchWaiters{limit: maxLaunchWaiters(sockets)},
 	}
+	l.queue.leadership = l
+	l.commands = newCommandSender(l)
+	l.snapshots = newSnapshotter(l)
 	l.commits.leadership = l
 	l.ends.leadership = l
 	l.progress.leadership = l
@@ -125,12 +129,12 @@
 // startLoops starts what goes on as long as the leadership: all of it ends with its context. What is
 // not urgent takes the context given.
 func (l *leadership) startLoops(notUrgent context.Context) {
-	go l.watchQueue()
+	go l.queue.run(l.ctx)
 	go l.compact(notUrgent)
-	go l.snapshots(notUrgent)
-	go l.storeSnapshots(notUrgent)
+	go l.snapshots.runFiles(notUrgent)
+	go l.snapshots.runCopies(notUrgent)
 	for range senders(l.controller.settings.Deployment.Resources.Sockets) {
-		go l.sendDirectCommands()
+		go l.commands.run(l.ctx)
 	}
 }
 
@@ -192,7 +196,7 @@
 
 // dispatchEffects carries out what the core has decided. Owner goroutine.
 func (l *leadership) dispatchEffects() {
-	l.queueDirectCommands(l.core.TakeDirectCommands())
+	l.commands.add(l.core.TakeDirectCommands())
 	l.ends.add(l.core.TakeEnds())
 	l.ends.start()
 	for _, job := range l.core.TakeForgotten() {
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -33,7 +33,7 @@
 // the leader.
 func (c *Controller) metrics() http.Handler {
 	registry := prometheus.NewRegistry()
-	for _, group := range [][]gauge{c.coreGauges(), c.silentGauges(), c.archiveGauges(), c.standbyGauges(), c.processGauges()} {
+	for _, group := range [][]gauge{coreGauges(c), silentGauges(c), archiveGauges(c), standbyGauges(c), processGauges(c)} {
 		for _, g := range group {
 			opts := prometheus.GaugeOpts{Namespace: "dalefront", Name: g.name, Help: g.help, ConstLabels: g.labels}
 			registry.MustRegister(prometheus.NewGaugeFunc(opts, g.read))
@@ -44,7 +44,7 @@
 }
 
 // coreGauges are the counts of the core.
-func (c *Controller) coreGauges() []gauge {
+func coreGauges(c *Controller) []gauge {
 	of := func(name, help string, read func(*gauges) int) gauge {
 		return gauge{name: name, help: help, read: func() float64 { return float64(read(c.currentGauges())) }}
 	}
@@ -65,7 +65,7 @@
 }
 
 // silentGauges are the silent machines by the failure detector's verdict.
-func (c *Controller) silentGauges() (out []gauge) {
+func silentGauges(c *Controller) (out []gauge) {
 	for verdict := failuredomain.Unclear; verdict <= failuredomain.Blind; verdict++ {
 		name := verdict.String()
 		out = append(out, gauge{
@@ -77,7 +77,7 @@
 }
 
 // archiveGauges are the size of the archive.
-func (c *Controller) archiveGauges() []gauge {
+func archiveGauges(c *Controller) []gauge {
 	of := func(name string, read func(jobs, leaves, manifests int) int) gauge {
 		return gauge{name: name, help: "Size of the archive of final answers, as this node knows it.", read: func() float64 {
 			return float64(read(c.archive.Size()))
@@ -91,7 +91,7 @@
 }
 
 // standbyGauges are what this controller follows as a standby.
-func (c *Controller) standbyGauges() []gauge {
+func standbyGauges(c *Controller) []gauge {
 	of := func(name, help string, read func(keys, bytes int, lag int64, ok bool) float64) gauge {
 		return gauge{name: name, help: help, read: func() float64 { return read(c.follower.lag()) }}
 	}
@@ -105,7 +105,7 @@
 }
 
 // processGauges are what this controller does beside.
-func (c *Controller) processGauges() []gauge {
+func processGauges(c *Controller) []gauge {
 	return []gauge{
 		{name: "cancellations_waiting", help: "Users that wait here until the tasks of a job that they cancelled are gone.", read: func() float64 { return float64(len(c.cancelSlots)) }},
 		{name: "goroutines", help: "Goroutines of this process.", read: func() float64 { return float64(runtime.NumGoroutine()) }},
--- a/internal/controller/queuewatch.go
+++ b/internal/controller/queuewatch.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"context"
 	"errors"
 	"strings"
 	"time"
@@ -18,48 +19,69 @@
 	queueWatchShare = 8
 )
 
-// watchQueue brings accepted and ended jobs to the core, until the leadership ends.
-func (l *leadership) watchQueue() {
-	c := l.controller
-	from := l.revision
+// queueWatch brings jobs that are accepted and jobs that have ended to the core.
+type queueWatch struct {
+	leadership *leadership
+	revision   uint64 // up to which all changes were brought
+}
+
+// run watches until the context ends.
+func (w *queueWatch) run(ctx context.Context) {
+	c := w.leadership.controller
 	// Each opening of the watch is a request: in a flood of small jobs every change
 	// would cost one.
-	pace := time.Duration(queueWatchShare / max(c.settings.Deployment.State.RPS, 1) * float64(time.Second))
-	for l.ctx.Err() == nil {
-		events, err := c.store.Watch(l.ctx, queuePrefix, from, queueWatchHold)
+	pace := seconds(queueWatchShare / max(c.settings.Deployment.State.RPS, 1))
+	for ctx.Err() == nil {
+		events, err := c.store.Watch(ctx, queuePrefix, w.revision, queueWatchHold)
 		if errors.Is(err, kvstore.ErrCompacted) {
-			if revision, ok := l.resyncQueue(); ok {
-				from = revision
-			}
+			w.resync(ctx)
 		}
 		if err != nil {
-			sleepContext(l.ctx, queueWatchRetry)
+			sleepContext(ctx, queueWatchRetry)
 			continue
 		}
-		from = max(from, events.Revision)
-		next := time.Now()
+		w.revision = max(w.revision, events.Revision)
 		if len(events.Events) > 0 {
-			next = next.Add(pace)
-			l.post(func() { l.applyChanges(events.Events) })
+			next := time.Now().Add(pace)
+			w.leadership.post(func() { w.apply(events.Events) })
+			time.Sleep(time.Until(next))
 		}
-		time.Sleep(time.Until(next))
 	}
 }
 
-// applyChanges applies changed keys of the queue. Owner goroutine.
-func (l *leadership) applyChanges(events []wire.Event) {
+// resync reads the queue again after the watch fell too far behind.
+func (w *queueWatch) resync(ctx context.Context) {
+	c := w.leadership.controller
+	jobs, revision, err := c.store.List(ctx, jobPrefix)
+	if err != nil {
+		return
+	}
+	ends, err := c.readEnds(ctx, jobs)
+	if err != nil {
+		return
+	}
+	w.leadership.post(func() {
+		for _, entry := range append(jobs, ends...) {
+			w.applyChange(entry.Key, entry.Value)
+		}
+	})
+	w.revision = revision
+}
+
+// apply applies changes of the queue. Owner goroutine.
+func (w *queueWatch) apply(events []wire.Event) {
 	for _, event := range events {
-		l.applyChange(event.Put, event.Value)
+		w.applyChange(event.Put, event.Value)
 	}
-	l.controller.owner.requestPass()
+	w.leadership.controller.owner.requestPass()
 }
 
-// applyChange applies one changed key of the queue. Owner goroutine.
-func (l *leadership) applyChange(key string, value []byte) {
+// applyChange applies one changed key. Owner goroutine.
+func (w *queueWatch) applyChange(key string, value []byte) {
 	if id, isJob := strings.CutPrefix(key, jobPrefix); isJob {
-		l.jobAccepted(id, value)
+		w.leadership.jobAccepted(id, value)
 	} else if id, isEnd := strings.CutPrefix(key, endPrefix); isEnd {
-		l.jobEnded(id, value)
+		w.leadership.jobEnded(id, value)
 	}
 }
 
@@ -71,7 +93,7 @@
 	if wire.Unmarshal(value, &record) != nil {
 		return
 	}
-	if _, over := c.statuses.final(id); !over {
+	if _, ended := c.statuses.final(id); !ended {
 		c.statuses.addAccepted(id)
 		l.core.AddJob(record.Job, record.SubmittedAt, c.now())
 	}
@@ -83,23 +105,3 @@
 		l.core.JobEnded(id, end.Status, l.controller.now())
 	}
 }
-
-// resyncQueue reads the queue again after the watch fell too far behind, and returns the revision
-// from which it misses nothing.
-func (l *leadership) resyncQueue() (uint64, bool) {
-	c := l.controller
-	jobs, revision, err := c.store.List(l.ctx, jobPrefix)
-	if err != nil {
-		return 0, false
-	}
-	ends, err := c.readEnds(l.ctx, jobs)
-	if err != nil {
-		return 0, false
-	}
-	l.post(func() {
-		for _, entry := range append(jobs, ends...) {
-			l.applyChange(entry.Key, entry.Value)
-		}
-	})
-	return revision, true
-}
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -50,7 +50,7 @@
 	if c.log.Enabled(l.ctx, slog.LevelDebug) {
 		c.log.Debug("state", "digest", fmt.Sprintf("%x", sha256.Sum256([]byte(core.Dump()))))
 	}
-	l.core, l.revision = core, state.revision
+	l.core, l.queue.revision = core, state.revision
 	return nil
 }
 
@@ -94,9 +94,13 @@
 	state      *stored
 }
 
-// list reads the keys with a prefix, as of the revision returned.
+// list reads the keys with a prefix from the copy, or from the state service, as of the revision
+// returned.
 func (r *stateReader) list(prefix string) ([]wire.KeyValue, uint64, error) {
-	return r.leadership.list(r.copied, prefix)
+	if r.copied != nil {
+		return r.copied.Entries(prefix), r.copied.Revision, nil
+	}
+	return r.leadership.controller.store.List(r.leadership.ctx, prefix)
 }
 
 func (r *stateReader) readJobs() (err error) {
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -36,9 +36,16 @@
 	copyOps = 4
 )
 
-// snapshotReader returns the state service's client for reading snapshots.
-func (c *Controller) snapshotReader() paced {
-	return paced{c.store, seconds(snapshotReadShare / c.settings.Deployment.State.RPS)}
+// snapshotter writes snapshots of the stored state while this controller holds the term: all of it
+// into files, and what a takeover needs into the state service.
+type snapshotter struct {
+	leadership *leadership
+	store      paced
+}
+
+func newSnapshotter(l *leadership) snapshotter {
+	c := l.controller
+	return snapshotter{l, paced{c.store, seconds(snapshotReadShare / c.settings.Deployment.State.RPS)}}
 }
 
 // periodically does some work from time to time until the leadership ends, but not while the state
@@ -56,23 +63,23 @@
 	}
 }
 
-// snapshots writes a copy of the state into the operator's directory from time to
-// time, while this controller holds the term.
-func (l *leadership) snapshots(ctx context.Context) {
-	operator := &l.controller.settings.Operator
+// runFiles writes a snapshot into the operator's directory from time to time.
+func (s *snapshotter) runFiles(ctx context.Context) {
+	operator := &s.leadership.controller.settings.Operator
 	if operator.SnapshotDir == "" {
 		return
 	}
 	interval := seconds(*operator.SnapshotIntervalS)
-	l.periodically(min(interval, firstSnapshotPause), interval, func() {
-		l.controller.writeSnapshot(ctx, operator.SnapshotDir)
+	s.leadership.periodically(min(interval, firstSnapshotPause), interval, func() {
+		s.writeFile(ctx, operator.SnapshotDir)
 	})
 }
 
-// writeSnapshot writes a copy of the state into a directory.
-func (c *Controller) writeSnapshot(ctx context.Context, dir string) {
+// writeFile writes a snapshot into a directory.
+func (s *snapshotter) writeFile(ctx context.Context, dir string) {
+	c := s.leadership.controller
 	began := time.Now()
-	snap, err := snapshot.Take(ctx, c.snapshotReader(), snapshot.All, Ephemeral, c.now)
+	snap, err := snapshot.Take(ctx, s.store, snapshot.All, Ephemeral, c.now)
 	path := ""
 	if err == nil {
 		path, err = snap.Save(dir, c.snapshotKey)
@@ -90,25 +97,24 @@
 // noKeys leaves no key out of a copy.
 func noKeys(string) bool { return false }
 
-// storeSnapshots stores what a takeover needs in the state service from time to time, so that
+// runCopies stores what a takeover needs in the state service from time to time, so that
 // the next leader reads few long values instead of many short ones.
-func (l *leadership) storeSnapshots(ctx context.Context) {
-	interval := seconds(*l.controller.settings.Operator.FailoverSnapshotS)
+func (s *snapshotter) runCopies(ctx context.Context) {
+	interval := seconds(*s.leadership.controller.settings.Operator.FailoverSnapshotS)
 	if interval <= 0 {
 		return
 	}
-	l.periodically(interval, interval, func() { l.storeSnapshot(ctx) })
+	s.leadership.periodically(interval, interval, func() { s.storeCopy(ctx) })
 }
 
-// storeSnapshot stores a copy of what a takeover needs.
-func (l *leadership) storeSnapshot(ctx context.Context) {
-	c := l.controller
+// storeCopy stores a copy of what a takeover needs.
+func (s *snapshotter) storeCopy(ctx context.Context) {
+	c := s.leadership.controller
 	limits := &c.settings.Deployment.State
-	store := c.snapshotReader()
-	snap, err := snapshot.Take(ctx, store, copyPrefixes, noKeys, c.now)
+	snap, err := snapshot.Take(ctx, s.store, copyPrefixes, noKeys, c.now)
 	if err == nil {
-		err = snap.Store(ctx, store, snapshot.StoreOptions{
-			Term: l.termCondition(), Ops: min(limits.TxnOps, copyOps), Value: int(limits.ValueKB * 1024),
+		err = snap.Store(ctx, s.store, snapshot.StoreOptions{
+			Term: s.leadership.termCondition(), Ops: min(limits.TxnOps, copyOps), Value: int(limits.ValueKB * 1024),
 			Pace: func(ctx context.Context, changes int) bool {
 				sleepContext(ctx, seconds(float64(changes)*copyWriteShare/limits.WriteRPS))
 				return ctx.Err() == nil
@@ -143,14 +149,6 @@
 	return snap
 }
 
-// list reads the keys with a prefix from a copy, or from the state service.
-func (l *leadership) list(copied *snapshot.Snapshot, prefix string) ([]wire.KeyValue, uint64, error) {
-	if copied != nil {
-		return copied.Entries(prefix), copied.Revision, nil
-	}
-	return l.controller.store.List(l.ctx, prefix)
-}
-
 // paced waits before each page, so that users come first.
 type paced struct {
 	*kvstore.Client
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -69,8 +69,8 @@
 			t.Fatalf("seed %d: loaded %v", seed, copied)
 		}
 		for _, prefix := range copyPrefixes {
-			a, _, _ := r.list(copied, prefix)
-			b, _, err := r.list(nil, prefix)
+			a, _, _ := (&stateReader{leadership: r, copied: copied}).list(prefix)
+			b, _, err := (&stateReader{leadership: r}).list(prefix)
 			if err != nil || len(a) != len(b) || len(a) > 0 && !reflect.DeepEqual(a, b) {
 				t.Fatalf("seed %d, %s: %v; from the copy %v, read %v", seed, prefix, err, a, b)
 			}
