--- /dev/null
+++ b/internal/config/settings.go
@@ -0,0 +1,187 @@
+package config
+
+import (
+	"fmt"
+	"maps"
+	"net"
+	"slices"
+
+	"dalefront/wire"
+)
+
+// Settings is what the platform hands over to a controller.
+type Settings struct {
+	Label      string     `toml:"label"`      // name of this controller
+	Zone       string     `toml:"zone"`       // availability zone of this controller
+	ListenAddr string     `toml:"serve_on"`   // host:port for users and workers
+	PeerAddr   string     `toml:"mesh_addr"`  // host:port for the other controllers
+	Members    []Member   `toml:"members"`    // the other controllers
+	Endpoints  Endpoints  `toml:"endpoints"`  // services of the platform
+	Deployment Deployment `toml:"deployment"` // the site as a whole
+
+	Operator Operator `toml:"-"` // from a file of its own
+}
+
+// Member is another controller.
+type Member struct {
+	Label string `toml:"label"`
+	Zone  string `toml:"zone"`
+	Addr  string `toml:"addr"` // host:port for the other controllers
+}
+
+// Endpoints are the addresses of the platform's services, host:port.
+type Endpoints struct {
+	Cloud string `toml:"cloud"` // rents and lists machines
+	State string `toml:"state"` // consensus-backed key-value store
+}
+
+// Deployment describes the site. All controllers have the same.
+type Deployment struct {
+	Size       int         `toml:"size"` // controllers
+	Zones      []string    `toml:"zones"`
+	ClockOffMs float64     `toml:"clock_off_ms"` // most by which a clock differs from the true time of day, milliseconds
+	Teams      []Team      `toml:"teams"`
+	Objectives []Objective `toml:"objectives"`
+	Workers    Workers     `toml:"workers"`
+	State      StateLimits `toml:"state"`
+	Cloud      CloudLimits `toml:"cloud"`
+	Resources  Resources   `toml:"resources"`
+}
+
+// Team is a team's quota: what it is guaranteed and its limits; 0 means none.
+type Team struct {
+	Name    string  `toml:"name"`
+	CPUs    float64 `toml:"cpus"`     // guaranteed processor cores
+	MaxCPUs float64 `toml:"cpus_max"` // limit of processor cores
+	GPUs    float64 `toml:"gpus"`     // guaranteed accelerators
+	MaxGPUs float64 `toml:"gpus_max"` // limit of accelerators
+}
+
+// Objective is one service-level objective of the users.
+type Objective struct {
+	Kind    string  `toml:"kind"`     // "wait", "finished", "guarantee" and so on
+	Class   string  `toml:"class"`    // of the jobs that it is about; empty: of all
+	WithinS float64 `toml:"within_s"` // seconds
+	Share   float64 `toml:"share"`    // of the jobs, 0 to 1
+	Times   float64 `toml:"times"`    // of the deadline
+}
+
+// Workers holds the workers' timings in seconds.
+type Workers struct {
+	ReportS   float64 `toml:"report_s"`    // interval of heartbeats
+	LeaseS    float64 `toml:"lease_s"`     // after the last answered heartbeat, until its tasks are killed
+	GangWaitS float64 `toml:"gang_wait_s"` // a task waits for the rest of its gang
+	GangPeerS float64 `toml:"gang_peer_s"` // a task notices that its gang lost a member
+	CancelS   float64 `toml:"cancel_s"`    // a cancelled job's tasks must be gone
+}
+
+// StateLimits are the limits of the state service.
+type StateLimits struct {
+	RPS      float64 `toml:"rps"`       // requests a second
+	WriteRPS float64 `toml:"write_rps"` // puts and deletes a second
+	ValueKB  float64 `toml:"value_kb"`  // KiB of a value in JSON
+	TxnOps   int     `toml:"txn_ops"`   // puts and deletes of a transaction
+}
+
+// CloudLimits are the limits of the cloud's interface.
+type CloudLimits struct {
+	RPS      float64 `toml:"rps"`        // requests a second
+	ListLagS float64 `toml:"list_lag_s"` // seconds by which its list of machines may lag
+}
+
+// Resources is what a controller may use of its host.
+type Resources struct {
+	Cores   float64 `toml:"cores"`   // processor cores
+	RAMMB   float64 `toml:"ram_mb"`  // megabytes of memory
+	Sockets int     `toml:"sockets"` // open connections
+}
+
+const bytesPerKB = 1024
+
+// TxnLimits are the state service's limits for a transaction.
+func (s *Settings) TxnLimits() wire.TxnLimits {
+	limits := &s.Deployment.State
+	return wire.TxnLimits{Changes: limits.TxnOps, ValueBytes: int(limits.ValueKB * bytesPerKB)}
+}
+
+// check returns a FieldError for the first setting that is not valid.
+func (s *Settings) check() error {
+	if s.Label == "" {
+		return &FieldError{"label", "missing"}
+	}
+	if err := s.checkAddresses(); err != nil {
+		return err
+	}
+	if err := s.Deployment.checkAmounts(); err != nil {
+		return err
+	}
+	return s.Deployment.checkTeams()
+}
+
+// checkAddresses reports the first address in the order of the fields' names that is not valid.
+func (s *Settings) checkAddresses() error {
+	addresses := map[string]string{
+		"serve_on":        s.ListenAddr,
+		"mesh_addr":       s.PeerAddr,
+		"endpoints.cloud": s.Endpoints.Cloud,
+		"endpoints.state": s.Endpoints.State,
+	}
+	for _, member := range s.Members {
+		if member.Label == "" || member.Label == s.Label {
+			return &FieldError{"members.label", "missing or this node's own"}
+		}
+		addresses["members."+member.Label+".addr"] = member.Addr
+	}
+	for _, field := range slices.Sorted(maps.Keys(addresses)) {
+		address := addresses[field]
+		if _, _, err := net.SplitHostPort(address); err != nil {
+			return &FieldError{field, fmt.Sprintf("%q is not host:port", address)}
+		}
+	}
+	return nil
+}
+
+// unboundedAmount is more than any setting means.
+const unboundedAmount = 1e9
+
+func (d *Deployment) checkAmounts() error {
+	for _, amount := range []struct {
+		field string
+		value float64
+	}{
+		{"deployment.workers.report_s", d.Workers.ReportS},
+		{"deployment.workers.lease_s", d.Workers.LeaseS},
+		{"deployment.workers.gang_wait_s", d.Workers.GangWaitS},
+		{"deployment.workers.gang_peer_s", d.Workers.GangPeerS},
+		{"deployment.workers.cancel_s", d.Workers.CancelS},
+		{"deployment.state.rps", d.State.RPS},
+		{"deployment.state.write_rps", d.State.WriteRPS},
+		{"deployment.state.value_kb", d.State.ValueKB},
+		{"deployment.state.txn_ops", float64(d.State.TxnOps)},
+		{"deployment.cloud.rps", d.Cloud.RPS},
+		{"deployment.resources.ram_mb", d.Resources.RAMMB},
+		{"deployment.resources.sockets", float64(d.Resources.Sockets)},
+	} {
+		if !(amount.value > 0 && amount.value < unboundedAmount) { // not a number is refused too
+			return &FieldError{amount.field, "must be above 0"}
+		}
+	}
+	if d.Cloud.ListLagS < 0 {
+		return &FieldError{"deployment.cloud.list_lag_s", "must not be negative"}
+	}
+	return nil
+}
+
+func (d *Deployment) checkTeams() error {
+	for _, team := range d.Teams {
+		if team.Name == "" {
+			return &FieldError{"deployment.teams.name", "missing"}
+		}
+		for _, amount := range []float64{team.CPUs, team.MaxCPUs, team.GPUs, team.MaxGPUs} {
+			if !(amount >= 0) { // not a number is refused too
+				return &FieldError{"deployment.teams." + team.Name, "amounts must not be negative"}
+			}
+		}
+	}
+	return nil
+}
