--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -189,16 +189,19 @@
 	return false
 }
 
+// errNotStandby means that this controller has no copy of the stored state.
+var errNotStandby = errors.New("this node did not stand by")
+
 // takeOver returns what the copy has of the stored state, brought up to the term that this
-// controller has just taken, or nil and why the state has to be read instead.
-func (f *follower) takeOver(ctx context.Context, token uint64, held *lease) (*stored, string) {
+// controller has just taken, or why the state has to be read instead.
+func (f *follower) takeOver(ctx context.Context, token uint64, held *lease) (*stored, error) {
 	c := f.controller
 	f.mu.Lock()
 	stateCopy := f.copy
 	f.pausedUntil = time.Now().Add(takeoverPause)
 	f.mu.Unlock()
 	if stateCopy == nil {
-		return nil, "this node did not stand by"
+		return nil, errNotStandby
 	}
 	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
@@ -216,10 +219,10 @@
 		RanRecently: c.owner.ranRecently(), StoreReachable: c.store.Reachable(takeoverReachable), LeaseHeld: !held.expired.Load(),
 	}
 	if err := standby.RunChecks(&state); err != nil {
-		return nil, err.Error()
+		return nil, err
 	}
 	f.copy = nil // what was read belongs to the term now
-	return storedOf(stateCopy), ""
+	return storedOf(stateCopy), nil
 }
 
 // unfit says whether this controller could not follow lately.
--- a/internal/controller/follower_test.go
+++ b/internal/controller/follower_test.go
@@ -16,7 +16,8 @@
 	"dalefront/wire"
 )
 
-// standbyFixture is a node at a played state service, in which it is the leader's writer too.
+// standbyFixture is a controller at an emulated key-value store, to which the test writes as the
+// leader does.
 type standbyFixture struct {
 	*Controller
 	t        testing.TB
@@ -30,231 +31,246 @@
 
 func newStandbyFixture(t testing.TB, seed uint64) *standbyFixture {
 	t.Helper()
-	w := &standbyFixture{t: t, rng: rand.New(rand.NewPCG(seed, 23))}
-	w.services = emulator.NewServices(wire.Catalog{})
+	f := &standbyFixture{t: t, rng: rand.New(rand.NewPCG(seed, 23))}
+	f.services = emulator.NewServices(wire.Catalog{})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	f := 1.0
-	zero, one := 0.0, 1
-	n := newTestController(t, w.services.ServeHTTP, func(set *config.Settings) {
-		o := &set.Operator
-		o.EvictAfterS, o.CheckpointMBS, o.Standbys, o.SuspectS, o.TakeoverCopyS = &f, &f, &one, &f, &zero
+	one, zero, standbys := 1.0, 0.0, 1
+	c := newTestController(t, f.services.ServeHTTP, func(settings *config.Settings) {
+		operator := &settings.Operator
+		operator.EvictAfterS, operator.CheckpointMBS, operator.SuspectS = &one, &one, &one
+		operator.Standbys, operator.TakeoverCopyS = &standbys, &zero
 	})
-	n.catalog.set(wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 8, MemoryGB: 64, Zones: []string{"x"}}}})
-	n.owner.lastRun.Store(n.now())
-	w.Controller, w.ctx = n, ctx
-	w.takeTerm()
-	return w
+	c.catalog.set(wire.Catalog{Types: []wire.MachineType{{Name: "s", CPUs: 8, MemoryGB: 64, Zones: []string{"x"}}}})
+	c.owner.lastRun.Store(c.now())
+	f.Controller, f.ctx = c, ctx
+	f.takeTerm()
+	return f
 }
 
 // write stores changes under the present term.
-func (w *standbyFixture) write(then ...wire.Mutation) {
-	w.t.Helper()
-	if _, err := w.store.Txn(w.ctx, wire.Txn{Conditions: []wire.Condition{{Key: termKey, Version: w.term}}, Mutations: then}); err != nil {
-		w.t.Fatal(err)
+func (f *standbyFixture) write(mutations ...wire.Mutation) {
+	f.t.Helper()
+	if _, err := f.store.Txn(f.ctx, wire.Txn{Conditions: []wire.Condition{{Key: termKey, Version: f.term}}, Mutations: mutations}); err != nil {
+		f.t.Fatal(err)
 	}
 }
 
 // takeTerm replaces the term.
-func (w *standbyFixture) takeTerm() {
-	w.t.Helper()
-	a, err := w.store.Txn(w.ctx, wire.Txn{Conditions: []wire.Condition{{Key: termKey, Version: w.term}}, Mutations: []wire.Mutation{{Put: termKey, Value: termRecord{Node: "a", Mark: fmt.Sprint(w.term)}}}})
+func (f *standbyFixture) takeTerm() {
+	f.t.Helper()
+	response, err := f.store.Txn(f.ctx, wire.Txn{Conditions: []wire.Condition{{Key: termKey, Version: f.term}}, Mutations: []wire.Mutation{{Put: termKey, Value: termRecord{Node: "a", Mark: fmt.Sprint(f.term)}}}})
 	if err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	w.term = a.Revision
-	w.observeTerm("a", w.term)
+	f.term = response.Revision
+	f.observeTerm("a", f.term)
 }
 
-// change lets something happen to jobs, progress, ledger, ends, hires and what was learned.
-func (w *standbyFixture) change(times int) {
+// change changes jobs, progress, ledger, ends, requests for machines and statistics at random.
+func (f *standbyFixture) change(times int) {
 	for range times {
-		w.changes++
-		r := w.rng
-		pick := func() string { return w.jobs[r.IntN(len(w.jobs))] }
+		f.changes++
+		r := f.rng
+		pick := func() string { return f.jobs[r.IntN(len(f.jobs))] }
 		switch k := r.IntN(10); {
-		case k < 3 || len(w.jobs) == 0:
-			id := fmt.Sprintf("j-%06d", w.changes)
-			w.jobs = append(w.jobs, id)
+		case k < 3 || len(f.jobs) == 0:
+			id := fmt.Sprintf("j-%06d", f.changes)
+			f.jobs = append(f.jobs, id)
 			j := wire.Job{ID: id, Class: "c", Team: "a", Shape: []string{wire.Array, wire.Gang}[r.IntN(2)], Priority: wire.Normal, Tasks: 1 + r.IntN(9), CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 60}
-			w.write(wire.Mutation{Put: jobKey(id), Value: jobRecord{Job: j, SubmittedAt: w.now()}})
+			f.write(wire.Mutation{Put: jobKey(id), Value: jobRecord{Job: j, SubmittedAt: f.now()}})
 		case k < 6:
 			e := sched.LedgerEntry{Hosts: []sched.LedgerHost{{Host: fmt.Sprintf("n-%02d", r.IntN(9)), Type: "s", Zone: "x", Incarnation: 1}},
-				Runs: []sched.LedgerRun{{Job: pick(), Attempt: uint64(w.changes), Tasks: []int32{int32(r.IntN(9))}}}}
-			w.write(wire.Mutation{Put: ledgerPrefix + fmt.Sprintf("%016x.%08x", w.term, w.changes), Value: e})
+				Runs: []sched.LedgerRun{{Job: pick(), Attempt: uint64(f.changes), Tasks: []int32{int32(r.IntN(9))}}}}
+			f.write(wire.Mutation{Put: ledgerPrefix + fmt.Sprintf("%016x.%08x", f.term, f.changes), Value: e})
 		case k < 7:
-			w.write(wire.Mutation{Put: progressKey(pick(), 0), Value: "AQAAAAAAAAA="})
+			f.write(wire.Mutation{Put: progressKey(pick(), 0), Value: "AQAAAAAAAAA="})
 		case k < 8:
 			id := pick()
-			_, _ = w.store.Txn(w.ctx, wire.Txn{Conditions: []wire.Condition{{Key: endKey(id)}}, Mutations: []wire.Mutation{{Put: endKey(id), Value: endRecord{Status: wire.JobDone, EndedAt: w.now(), TasksDone: 1}}}})
+			_, _ = f.store.Txn(f.ctx, wire.Txn{Conditions: []wire.Condition{{Key: endKey(id)}}, Mutations: []wire.Mutation{{Put: endKey(id), Value: endRecord{Status: wire.JobDone, EndedAt: f.now(), TasksDone: 1}}}})
 		case k < 9:
-			if es, _, _ := w.store.List(w.ctx, ledgerPrefix); len(es) > 0 {
-				w.write(wire.Mutation{Delete: es[r.IntN(len(es))].Key})
+			if es, _, _ := f.store.List(f.ctx, ledgerPrefix); len(es) > 0 {
+				f.write(wire.Mutation{Delete: es[r.IntN(len(es))].Key})
 			}
 		default:
-			w.write(wire.Mutation{Put: learnedKey, Value: sched.Statistics{At: w.now(), Write: 0.1 + r.Float64()}}, wire.Mutation{Put: scaleOutPrefix + fmt.Sprint(w.changes), Value: "x"})
+			f.write(wire.Mutation{Put: learnedKey, Value: sched.Statistics{At: f.now(), Write: 0.1 + r.Float64()}}, wire.Mutation{Put: scaleOutPrefix + fmt.Sprint(f.changes), Value: "x"})
 		}
 		if r.IntN(12) == 0 { // a job that is over and gone
 			id := pick()
-			if _, over, _ := w.store.Get(w.ctx, endKey(id)); over {
-				w.write(wire.Mutation{Delete: jobKey(id)})
+			if _, over, _ := f.store.Get(f.ctx, endKey(id)); over {
+				f.write(wire.Mutation{Delete: jobKey(id)})
 			}
 		}
 	}
 }
 
-// reignNow is a term of this node that has not loaded anything yet.
-func (w *standbyFixture) startLeadership() *leadership {
-	return newLeadership(w.ctx, w.Controller, w.term, &lease{})
+// startLeadership returns a leadership of the present term that has not loaded anything yet.
+func (f *standbyFixture) startLeadership() *leadership {
+	return newLeadership(f.ctx, f.Controller, f.term, &lease{})
 }
 
-// follow reads the state as a standby does, and lets things happen while it follows.
-func (w *standbyFixture) follow(rounds int) *standby.Copy {
-	w.t.Helper()
-	c, err := w.follower.read(w.ctx, paced{w.store, 0})
+// follow reads the state as a standby does, and follows it while it changes.
+func (f *standbyFixture) follow(rounds int) *standby.Copy {
+	f.t.Helper()
+	stateCopy, err := f.follower.read(f.ctx, paced{f.store, 0})
 	if err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	w.follower.copy = c
+	f.follower.copy = stateCopy
 	for range rounds {
-		w.change(w.rng.IntN(6))
-		ev, err := w.store.Watch(w.ctx, "", c.Revision(), 0)
-		w.follower.applyEvents(c, ev, err)
-		if w.rng.IntN(4) == 0 {
-			w.follower.audit(w.ctx, c)
+		f.change(f.rng.IntN(6))
+		events, err := f.store.Watch(f.ctx, "", stateCopy.Revision(), 0)
+		f.follower.applyEvents(stateCopy, events, err)
+		if f.rng.IntN(4) == 0 {
+			f.follower.audit(f.ctx, stateCopy)
 		}
-		if c.Err() != nil {
-			w.t.Fatal("a valid copy became invalid: ", c.Err())
+		if stateCopy.Err() != nil {
+			f.t.Fatal("a valid copy became invalid: ", stateCopy.Err())
 		}
 	}
-	return c
+	return stateCopy
 }
 
-// From the same store a warm and a cold takeover build the same core, whatever happened
-// while it was followed and however far behind it was when the term was taken.
+// From the same store a warm and a cold takeover build the same core, whatever happened while it was
+// followed and however far the copy lagged when the term was taken.
 func TestWarmTakeoverEqualsCold(t *testing.T) {
-	loads := 0
+	compared := 0
 	for seed := uint64(1); seed <= 12; seed++ {
-		w := newStandbyFixture(t, seed)
-		w.change(40)
-		w.follow(12)
-		w.change(w.rng.IntN(30)) // the copy lags
-		w.takeTerm()
-		cold := w.startLeadership()
-		read, err := cold.read()
-		if err != nil {
-			t.Fatal(err)
-		}
-		warm := w.startLeadership()
-		copied, why := w.follower.takeOver(w.ctx, w.term, warm.lease)
-		if copied == nil {
-			t.Fatalf("seed %d: %s", seed, why)
-		}
-		want, err1 := cold.build(read)
-		got, err2 := warm.build(copied)
-		if err1 != nil || err2 != nil {
-			t.Fatal(err1, err2)
-		}
-		a, b := strings.Split(want.Dump(), "\n"), strings.Split(got.Dump(), "\n")
-		for i := range a {
-			if i >= len(b) || a[i] != b[i] {
-				t.Fatalf("seed %d: warm has\n%s\ncold\n%s", seed, b[min(i, len(b)-1)], a[i])
-			}
-		}
-		loads += len(a)
-		if fmt.Sprint(cold.staleKeys.keys) != fmt.Sprint(warm.staleKeys.keys) || fmt.Sprint(cold.progress.counts) != fmt.Sprint(warm.progress.counts) {
-			t.Fatalf("seed %d: to be tidied up: %v and %v", seed, cold.staleKeys.keys, warm.staleKeys.keys)
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { compared += testWarmEqualsCold(t, seed) })
+	}
+	if compared < 300 {
+		t.Fatalf("only %d lines were compared", compared)
+	}
+}
+
+// testWarmEqualsCold returns how many lines of the cores' dumps were compared.
+func testWarmEqualsCold(t *testing.T, seed uint64) int {
+	f := newStandbyFixture(t, seed)
+	f.change(40)
+	f.follow(12)
+	f.change(f.rng.IntN(30)) // the copy lags
+	f.takeTerm()
+	cold := f.startLeadership()
+	read, err := cold.read()
+	if err != nil {
+		t.Fatal(err)
+	}
+	warm := f.startLeadership()
+	copied, err := f.follower.takeOver(f.ctx, f.term, warm.lease)
+	if err != nil {
+		t.Fatal(err)
+	}
+	coldCore, err := cold.build(read)
+	if err != nil {
+		t.Fatal(err)
+	}
+	warmCore, err := warm.build(copied)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, got := strings.Split(coldCore.Dump(), "\n"), strings.Split(warmCore.Dump(), "\n")
+	for i := range want {
+		if i >= len(got) || want[i] != got[i] {
+			t.Fatalf("warm has\n%s\ncold\n%s", got[min(i, len(got)-1)], want[i])
 		}
 	}
-	if loads < 300 {
-		t.Fatalf("only %d lines were compared", loads)
+	if fmt.Sprint(cold.staleKeys.keys) != fmt.Sprint(warm.staleKeys.keys) || fmt.Sprint(cold.progress.counts) != fmt.Sprint(warm.progress.counts) {
+		t.Fatalf("stale keys: cold %v, warm %v; chunks: cold %v, warm %v",
+			cold.staleKeys.keys, warm.staleKeys.keys, cold.progress.counts, warm.progress.counts)
 	}
+	return len(want)
 }
 
-// What is wrong with a copy, or with the node that has it, leads to the cold path: an
-// entry lost, doubled, stale or torn in the part that is compared, a term that it does not
-// reach, a lost hold, a standstill, a higher token.
+// What is wrong with a copy, or with the controller that has it, leads to a cold takeover: an entry
+// lost in the part that is compared, a term that the copy does not reach, an expired lease, a stall, a
+// higher token.
 func TestDoubtfulCopyIsNotUsed(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		do   func(w *standbyFixture, c *standby.Copy, h *lease)
+		name  string
+		spoil func(f *standbyFixture, stateCopy *standby.Copy, held *lease) // nil: nothing is wrong
 	}{
 		{"nothing", nil},
-		{"entry lost", func(w *standbyFixture, c *standby.Copy, _ *lease) {
-			c.Keep = func(k string) bool { return !strings.HasPrefix(k, ledgerPrefix) && !strings.HasPrefix(k, jobPrefix) }
-			w.change(20) // what is created now is missed
-			ev, err := w.store.Watch(w.ctx, "", c.Revision(), 0)
-			w.follower.applyEvents(c, ev, err)
-			c.Keep = func(string) bool { return true }
+		{"entry lost", func(f *standbyFixture, stateCopy *standby.Copy, _ *lease) {
+			stateCopy.Keep = func(key string) bool {
+				return !strings.HasPrefix(key, ledgerPrefix) && !strings.HasPrefix(key, jobPrefix)
+			}
+			f.change(20) // what is created now is missed
+			events, err := f.store.Watch(f.ctx, "", stateCopy.Revision(), 0)
+			f.follower.applyEvents(stateCopy, events, err)
+			stateCopy.Keep = func(string) bool { return true }
+		}},
+		{"lease expired", func(_ *standbyFixture, _ *standby.Copy, held *lease) { held.expired.Store(true) }},
+		{"stall", func(f *standbyFixture, _ *standby.Copy, _ *lease) { f.owner.lastRun.Store(f.now() - 3*stallThreshold) }},
+		{"higher token", func(f *standbyFixture, _ *standby.Copy, _ *lease) { f.observeTerm("b", f.term+1000) }},
+		{"no store", func(f *standbyFixture, _ *standby.Copy, _ *lease) { f.services.SetDown(true) }},
+		{"compacted", func(_ *standbyFixture, stateCopy *standby.Copy, _ *lease) {
+			stateCopy.Invalidate(errors.New("compacted"))
 		}},
-		{"hold lost", func(_ *standbyFixture, _ *standby.Copy, h *lease) { h.expired.Store(true) }},
-		{"standstill", func(w *standbyFixture, _ *standby.Copy, _ *lease) { w.owner.lastRun.Store(w.now() - 3*stallThreshold) }},
-		{"higher token", func(w *standbyFixture, _ *standby.Copy, _ *lease) { w.observeTerm("b", w.term+1000) }},
-		{"no store", func(w *standbyFixture, _ *standby.Copy, _ *lease) { w.services.SetDown(true) }},
-		{"compacted", func(w *standbyFixture, c *standby.Copy, _ *lease) { c.Invalidate(errors.New("compacted")) }},
 	} {
-		w := newStandbyFixture(t, 5)
-		w.change(60)
-		copied := w.follow(5)
-		h := &lease{}
-		w.takeTerm()
-		w.owner.lastRun.Store(w.now())
-		if c.do != nil {
-			c.do(w, copied, h)
-		}
-		s, why := w.follower.takeOver(w.ctx, w.term, h)
-		if (s != nil) != (c.do == nil) {
-			t.Errorf("%s: a copy is used %v: %s", c.name, s != nil, why)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			f := newStandbyFixture(t, 5)
+			f.change(60)
+			stateCopy := f.follow(5)
+			held := &lease{}
+			f.takeTerm()
+			f.owner.lastRun.Store(f.now())
+			if c.spoil != nil {
+				c.spoil(f, stateCopy, held)
+			}
+			state, err := f.follower.takeOver(f.ctx, f.term, held)
+			if (state != nil) != (c.spoil == nil) || (err == nil) != (c.spoil == nil) {
+				t.Errorf("a copy is used: %v; %v", state != nil, err)
+			}
+		})
 	}
 }
 
 // BenchmarkWarmTakeover is what a takeover takes from the term to a core, cold and warm.
 func BenchmarkWarmTakeover(b *testing.B) {
 	for _, jobs := range []int{300, 3000, 10_000} {
-		w := newStandbyFixture(b, 1)
-		w.settings.Deployment.State.RPS = 1e6
+		f := newStandbyFixture(b, 1)
+		f.settings.Deployment.State.RPS = 1e6
 		for i := range jobs {
 			id := fmt.Sprintf("j-%06d", i)
 			j := wire.Job{ID: id, Class: "c", Team: "a", Shape: wire.Array, Priority: wire.Normal, Tasks: 20, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 60}
 			e := sched.LedgerEntry{Hosts: []sched.LedgerHost{{Host: fmt.Sprintf("n-%06d", i), Type: "s", Zone: "x", Incarnation: 1}}, Runs: []sched.LedgerRun{{Job: id, Attempt: 1, Tasks: []int32{1, 2, 3, 4}}}}
-			w.write(wire.Mutation{Put: jobKey(id), Value: jobRecord{Job: j, SubmittedAt: w.now()}}, wire.Mutation{Put: ledgerPrefix + id, Value: e})
+			f.write(wire.Mutation{Put: jobKey(id), Value: jobRecord{Job: j, SubmittedAt: f.now()}}, wire.Mutation{Put: ledgerPrefix + id, Value: e})
 		}
-		run := func(name string, load func(r *leadership) *stored) {
+		run := func(name string, load func(l *leadership) *stored) {
 			b.Run(fmt.Sprint(name, "/", jobs), func(b *testing.B) {
 				var took, most config.Micros
-				n := 0
+				takeovers := 0
 				for b.Loop() {
-					w.owner.lastRun.Store(w.now())
-					w.takeTerm()
-					r := w.startLeadership()
+					f.owner.lastRun.Store(f.now())
+					f.takeTerm()
+					l := f.startLeadership()
 					began := time.Now()
-					if _, err := r.build(load(r)); err != nil {
+					if _, err := l.build(load(l)); err != nil {
 						b.Fatal(err)
 					}
-					us := time.Since(began).Microseconds()
-					took, most = took+us, max(most, us)
-					n++
+					micros := time.Since(began).Microseconds()
+					took, most = took+micros, max(most, micros)
+					takeovers++
 				}
-				b.ReportMetric(float64(took)/float64(n)/1000, "ms")
+				b.ReportMetric(float64(took)/float64(takeovers)/1000, "ms")
 				b.ReportMetric(float64(most)/1000, "ms-most")
 			})
 		}
-		run("cold", func(r *leadership) *stored {
-			s, err := r.read()
+		run("cold", func(l *leadership) *stored {
+			state, err := l.read()
 			if err != nil {
 				b.Fatal(err)
 			}
-			return s
+			return state
 		})
-		copied := w.follow(0)
-		run("warm", func(r *leadership) *stored {
-			w.follower.copy = copied
-			s, why := w.follower.takeOver(w.ctx, r.token, r.lease)
-			if s == nil {
-				b.Fatal(why)
+		stateCopy := f.follow(0)
+		run("warm", func(l *leadership) *stored {
+			f.follower.copy = stateCopy
+			state, err := f.follower.takeOver(f.ctx, l.token, l.lease)
+			if err != nil {
+				b.Fatal(err)
 			}
-			return s
+			return state
 		})
 	}
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -25,10 +25,10 @@
 	// does not wait for it. It is evidence about silent machines and nothing else.
 	contacts := make(chan map[string]int64, 1)
 	go func() { contacts <- c.gatherWorkerContacts(l.ctx) }()
-	state, coldBecause := c.follower.takeOver(l.ctx, l.token, l.lease)
-	warm := state != nil
+	state, err := c.follower.takeOver(l.ctx, l.token, l.lease)
+	warm, coldBecause := err == nil, ""
 	if !warm {
-		var err error
+		coldBecause = err.Error()
 		if state, err = l.read(); err != nil {
 			return err
 		}
