--- a/internal/sched/scalein.go
+++ b/internal/sched/scalein.go
@@ -71,7 +71,7 @@
 // returnUnusable gives back machines that are dead, have not come up, are worth replacing, or fail
 // tasks.
 func (r *scaleInRound) returnUnusable(blind bool) {
-	silence := &silenceCosts{reschedule: rescheduleCosts{c: r.core}, boots: r.core.bootCurves()}
+	silence := &silenceCosts{reschedule: newRescheduleCosts(r.core), boots: r.core.bootCurves()}
 	for _, m := range r.machines {
 		if m.scalingIn {
 			continue
@@ -84,7 +84,7 @@
 
 // silenceCosts is what decisions on silent machines rest on, found out once a round.
 type silenceCosts struct {
-	reschedule rescheduleCosts
+	reschedule *rescheduleCosts
 	boots      map[string]survivalCurve
 }
 
@@ -116,7 +116,7 @@
 
 // replaceReason says why a silent machine is worth replacing, empty if it is waited for.
 func (c *Core) replaceReason(m *machine, silent string, costs *silenceCosts) string {
-	if why, ok := c.shouldReplace(m, &costs.reschedule); ok {
+	if why, ok := c.shouldReplace(m, costs.reschedule); ok {
 		return silent + why
 	}
 	return ""
@@ -143,7 +143,7 @@
 	expected map[*wire.MachineType]int // machines that expected tasks fill
 }
 
-// returnIdle gives back idle machines, dearest first, unless they are a spare that the objectives
+// returnIdle gives back idle machines, the most expensive first, unless they are a spare that the objectives
 // need, or some of those that a gang waits for while its others boot.
 func (r *scaleInRound) returnIdle() {
 	idle := r.findIdle()
@@ -216,7 +216,7 @@
 	if expected {
 		boots = expectedIdleBoots
 	}
-	return min(config.Micro(*c.settings.Operator.IdleReturnS), config.Micro(boots*t.BootS))
+	return min(config.Micro(*c.settings.Operator.IdleTimeoutS), config.Micro(boots*t.BootS))
 }
 
 // takeDemand says whether an idle machine is part of the room that is wanted, and takes it off the
