--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -96,7 +96,7 @@
 			}
 			return commitRejected
 		}
-		time.Sleep(commitRetry)
+		sleepContext(l.ctx, commitRetry)
 	}
 	return commitAbandoned
 }
@@ -124,7 +124,7 @@
 			c.leadership.postStepDown()
 			return commitAbandoned
 		}
-		time.Sleep(commitRetry)
+		sleepContext(c.leadership.ctx, commitRetry)
 	}
 	return commitAbandoned
 }
@@ -167,7 +167,7 @@
 	case strings.HasPrefix(key, ledgerPrefix) && found:
 		return conflictApplied
 	case strings.HasPrefix(key, archive.ManifestPrefix):
-		// Ends were archived meanwhile: planned anew. What was sent is as
+		// Ends were archived since it was planned: planned anew. What was sent is as
 		// little applied later as after an end.
 		if _, err := controller.archive.Refresh(l.ctx, []string{key}); err != nil {
 			return conflictUnreadable
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,5 +1,5 @@
 // Package controller is one of a site's controllers: it serves users and workers, stands for election,
-// and while it is the leader connects the scheduler's core with the state service, the cloud and the
+// and while it is the leader connects the scheduler's core with the key-value store, the cloud and the
 // workers. One goroutine owns the core and makes all decisions; what request handlers read of them is
 // behind short locks.
 package controller
@@ -119,7 +119,7 @@
 		peerTable:      newPeerTable(set.Label),
 		workerContacts: newWorkerContacts(time.Duration(config.Micro(deployment.Workers.LeaseS)) * time.Microsecond),
 		statuses:       newStatusCache(),
-		// What the state service takes in two seconds; more are sent away at
+		// What the key-value store takes in two seconds; more are sent away at
 		// once, since they could not be answered in time.
 		submitSlots: make(chan struct{}, max(minSubmits, int(2*deployment.State.WriteRPS))),
 		cancelSlots: make(chan struct{}, max(minCancels, sockets/4)),
@@ -241,7 +241,7 @@
 	})
 }
 
-// Ready implements api.Service: requests can be taken while the state service is in
+// Ready implements api.Service: requests can be taken while the key-value store is in
 // reach and the machine types are known, unless the controller is about to end.
 func (c *Controller) Ready() error {
 	switch _, known := c.machineTypes(); {
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -27,7 +27,7 @@
 	termWatchHold  = 4 * time.Second
 	termWatchRetry = 300 * time.Millisecond
 
-	// probeAfter: the state service is asked when it has given no answer for so long.
+	// probeAfter: the key-value store is asked when it has given no answer for so long.
 	probeAfter = 800 * time.Millisecond
 )
 
@@ -43,7 +43,7 @@
 }
 
 // election follows the term and takes it when it is free. The key's version is
-// the fencing token: every change of the state service raises the revision, so tokens
+// the fencing token: every change of the key-value store raises the revision, so tokens
 // only rise.
 //
 // A term that names this controller here is one under which nobody acts: an earlier process has
@@ -261,7 +261,7 @@
 	}
 }
 
-// probeStore asks the state service now and then when nothing else has: whether this
+// probeStore asks the key-value store now and then when nothing else has: whether this
 // controller is healthy, and may renew leases by itself, goes by what the service last answered.
 func (e *election) probeStore(ctx context.Context) {
 	store := e.controller.store
--- a/internal/controller/endwriter.go
+++ b/internal/controller/endwriter.go
@@ -75,7 +75,7 @@
 		failed = failed || results[i].err != nil
 	}
 	if failed {
-		time.Sleep(endRetry)
+		sleepContext(w.leadership.ctx, endRetry)
 	}
 	return results
 }
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -79,9 +79,9 @@
 }
 
 // mayRenewLease says whether this controller may renew the worker's lease by itself: under the
-// leader's permission, which is its token in a heartbeat, while neither the leader nor the state
-// service is in reach. It carries no commands, and nothing is ever freed because time has
-// passed, so a permission that outlives its leader starts nothing twice, and nobody was told of a
+// leader's permission, which is its token in a heartbeat, while neither the leader nor the
+// key-value store is in reach. It carries no commands, and nothing is ever freed because time has
+// passed, so a permission that outlives its leader starts nothing twice, and no user knows of a
 // cancellation whose tasks it keeps alive.
 func (c *Controller) mayRenewLease(heartbeat *wire.Heartbeat) (uint64, bool) {
 	if c.store.Reachable(storeReachableWithin) {
@@ -101,7 +101,7 @@
 
 // handleHeartbeat hands a heartbeat to the core if this controller is entitled to act: it holds
 // the term as far as it knows, and neither the worker nor a peer has shown a
-// higher token. While the state service is out of reach it goes on renewing
+// higher token. While the key-value store is out of reach it goes on renewing
 // leases, since it starts nothing without it.
 func (c *Controller) handleHeartbeat(ctx context.Context, heartbeat *wire.Heartbeat) (response wire.HeartbeatResponse, ok bool) {
 	term := c.term.view()
--- a/internal/controller/instability.go
+++ b/internal/controller/instability.go
@@ -36,7 +36,7 @@
 // and one that was not is there. A process that has just begun waits a moment to hear of it.
 func (c *Controller) yieldsElection(ctx context.Context) bool {
 	for !c.peerTable.hasAnswers() && len(c.peers) > 0 && c.clock.age() < firstAnswersWait && ctx.Err() == nil {
-		time.Sleep(firstAnswersPoll)
+		sleepContext(ctx, firstAnswersPoll)
 	}
 	return c.peerTable.isUnstable(time.Now())
 }
--- a/internal/controller/instability_test.go
+++ b/internal/controller/instability_test.go
@@ -12,7 +12,7 @@
 	"dalefront/wire"
 )
 
-// store is a state service with a term key and leases, which counts.
+// store is a key-value store with a term key and leases, which counts.
 type store struct {
 	mu     sync.Mutex
 	term   *wire.KeyValue
--- a/internal/controller/keydeleter.go
+++ b/internal/controller/keydeleter.go
@@ -37,7 +37,7 @@
 	batch, d.keys = cut(d.keys, min(limits.TxnOps, max(1, int(limits.WriteRPS/staleKeyWriteShare))))
 	d.leadership.startTask(&d.task, func() func() {
 		err := d.leadership.deleteUnderTerm(batch)
-		time.Sleep(staleKeyPause)
+		sleepContext(d.leadership.ctx, staleKeyPause)
 		if err == nil || errors.Is(err, kvstore.ErrConflict) {
 			return nil
 		}
@@ -57,7 +57,7 @@
 // add takes the key of a record. Owner goroutine.
 func (d *cancelledRecordDeleter) add(key string) { d.keys = append(d.keys, key) }
 
-// start deletes the next batch, unless there is none or one is being deleted, or the state service
+// start deletes the next batch, unless there is none or one is being deleted, or the key-value store
 // is out of reach. Owner goroutine.
 func (d *cancelledRecordDeleter) start() {
 	controller := d.leadership.controller
--- a/internal/controller/largesite_test.go
+++ b/internal/controller/largesite_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// Past the socket limit new connections fail, to the state service as well: with all connections
+// Past the socket limit new connections fail, to the key-value store as well: with all connections
 // of workers and users taken, and as many unused ones to workers as are kept, the others still fit.
 func TestSocketsSuffice(t *testing.T) {
 	const (
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -24,7 +24,7 @@
 	controller *Controller
 	token      uint64
 	lease      *lease
-	ctx        context.Context // of the background work; its requests to the state service are urgent
+	ctx        context.Context // of the background work; its requests to the key-value store are urgent
 	cancel     context.CancelFunc
 
 	// Loops beside the owner goroutine.
@@ -101,7 +101,7 @@
 			return true
 		}
 		c.log.Info("loading failed, trying again", "err", err)
-		time.Sleep(loadRetry)
+		sleepContext(l.ctx, loadRetry)
 	}
 }
 
@@ -210,7 +210,8 @@
 	l.cancelledRecords.start()
 }
 
-// tick does what time brings: progress, tidying, the fleet. Owner goroutine.
+// tick does what is due from time to time: it stores progress, deletes stale keys, submits recurring
+// jobs, scales the fleet and logs. Owner goroutine.
 func (l *leadership) tick() {
 	c := l.controller
 	now := c.now()
@@ -226,7 +227,7 @@
 		l.statistics.start(now)
 	}
 	blind := l.core.Blind(now)
-	// Without the state service nobody could take the term, and this controller's word
+	// Without the key-value store nobody could take the term, and this controller
 	// still renews leases.
 	if blind && len(c.peers) > 0 && reachable {
 		c.log.Info("most workers are silent: giving the term up", "token", l.token)
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -12,7 +12,7 @@
 // leaseRenewals is how often a lease is renewed within the time that it lasts.
 const leaseRenewals = 4
 
-// lease is a lease of the state service, renewed in the background until it is known to have expired
+// lease is a lease of the key-value store, renewed in the background until it is known to have expired
 // or is abandoned.
 type lease struct {
 	id      uint64
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -22,7 +22,8 @@
 )
 
 // ownerLoop is the goroutine that owns the leadership and with it the core: it makes all decisions,
-// one after the other. Other goroutines hand it functions.
+// one after the other. Other goroutines hand it functions. What runs only on it says "Owner
+// goroutine" in its comment.
 type ownerLoop struct {
 	now     func() config.Micros
 	queue   chan func()
@@ -80,7 +81,7 @@
 }
 
 // ranRecently says whether the goroutine came by lately. After a stall of the process whatever
-// wakes first must not act for a term that another controller may hold by now.
+// runs first must not act for a term that another controller may hold by now.
 func (o *ownerLoop) ranRecently() bool { return o.now()-o.lastRun.Load() < stallThreshold }
 
 // detectStall notices a stall: it runs before anything else that a round does, since
--- a/internal/controller/progresswriter.go
+++ b/internal/controller/progresswriter.go
@@ -13,8 +13,8 @@
 const (
 	// progressWriteShare: one write of progress takes at most one in so many of a second's changes.
 	progressWriteShare = 10
-	// progressPause is the pause after a write of progress. What completes meanwhile goes with the
-	// next one. Launches wait for every change stored before them, and a result that is not
+	// progressPause is the pause after a write of progress. What completes in between goes with
+	// the next one. Launches wait for every change stored before them, and a result that is not
 	// stored yet is only reported once more.
 	progressPause = time.Second
 )
@@ -65,13 +65,15 @@
 	txn := w.transaction(chunks)
 	w.leadership.startTask(&w.task, func() func() {
 		answer, err := w.leadership.controller.store.Txn(w.leadership.ctx, txn)
-		if err != nil {
-			changed := w.changedVersions(answer.FailedKeys, err)
-			time.Sleep(progressPause)
-			return func() { maps.Copy(w.versions, changed) }
+		changed := w.changedVersions(answer.FailedKeys, err)
+		sleepContext(w.leadership.ctx, progressPause)
+		return func() {
+			if err != nil {
+				maps.Copy(w.versions, changed)
+			} else {
+				w.finish(chunks, answer.Revision)
+			}
 		}
-		time.Sleep(progressPause)
-		return func() { w.finish(chunks, answer.Revision) }
 	})
 }
 
@@ -86,7 +88,8 @@
 	return txn
 }
 
-// changedVersions reads the versions of keys that have another than was thought.
+// changedVersions reads the versions of keys that have another than was thought, if that is why a
+// write failed.
 func (w *progressWriter) changedVersions(failedKeys []string, cause error) map[string]uint64 {
 	changed := map[string]uint64{}
 	if !errors.Is(cause, kvstore.ErrConflict) {
@@ -112,7 +115,7 @@
 		key := progressKey(chunk.Job, chunk.Index)
 		w.versions[key] = version
 		if _, _, _, known := core.Counts(chunk.Job); !known {
-			w.leadership.staleKeys.add(key) // forgotten meanwhile
+			w.leadership.staleKeys.add(key) // the job was forgotten while it was stored
 			continue
 		}
 		w.record(chunk.Job, chunk.Index, version)
--- a/internal/controller/queuewatch.go
+++ b/internal/controller/queuewatch.go
@@ -15,7 +15,7 @@
 	queueWatchHold = 5 * time.Second
 	// queueWatchRetry is the pause after one that failed.
 	queueWatchRetry = 200 * time.Millisecond
-	// queueWatchShare: watching takes one in so many of the requests that the state service takes.
+	// queueWatchShare: watching takes one in so many of the requests that the key-value store takes.
 	queueWatchShare = 8
 )
 
@@ -44,12 +44,12 @@
 		if len(events.Events) > 0 {
 			next := time.Now().Add(pace)
 			w.leadership.post(func() { w.apply(events.Events) })
-			time.Sleep(time.Until(next))
+			sleepContext(ctx, time.Until(next))
 		}
 	}
 }
 
-// resync reads the queue again after the watch fell too far behind.
+// resync reads the queue again after the watch lagged too far.
 func (w *queueWatch) resync(ctx context.Context) {
 	c := w.leadership.controller
 	jobs, revision, err := c.store.List(ctx, jobPrefix)
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -21,7 +21,7 @@
 func (l *leadership) load() error {
 	c := l.controller
 	began := time.Now()
-	// A peer that is gone costs its time limit: the store is read meanwhile, and a copy
+	// A peer that is gone costs its time limit: the store is read at the same time, and a copy
 	// does not wait for it. It is evidence about silent machines and nothing else.
 	contacts := make(chan map[string]int64, 1)
 	go func() { contacts <- c.gatherWorkerContacts(l.ctx) }()
@@ -54,14 +54,14 @@
 	return nil
 }
 
-// recordPeerContacts tells a core when this controller and its peers last heard of workers.
+// recordPeerContacts records in a core when this controller and its peers last heard of workers.
 func recordPeerContacts(core *sched.Core, lastHeard map[string]int64) {
 	for host, at := range lastHeard {
 		core.PeerContact(host, at)
 	}
 }
 
-// read reads what a takeover needs from the state service, and the configuration.
+// read reads what a takeover needs from the key-value store, and the configuration.
 func (l *leadership) read() (*stored, error) {
 	reader := &stateReader{leadership: l, copied: l.loadCopy(), state: newStored()}
 	configured := make(chan error, 1)
@@ -94,7 +94,7 @@
 	state      *stored
 }
 
-// list reads the keys with a prefix from the copy, or from the state service, as of the revision
+// list reads the keys with a prefix from the copy, or from the key-value store, as of the revision
 // returned.
 func (r *stateReader) list(prefix string) ([]wire.KeyValue, uint64, error) {
 	if r.copied != nil {
@@ -236,7 +236,7 @@
 
 // readEnds reads the ends of those of the jobs that have ended. Which have is asked
 // for many at a time, by a transaction that only compares; their ends are read side
-// by side: after a flood of small jobs hundreds may wait to be tidied up, and a
+// by side: after a flood of small jobs hundreds may wait to be deleted, and a
 // takeover must not ask for one after the other.
 func (c *Controller) readEnds(ctx context.Context, jobs []wire.KeyValue) ([]wire.KeyValue, error) {
 	ids := make([]string, len(jobs))
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -28,7 +28,7 @@
 	scaleOutRetry = 300 * time.Millisecond
 )
 
-// errTermUnconfirmed: the state service has not confirmed just now that the term is this controller's.
+// errTermUnconfirmed: the key-value store has not confirmed just now that the term is this controller's.
 var errTermUnconfirmed = errors.New("the term may be another controller's")
 
 // fleetScaler rents and returns machines: it asks the core what is needed, and carries it out in
@@ -181,6 +181,6 @@
 		if err == nil || errors.Is(err, cloud.ErrNoCapacity) || try == scaleOutTries || l.ctx.Err() != nil {
 			return hosts, err
 		}
-		time.Sleep(scaleOutRetry)
+		sleepContext(l.ctx, scaleOutRetry)
 	}
 }
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -27,7 +27,7 @@
 const (
 	// firstSnapshotPause is the longest pause before the first snapshot of a term.
 	firstSnapshotPause = time.Minute
-	// snapshotReadShare: reading a snapshot takes one in so many of the requests that the state service
+	// snapshotReadShare: reading a snapshot takes one in so many of the requests that the key-value store
 	// takes, so that users come first.
 	snapshotReadShare = 10
 	// copyWriteShare: storing a copy takes one in so many of the changes that it takes.
@@ -37,7 +37,7 @@
 )
 
 // snapshotter writes snapshots of the stored state while this controller holds the term: all of it
-// into files, and what a takeover needs into the state service.
+// into files, and what a takeover needs into the key-value store.
 type snapshotter struct {
 	leadership *leadership
 	store      paced
@@ -48,8 +48,8 @@
 	return snapshotter{l, paced{c.store, seconds(snapshotReadShare / c.settings.Deployment.State.RPS)}}
 }
 
-// periodically does some work from time to time until the leadership ends, but not while the state
-// service is out of reach or after a stall.
+// periodically does some work from time to time until the leadership ends, but not while the
+// key-value store is out of reach or after a stall.
 func (l *leadership) periodically(first, interval time.Duration, work func()) {
 	for pause := first; ; pause = interval {
 		select {
@@ -97,7 +97,7 @@
 // noKeys leaves no key out of a copy.
 func noKeys(string) bool { return false }
 
-// runCopies stores what a takeover needs in the state service from time to time, so that
+// runCopies stores what a takeover needs in the key-value store from time to time, so that
 // the next leader reads few long values instead of many short ones.
 func (s *snapshotter) runCopies(ctx context.Context) {
 	interval := seconds(*s.leadership.controller.settings.Operator.FailoverSnapshotS)
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// BenchmarkTakeover counts what a new leader asks of the state service, with and
+// BenchmarkTakeover counts what a new leader asks of the key-value store, with and
 // without a copy, for some numbers of live jobs and of jobs that are over.
 func BenchmarkTakeover(b *testing.B) {
 	for _, live := range []int{1000, 10_000} {
--- a/internal/controller/stall.go
+++ b/internal/controller/stall.go
@@ -11,15 +11,15 @@
 const (
 	// confirmRetry is the pause between two tries to read the term after a stall.
 	confirmRetry = 200 * time.Millisecond
-	// confirmTries: after so many failed ones the leader goes on. While the state service is out of
+	// confirmTries: after so many failed ones the leader goes on. While the key-value store is out of
 	// reach nobody can have taken the term, unless it is out of reach for this controller alone; peers
 	// that know better say so within their heartbeats, and until the service answers nothing is started.
 	confirmTries = 12
 )
 
 // suspend stops all acting after a stall of so many microseconds until the term was read again: in
-// the meantime another controller may have taken it, and reports, returns and silences
-// seen from here are as old as the gap. Owner goroutine.
+// the meantime another controller may have taken it, and heartbeats, returned machines
+// and silent workers seen from here are as old as the gap. Owner goroutine.
 func (l *leadership) suspend(gap int64) {
 	c := l.controller
 	alreadySuspended := l.stalledFor > 0
@@ -45,7 +45,7 @@
 			l.post(l.resume)
 			return
 		}
-		time.Sleep(confirmRetry)
+		sleepContext(l.ctx, confirmRetry)
 	}
 }
 
@@ -58,7 +58,7 @@
 	c.owner.requestPass()
 }
 
-// holdsTerm says whether the state service has just confirmed that the term is this controller's: what
+// holdsTerm says whether the key-value store has just confirmed that the term is this controller's: what
 // is said to the cloud is, unlike what is stored, not conditional on it. A controller that the
 // service refuses alone may have been replaced, and a machine that it takes for silent may
 // work for the next leader.
--- a/internal/controller/stall_test.go
+++ b/internal/controller/stall_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// What is said to the cloud is not conditional on the term: a leader that the state service
+// What is said to the cloud is not conditional on the term: a leader that the key-value store
 // refuses, or doesn't answer, may have been replaced, and machines that work for the next one
 // look silent to it. It returns none, however long that lasts. It once returned any as soon as
 // it had been refused for three seconds.
--- a/internal/controller/workercontacts.go
+++ b/internal/controller/workercontacts.go
@@ -22,7 +22,7 @@
 const redirectPace = time.Second
 
 // workerContacts keeps when a worker last reported to this controller, and how many workers may be
-// redirected to another one: a share of those that report here. What each controller has heard is all
+// redirected to another one: a share of those that report here. What each controller has recorded is all
 // that is left of it when a leader ends. All methods may be called concurrently.
 type workerContacts struct {
 	lease time.Duration // of workers
