--- a/cmd/dalefront/snapshot.go
+++ b/cmd/dalefront/snapshot.go
@@ -52,11 +52,11 @@
 		}
 		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 		defer stop()
-		snap, err := snapshot.Take(ctx, store, snapshot.All, controller.Ephemeral, func() int64 { return time.Now().UnixMicro() })
+		snap, err := snapshot.Take(ctx, store, snapshot.AllKeys, controller.Ephemeral, func() int64 { return time.Now().UnixMicro() })
 		if err != nil {
 			return err
 		}
-		path, err := snap.Save(dir, key)
+		path, err := snap.SaveFile(dir, key)
 		if err == nil {
 			fmt.Fprintf(out, "%s: %v\n", path, snap)
 		}
@@ -84,7 +84,7 @@
 		}
 		for _, f := range files {
 			if f.Err == nil {
-				if err := f.Snapshot.Write(args[0], key); err != nil {
+				if err := f.Snapshot.WriteFile(args[0], key); err != nil {
 					return err
 				}
 				fmt.Fprintf(out, "%s: %v\n", args[0], f.Snapshot)
@@ -94,34 +94,34 @@
 		return fmt.Errorf("%s: no whole snapshot", dir)
 	})
 	add("verify FILE", "Check that a file is whole", cobra.ExactArgs(1), func(out io.Writer, key []byte, args []string) error {
-		snap, err := snapshot.Read(args[0], key)
+		snap, err := snapshot.ReadFile(args[0], key)
 		if err == nil {
 			fmt.Fprintf(out, "%s: %v: whole\n", args[0], snap)
 		}
 		return err
 	})
 	add("show FILE", "Show what a file holds", cobra.ExactArgs(1), func(out io.Writer, key []byte, args []string) error {
-		snap, err := snapshot.Read(args[0], key)
+		snap, err := snapshot.ReadFile(args[0], key)
 		if err != nil {
 			return err
 		}
 		fmt.Fprintln(out, snap)
-		for _, n := range snap.Counts() {
+		for _, n := range snap.CountByKind() {
 			fmt.Fprintf(out, "%-12s %9d keys %12d bytes  %s\n", n.Prefix, n.Keys, n.Bytes, controller.Describe(n.Prefix))
 		}
 		return nil
 	})
 	add("diff A B", "List what leads from one file to another", cobra.ExactArgs(2), func(out io.Writer, key []byte, args []string) error {
-		a, err := snapshot.Read(args[0], key)
+		a, err := snapshot.ReadFile(args[0], key)
 		if err != nil {
 			return err
 		}
-		b, err := snapshot.Read(args[1], key)
+		b, err := snapshot.ReadFile(args[1], key)
 		if err != nil {
 			return err
 		}
 		for _, d := range snapshot.Diff(a, b) {
-			fmt.Fprintln(out, d.How, d.Key)
+			fmt.Fprintln(out, d.Kind, d.Key)
 		}
 		return nil
 	})
@@ -130,14 +130,14 @@
 
 func restoreCommand(settings, operator *string) *cobra.Command {
 	c := &copies{settings: settings, operator: operator}
-	var o snapshot.Options
+	var o snapshot.RestoreOptions
 	cmd := &cobra.Command{Use: "restore FILE", Short: "Write a snapshot into an empty state service; needs --config, and no controller running", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			key, err := c.key()
 			if err != nil {
 				return err
 			}
-			snap, err := snapshot.Read(args[0], key)
+			snap, err := snapshot.ReadFile(args[0], key)
 			if err != nil {
 				return err
 			}
@@ -148,16 +148,16 @@
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 			defer stop()
 			out := cmd.OutOrStdout()
-			o.Ops, o.RetryWait = ops, time.Second
+			o.MaxMutations, o.RetryWait = ops, time.Second
 			last := time.Now()
-			o.Progress = func(d snapshot.Done) {
+			o.Progress = func(d snapshot.RestoreResult) {
 				if time.Since(last) > 5*time.Second {
 					last = time.Now()
 					fmt.Fprintf(out, "%d of %d keys, revision %d\n", d.Written+d.Present, len(snap.Keys), d.Revision)
 				}
 			}
 			d, err := snapshot.Restore(ctx, store, snap, o)
-			fmt.Fprintf(out, "%d keys written, %d were there, revision %d after %d changes to raise it\n", d.Written, d.Present, d.Revision, d.Raised)
+			fmt.Fprintf(out, "%d keys written, %d were there, revision %d after %d changes to raise it\n", d.Written, d.Present, d.Revision, d.RevisionRaises)
 			if err != nil && !errors.Is(err, snapshot.ErrNotEmpty) {
 				err = fmt.Errorf("not complete: %w; the same command goes on", err)
 			}
@@ -166,7 +166,7 @@
 	cmd.Flags().StringVar(&c.keyFile, "key-file", "", "file with the secret (default: snapshot_key_file of the operator's settings)")
 	cmd.Flags().Float64Var(&c.share, "share", 0.8, "share of the state service's limits to use")
 	cmd.Flags().BoolVar(&o.Merge, "merge", false, "write into a service that is not empty; nothing is overwritten")
-	cmd.Flags().Uint64Var(&o.Revision, "revision", 0, "raise the service's revision at least so far: the highest token that workers may have seen")
+	cmd.Flags().Uint64Var(&o.MinRevision, "revision", 0, "raise the service's revision at least so far: the highest token that workers may have seen")
 	return cmd
 }
 
@@ -195,7 +195,7 @@
 // list reads the snapshots of the directory, the newest first.
 func (c *copies) list(key []byte) (dir string, files []snapshot.File, err error) {
 	if dir, err = c.where(); err == nil {
-		files, err = snapshot.List(dir, key)
+		files, err = snapshot.ListFiles(dir, key)
 	}
 	return dir, files, err
 }
@@ -212,7 +212,7 @@
 	if file == "" {
 		return nil, nil
 	}
-	return snapshot.KeyFile(file)
+	return snapshot.ReadKeyFile(file)
 }
 
 func (c *copies) store() (store *kvstore.Client, ops int, err error) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -148,7 +148,7 @@
 		}
 	}
 	if file := c.settings.Operator.SnapshotKey; file != "" {
-		if c.snapshotKey, err = snapshot.KeyFile(file); err != nil {
+		if c.snapshotKey, err = snapshot.ReadKeyFile(file); err != nil {
 			return err
 		}
 	}
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -72,10 +72,10 @@
 // writeSnapshot writes a copy of the state into a directory.
 func (c *Controller) writeSnapshot(ctx context.Context, dir string) {
 	began := time.Now()
-	snap, err := snapshot.Take(ctx, c.snapshotReader(), snapshot.All, Ephemeral, c.now)
+	snap, err := snapshot.Take(ctx, c.snapshotReader(), snapshot.AllKeys, Ephemeral, c.now)
 	path := ""
 	if err == nil {
-		path, err = snap.Save(dir, c.snapshotKey)
+		path, err = snap.SaveFile(dir, c.snapshotKey)
 	}
 	if err != nil {
 		c.log.Warn("no snapshot was written", "err", err)
@@ -107,8 +107,8 @@
 	store := c.snapshotReader()
 	snap, err := snapshot.Take(ctx, store, copyPrefixes, noKeys, c.now)
 	if err == nil {
-		err = snap.Store(ctx, store, snapshot.StoreOptions{
-			Term: l.termCondition(), Ops: min(limits.TxnOps, copyOps), Value: int(limits.ValueKB * 1024),
+		err = snap.StoreCopy(ctx, store, snapshot.CopyOptions{
+			Term: l.termCondition(), MaxMutations: min(limits.TxnOps, copyOps), MaxValueBytes: int(limits.ValueKB * 1024),
 			Pace: func(ctx context.Context, changes int) bool {
 				sleepContext(ctx, seconds(float64(changes)*copyPart/limits.WriteRPS))
 				return ctx.Err() == nil
@@ -131,9 +131,9 @@
 		return nil
 	}
 	began := time.Now()
-	snap, err := snapshot.Load(l.ctx, c.store)
+	snap, err := snapshot.LoadCopy(l.ctx, c.store)
 	if err == nil {
-		err = snap.Follow(l.ctx, c.store, copyPrefixes, noKeys, l.token)
+		err = snap.CatchUp(l.ctx, c.store, copyPrefixes, noKeys, l.token)
 	}
 	if err != nil {
 		c.log.Info("everything is read", "err", err)
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -56,7 +56,7 @@
 		}
 		snap, err := snapshot.Take(r.ctx, client, copyPrefixes, noKeys, n.now)
 		if err == nil {
-			err = snap.Store(r.ctx, client, snapshot.StoreOptions{Term: r.termCondition(), Ops: 4, Value: 200})
+			err = snap.StoreCopy(r.ctx, client, snapshot.CopyOptions{Term: r.termCondition(), MaxMutations: 4, MaxValueBytes: 200})
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -122,7 +122,7 @@
 	if copies {
 		snap, err := snapshot.Take(r.ctx, n.store, copyPrefixes, noKeys, n.now)
 		if err == nil {
-			err = snap.Store(r.ctx, n.store, snapshot.StoreOptions{Term: r.termCondition(), Ops: 4, Value: 16 << 10})
+			err = snap.StoreCopy(r.ctx, n.store, snapshot.CopyOptions{Term: r.termCondition(), MaxMutations: 4, MaxValueBytes: 16 << 10})
 		}
 		if err != nil {
 			b.Fatal(err)
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -16,8 +16,8 @@
 func TestStoredStaysAsItIs(t *testing.T) {
 	golden.Messages(t, "stored.golden", []golden.Message{
 		{Name: "snapshot", Zero: Snapshot{}},
-		{Name: "head of a stored copy", Zero: head{}},
-		{Name: "mark of a restore", Zero: mark{}},
+		{Name: "head of a stored copy", Zero: copyHead{}},
+		{Name: "mark of a restore", Zero: restoreMark{}},
 	})
 	golden.Text(t, "keys.golden", fmt.Sprintf("%s\n%s\n%s\n%s\n", StoredPrefix, headKey(1), partKey(1, 23), markKey))
 }
@@ -32,14 +32,14 @@
 // Files of the earlier version are read, with a key and without.
 func TestFilesOfTheEarlierVersion(t *testing.T) {
 	for name, key := range map[string][]byte{"plain.snapshot": nil, "keyed.snapshot": DeriveKey([]byte("a secret"))} {
-		s, err := Read(filepath.Join("testdata", name), key)
+		s, err := ReadFile(filepath.Join("testdata", name), key)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(s, goldenSnapshot()) {
 			t.Errorf("%s is read as %+v", name, s)
 		}
-		if _, err := Read(filepath.Join("testdata", name), DeriveKey([]byte("another"))); err == nil {
+		if _, err := ReadFile(filepath.Join("testdata", name), DeriveKey([]byte("another"))); err == nil {
 			t.Errorf("%s is read with another key", name)
 		}
 		// What this version writes begins alike and is read alike.
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -5,6 +5,7 @@
 	"encoding/hex"
 	"errors"
 	"fmt"
+	"iter"
 	"slices"
 	"time"
 
@@ -12,97 +13,124 @@
 	"dalefront/wire"
 )
 
-// ErrNotEmpty means that the state service has keys that this restore did not write.
-var ErrNotEmpty = errors.New("the state service is not empty")
-
-// ErrDiffers means that a key has another value than the snapshot; it is left alone.
-var ErrDiffers = errors.New("keys have other values than in the snapshot")
-
-// markKey says that a restore is under way, and of which snapshot.
-const markKey = "restore"
+const (
+	// markKey exists while a restore is under way, and says of which snapshot.
+	markKey = "restore"
+	// markLen is the length of the checksum in the mark.
+	markLen = 16
+	// progressInterval is after how many transactions to raise the revision a restore
+	// reports its progress.
+	progressInterval = 1000
+)
 
-// Options of a restore.
-type Options struct {
-	Ops       int    // changes in a transaction
-	Merge     bool   // also into a service that is not empty; nothing there is overwritten
-	Revision  uint64 // the service's revision is raised at least to this one, and to the snapshot's
-	Progress  func(Done)
-	RetryWait time.Duration
+// RestoreOptions are the options of a restore.
+type RestoreOptions struct {
+	MaxMutations int                 // in a transaction
+	Merge        bool                // also into a service that is not empty; nothing there is overwritten
+	MinRevision  uint64              // the service's revision is raised beyond this one, and the snapshot's
+	Progress     func(RestoreResult) // is called now and then; may be nil
+	RetryWait    time.Duration       // before a transaction is tried again
 }
 
-// Done is what a restore did.
-type Done struct {
-	Written, Present int    // keys
+// RestoreResult is what a restore did.
+type RestoreResult struct {
+	Written, Present int    // keys that were written, and that were there with the same value
 	Revision         uint64 // of the service
-	Raised           int    // changes made only to raise it
+	RevisionRaises   int    // transactions that only raised the revision
 }
 
-type mark struct {
-	Sum string `msgpack:"S"`
+// restoreMark is the value of markKey.
+type restoreMark struct {
+	Sum string `msgpack:"S"` // of the snapshot
 }
 
-// Restore writes the keys of a snapshot. Each is created, never overwritten; after a
-// break it goes on where it stopped, which a key of its own remembers. Since tokens
-// are revisions, and workers obey none that is lower than one they have seen, the
-// service's revision is raised past the snapshot's in the end. Requests are paced by
-// the store. No controller may run meanwhile.
-func Restore(ctx context.Context, s Store, snap *Snapshot, o Options) (Done, error) {
-	d := Done{}
-	body, err := wire.Marshal(snap.Revision)
+func (s *Snapshot) mark() (restoreMark, error) {
+	content, err := wire.Marshal(s.Revision)
 	if err != nil {
-		return d, err
+		return restoreMark{}, err
 	}
-	for _, k := range snap.Sorted() {
-		body = append(append(body, k...), snap.Keys[k]...)
+	for _, key := range s.SortedKeys() {
+		content = append(append(content, key...), s.Keys[key]...)
 	}
-	m := mark{hex.EncodeToString(checksum(body, nil)[:16])}
-	r := &restorer{s, o, &d}
-	markVersion, err := r.begin(ctx, m)
+	return restoreMark{hex.EncodeToString(checksum(content, nil)[:markLen])}, nil
+}
+
+// Restore writes the keys of a snapshot. Each is created, never overwritten; after an
+// interruption it can be continued, which the mark at a key of its own makes safe. Since
+// fencing tokens are revisions, and workers obey none that is lower than one they have
+// seen, the service's revision is raised beyond the snapshot's in the end. The store limits
+// the rate of requests. No controller may run meanwhile. Errors are ErrNotEmpty, ErrDiffers
+// and the store's.
+func Restore(ctx context.Context, store Store, snap *Snapshot, options RestoreOptions) (RestoreResult, error) {
+	mark, err := snap.mark()
 	if err != nil {
-		return d, err
+		return RestoreResult{}, err
+	}
+	r := &restorer{Store: store, snap: snap, mark: mark, options: options}
+	err = r.run(ctx)
+	return r.result, err
+}
+
+// restorer is a restore that is under way.
+type restorer struct {
+	Store
+	snap        *Snapshot
+	mark        restoreMark
+	markVersion uint64
+	options     RestoreOptions
+	result      RestoreResult
+}
+
+func (r *restorer) run(ctx context.Context) error {
+	if err := r.start(ctx); err != nil {
+		return err
 	}
-	var differ []string
-	for batch := range batches(snap, max(1, o.Ops)) {
-		bad, err := r.write(ctx, snap, batch)
+	var different []string
+	for batch := range r.snap.batches(max(1, r.options.MaxMutations)) {
+		found, err := r.createKeys(ctx, batch)
 		if err != nil {
-			return d, err
-		}
-		differ = append(differ, bad...)
-		if o.Progress != nil {
-			o.Progress(d)
+			return err
 		}
+		different = append(different, found...)
+		r.reportProgress()
 	}
-	for d.Revision <= max(snap.Revision, o.Revision) {
-		if markVersion, err = r.put(ctx, m, markVersion); err != nil {
-			return d, err
+	for r.result.Revision <= max(r.snap.Revision, r.options.MinRevision) {
+		if err := r.writeMark(ctx); err != nil {
+			return err
 		}
-		d.Raised++
-		if o.Progress != nil && d.Raised%1000 == 0 {
-			o.Progress(d)
+		r.result.RevisionRaises++
+		if r.result.RevisionRaises%progressInterval == 0 {
+			r.reportProgress()
 		}
 	}
-	if len(differ) > 0 {
-		return d, fmt.Errorf("%w: %d, such as %s", ErrDiffers, len(differ), differ[0])
+	if len(different) > 0 {
+		return &DifferentKeysError{len(different), different[0]}
 	}
-	_, err = r.multi(ctx, wire.Txn{Mutations: []wire.Mutation{{Delete: markKey}}})
-	return d, err
+	_, err := r.runTxn(ctx, wire.Txn{Mutations: []wire.Mutation{{Delete: markKey}}})
+	return err
 }
 
-// batches cuts the keys into transactions of so many changes and 48 KiB.
-func batches(snap *Snapshot, ops int) func(func([]string) bool) {
+func (r *restorer) reportProgress() {
+	if r.options.Progress != nil {
+		r.options.Progress(r.result)
+	}
+}
+
+// batches divides the keys into transactions of at most so many mutations and maxTxnBytes.
+func (s *Snapshot) batches(maxMutations int) iter.Seq[[]string] {
 	return func(yield func([]string) bool) {
 		var batch []string
 		size := 0
-		for _, k := range snap.Sorted() {
-			n := len(k) + 2*len(snap.Keys[k]) // sizes count in the longer text form
-			if len(batch) == ops || len(batch) > 0 && size+n > txnRoom {
+		for _, key := range s.SortedKeys() {
+			keySize := len(key) + 2*len(s.Keys[key]) // limits count the longer text form
+			if len(batch) == maxMutations || len(batch) > 0 && size+keySize > maxTxnBytes {
 				if !yield(batch) {
 					return
 				}
 				batch, size = nil, 0
 			}
-			batch = append(batch, k)
-			size += n
+			batch = append(batch, key)
+			size += keySize
 		}
 		if len(batch) > 0 {
 			yield(batch)
@@ -110,97 +138,108 @@
 	}
 }
 
-type restorer struct {
-	Store
-	o Options
-	d *Done
-}
-
-// multi runs a transaction until its outcome is known or the context ends; a conflict
+// runTxn runs a transaction until its outcome is known or the context ends; a conflict
 // after an unknown outcome may be its own doing.
-func (r *restorer) multi(ctx context.Context, t wire.Txn) (wire.TxnResponse, error) {
+func (r *restorer) runTxn(ctx context.Context, txn wire.Txn) (wire.TxnResponse, error) {
 	for {
-		a, err := r.Txn(ctx, t)
+		response, err := r.Txn(ctx, txn)
 		if !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrOutcomeUnknown) {
-			r.d.Revision = max(r.d.Revision, a.Revision)
-			return a, err
+			r.result.Revision = max(r.result.Revision, response.Revision)
+			return response, err
 		}
 		select {
 		case <-ctx.Done():
-			return a, err
-		case <-time.After(r.o.RetryWait):
+			return response, err
+		case <-time.After(r.options.RetryWait):
 		}
 	}
 }
 
-// begin makes sure that the service is empty, or half full of this very snapshot.
-func (r *restorer) begin(ctx context.Context, m mark) (version uint64, err error) {
+// start makes sure that the service is empty, or that an interrupted restore of the same
+// snapshot can be continued.
+func (r *restorer) start(ctx context.Context) error {
 	page, err := r.Page(ctx, "", "", 1)
 	if err != nil {
-		return 0, err
+		return err
 	}
-	r.d.Revision = page.Revision
-	e, found, err := r.Get(ctx, markKey)
-	if err != nil {
-		return 0, err
+	r.result.Revision = page.Revision
+	version, exists, same, err := r.readMark(ctx)
+	switch {
+	case err != nil:
+		return err
+	case same:
+		r.markVersion = version
+		return nil
+	case exists:
+		return ErrOtherRestore
+	case len(page.Items) > 0 && !r.options.Merge:
+		return fmt.Errorf("%w: it has the key %s", ErrNotEmpty, page.Items[0].Key)
 	}
-	if found {
-		var have mark
-		if err := wire.Unmarshal(e.Value, &have); err != nil || have != m {
-			return 0, fmt.Errorf("%w: a restore of another snapshot is under way", ErrNotEmpty)
-		}
-		return e.Version, nil
-	}
-	if len(page.Items) > 0 && !r.o.Merge {
-		return 0, fmt.Errorf("%w: it has the key %s", ErrNotEmpty, page.Items[0].Key)
+	return r.writeMark(ctx)
+}
+
+// readMark reads the mark in the store: its version, and whether it is of the same snapshot.
+func (r *restorer) readMark(ctx context.Context) (version uint64, exists, same bool, err error) {
+	entry, exists, err := r.Get(ctx, markKey)
+	if err != nil || !exists {
+		return 0, false, false, err
 	}
-	return r.put(ctx, m, 0)
+	var stored restoreMark
+	same = wire.Unmarshal(entry.Value, &stored) == nil && stored == r.mark
+	return entry.Version, true, same, nil
 }
 
-// put writes the mark anew.
-func (r *restorer) put(ctx context.Context, m mark, version uint64) (uint64, error) {
-	a, err := r.multi(ctx, wire.Txn{Conditions: []wire.Condition{{Key: markKey, Version: version}}, Mutations: []wire.Mutation{{Put: markKey, Value: m}}})
-	if errors.Is(err, kvstore.ErrConflict) { // a copy whose answer was lost, or another restore
-		e, found, gerr := r.Get(ctx, markKey)
-		var have mark
-		if gerr == nil && found && wire.Unmarshal(e.Value, &have) == nil && have == m && e.Version > version {
-			return e.Version, nil
+// writeMark writes the mark, which also raises the service's revision.
+func (r *restorer) writeMark(ctx context.Context) error {
+	response, err := r.runTxn(ctx, wire.Txn{
+		Conditions: []wire.Condition{{Key: markKey, Version: r.markVersion}},
+		Mutations:  []wire.Mutation{{Put: markKey, Value: r.mark}},
+	})
+	if errors.Is(err, kvstore.ErrConflict) { // an earlier attempt whose answer was lost, or another restore
+		version, _, same, readErr := r.readMark(ctx)
+		if !same || version <= r.markVersion {
+			return errors.Join(ErrOtherRestore, readErr)
 		}
-		return 0, errors.Join(fmt.Errorf("%w: a restore of another snapshot is under way", ErrNotEmpty), gerr)
+		r.markVersion = version
+		return nil
+	}
+	if err != nil {
+		return err
 	}
-	return a.Revision, err
+	r.markVersion = response.Revision
+	return nil
 }
 
-// write creates keys. Those that are there already are compared.
-func (r *restorer) write(ctx context.Context, snap *Snapshot, keys []string) (differ []string, err error) {
+// createKeys creates keys. Those that exist are compared; it returns those that differ.
+func (r *restorer) createKeys(ctx context.Context, keys []string) (different []string, err error) {
 	for len(keys) > 0 {
-		var t wire.Txn
-		for _, k := range keys {
-			t.Conditions = append(t.Conditions, wire.Condition{Key: k})
-			t.Mutations = append(t.Mutations, wire.Mutation{Put: k, Value: snap.Keys[k]})
+		var txn wire.Txn
+		for _, key := range keys {
+			txn.Conditions = append(txn.Conditions, wire.Condition{Key: key})
+			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: key, Value: r.snap.Keys[key]})
 		}
-		a, err := r.multi(ctx, t)
+		response, err := r.runTxn(ctx, txn)
 		if err == nil {
-			r.d.Written += len(keys)
-			return differ, nil
+			r.result.Written += len(keys)
+			return different, nil
 		}
 		if !errors.Is(err, kvstore.ErrConflict) {
-			return differ, err
+			return different, err
 		}
-		for _, k := range a.FailedKeys {
-			e, found, err := r.Get(ctx, k)
+		for _, key := range response.FailedKeys {
+			entry, found, err := r.Get(ctx, key)
 			switch {
 			case err != nil:
-				return differ, err
+				return different, err
 			case !found: // removed meanwhile
 				continue
-			case slices.Equal(e.Value, snap.Keys[k]):
-				r.d.Present++
+			case slices.Equal(entry.Value, r.snap.Keys[key]):
+				r.result.Present++
 			default:
-				differ = append(differ, k)
+				different = append(different, key)
 			}
-			keys = slices.DeleteFunc(slices.Clone(keys), func(x string) bool { return x == k })
+			keys = slices.DeleteFunc(slices.Clone(keys), func(other string) bool { return other == key })
 		}
 	}
-	return differ, nil
+	return different, nil
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -22,53 +22,55 @@
 
 var background = context.Background()
 
-// service plays the state service: versions, conditions, a bounded memory of changes,
+// fakeStore plays the state service: versions, conditions, a bounded memory of changes,
 // and transactions that fail. Between two requests others may write.
-type service struct {
-	rev    uint64
-	keys   map[string]wire.KeyValue
-	events []wire.Event
-	keep   int // changes that are remembered
-	before func()
-	fail   func() error // instead of a transaction, or after it
-	after  bool
+type fakeStore struct {
+	revision   uint64
+	keys       map[string]wire.KeyValue
+	events     []wire.Event
+	keptEvents int // changes that are remembered
+	before     func()
+	fail       func() error // instead of a transaction, or after it
+	after      bool
 }
 
-func newService() *service { return &service{rev: 1, keys: map[string]wire.KeyValue{}, keep: 1000} }
+func newFakeStore() *fakeStore {
+	return &fakeStore{revision: 1, keys: map[string]wire.KeyValue{}, keptEvents: 1000}
+}
 
-func (s *service) come() {
+func (s *fakeStore) beforeRequest() {
 	if s.before != nil {
 		s.before()
 	}
 }
 
-func (s *service) put(k string, v any) {
+func (s *fakeStore) put(k string, v any) {
 	b, _ := wire.Marshal(v)
-	s.rev++
-	s.keys[k] = wire.KeyValue{Key: k, Value: b, Version: s.rev}
-	s.note(wire.Event{Put: k, Value: b, Version: s.rev})
+	s.revision++
+	s.keys[k] = wire.KeyValue{Key: k, Value: b, Version: s.revision}
+	s.record(wire.Event{Put: k, Value: b, Version: s.revision})
 }
 
-func (s *service) drop(k string) {
-	s.rev++
+func (s *fakeStore) remove(k string) {
+	s.revision++
 	delete(s.keys, k)
-	s.note(wire.Event{Delete: k, Version: s.rev})
+	s.record(wire.Event{Delete: k, Version: s.revision})
 }
 
-func (s *service) note(e wire.Event) {
+func (s *fakeStore) record(e wire.Event) {
 	s.events = append(s.events, e)
-	s.events = s.events[max(0, len(s.events)-s.keep):]
+	s.events = s.events[max(0, len(s.events)-s.keptEvents):]
 }
 
-func (s *service) Get(_ context.Context, k string) (wire.KeyValue, bool, error) {
-	s.come()
+func (s *fakeStore) Get(_ context.Context, k string) (wire.KeyValue, bool, error) {
+	s.beforeRequest()
 	e, ok := s.keys[k]
 	return e, ok, nil
 }
 
-func (s *service) Page(_ context.Context, prefix, after string, most int) (wire.KeyValuePage, error) {
-	s.come()
-	out := wire.KeyValuePage{Revision: s.rev}
+func (s *fakeStore) Page(_ context.Context, prefix, after string, most int) (wire.KeyValuePage, error) {
+	s.beforeRequest()
+	out := wire.KeyValuePage{Revision: s.revision}
 	for _, k := range slices.Sorted(maps.Keys(s.keys)) {
 		if strings.HasPrefix(k, prefix) && k > after {
 			if len(out.Items) == min(most, 7) { // small pages
@@ -81,12 +83,12 @@
 	return out, nil
 }
 
-func (s *service) Watch(_ context.Context, prefix string, from uint64, _ time.Duration) (wire.Events, error) {
-	s.come()
+func (s *fakeStore) Watch(_ context.Context, prefix string, from uint64, _ time.Duration) (wire.Events, error) {
+	s.beforeRequest()
 	if len(s.events) > 0 && s.events[0].Version > from+1 {
 		return wire.Events{}, kvstore.ErrCompacted
 	}
-	out := wire.Events{Revision: s.rev}
+	out := wire.Events{Revision: s.revision}
 	for _, e := range s.events {
 		if e.Version > from && strings.HasPrefix(e.Put+e.Delete, prefix) {
 			out.Events = append(out.Events, e)
@@ -95,8 +97,8 @@
 	return out, nil
 }
 
-func (s *service) Txn(_ context.Context, t wire.Txn) (wire.TxnResponse, error) {
-	s.come()
+func (s *fakeStore) Txn(_ context.Context, t wire.Txn) (wire.TxnResponse, error) {
+	s.beforeRequest()
 	var err error
 	if s.fail != nil {
 		if err = s.fail(); err != nil && !s.after {
@@ -117,28 +119,28 @@
 	}
 	for _, c := range t.Mutations {
 		if c.Delete != "" {
-			s.drop(c.Delete)
+			s.remove(c.Delete)
 		} else {
 			s.put(c.Put, c.Value)
 		}
 	}
-	a.Revision = s.rev
+	a.Revision = s.revision
 	return a, err
 }
 
-func values(s *service) map[string]msgpack.RawMessage {
+func values(s *fakeStore) map[string]msgpack.RawMessage {
 	out := map[string]msgpack.RawMessage{}
 	for k, e := range s.keys {
-		if !leave(k) {
+		if !excluded(k) {
 			out[k] = e.Value
 		}
 	}
 	return out
 }
 
-func leave(k string) bool { return k == "term" }
+func excluded(k string) bool { return k == "term" }
 
-func same(a, b map[string]msgpack.RawMessage) bool {
+func equalKeys(a, b map[string]msgpack.RawMessage) bool {
 	return maps.EqualFunc(a, b, func(x, y msgpack.RawMessage) bool { return bytes.Equal(x, y) })
 }
 
@@ -148,33 +150,33 @@
 	busy := 0
 	for seed := range uint64(200) {
 		rnd := rand.New(rand.NewPCG(seed, 15))
-		s := newService()
-		s.keep = 5 + rnd.IntN(60)
+		s := newFakeStore()
+		s.keptEvents = 5 + rnd.IntN(60)
 		at := map[uint64]map[string]msgpack.RawMessage{}
 		write := func() {
 			if k := fmt.Sprint("k/", rnd.IntN(60)); rnd.IntN(3) == 0 {
-				s.drop(k)
+				s.remove(k)
 			} else {
 				s.put(k, rnd.IntN(1000))
 			}
-			at[s.rev] = values(s)
+			at[s.revision] = values(s)
 		}
 		for range 100 {
 			write()
 		}
 		s.put("term", 1)
-		at[s.rev] = values(s)
+		at[s.revision] = values(s)
 		s.before = func() {
 			for range rnd.IntN(6) {
 				write()
 			}
 		}
-		snap, err := Take(background, s, All, leave, func() int64 { return 9 })
+		snap, err := Take(background, s, AllKeys, excluded, func() int64 { return 9 })
 		if errors.Is(err, ErrBusy) {
 			busy++
 			continue
 		}
-		if err != nil || snap.TakenAt != 9 || !same(snap.Keys, at[snap.Revision]) || len(snap.Versions) != len(snap.Keys) {
+		if err != nil || snap.TakenAt != 9 || !equalKeys(snap.Keys, at[snap.Revision]) || len(snap.Versions) != len(snap.Keys) {
 			t.Fatalf("seed %d: %v: revision %d: %d keys, want %d", seed, err, snap.Revision, len(snap.Keys), len(at[snap.Revision]))
 		}
 	}
@@ -202,13 +204,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Decode(b, k); err != nil || got.Revision != s.Revision || !same(got.Keys, s.Keys) {
+		if got, err := Decode(b, k); err != nil || got.Revision != s.Revision || !equalKeys(got.Keys, s.Keys) {
 			t.Fatalf("%v: %v became %v", err, s, got)
 		}
 		for i := range b {
 			for _, flip := range []byte{1, 2, 4, 8, 16, 32, 64, 128, 255} {
 				b[i] ^= flip
-				if _, err := Decode(b, k); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNewer) && !errors.Is(err, ErrKey) {
+				if _, err := Decode(b, k); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNewer) && !errors.Is(err, ErrWrongKey) {
 					t.Fatalf("byte %d, flip %d: %v", i, flip, err)
 				}
 				b[i] ^= flip
@@ -239,22 +241,22 @@
 		s.TakenAt = i
 		if i == 2 { // torn, and half written
 			b, _ := s.Encode(nil)
-			if err := errors.Join(os.WriteFile(filepath.Join(dir, fmt.Sprintf("%020d-%020d%s", i, 5000, suffix)), b[:len(b)/2], 0o600),
+			if err := errors.Join(os.WriteFile(filepath.Join(dir, fmt.Sprintf("%020d-%020d%s", i, 5000, fileSuffix)), b[:len(b)/2], 0o600),
 				os.WriteFile(filepath.Join(dir, ".snapshot-1"), b, 0o600)); err != nil {
 				t.Fatal(err)
 			}
 			continue
 		}
-		if _, err := s.Save(dir, nil); err != nil {
+		if _, err := s.SaveFile(dir, nil); err != nil {
 			t.Fatal(err)
 		}
-		files, err := List(dir, nil)
+		files, err := ListFiles(dir, nil)
 		if err != nil || files[0].Snapshot.TakenAt != i {
 			t.Fatalf("%v: %v", err, files)
 		}
 	}
 	var whole []int64
-	files, _ := List(dir, nil)
+	files, _ := ListFiles(dir, nil)
 	for _, f := range files {
 		if f.Err == nil {
 			whole = append(whole, f.Snapshot.TakenAt)
@@ -275,12 +277,12 @@
 func TestRestoreResumes(t *testing.T) {
 	snap := someSnapshot(50)
 	snap.Revision = 30
-	o := Options{Ops: 6, Revision: 40}
+	o := RestoreOptions{MaxMutations: 6, MinRevision: 40}
 	stopped := errors.New("stopped")
 	for _, after := range []bool{false, true} {
 		for _, what := range []error{stopped, kvstore.ErrOutcomeUnknown, kvstore.ErrRefused} {
 			for at := 0; ; at++ {
-				s := newService()
+				s := newFakeStore()
 				n := 0
 				s.after = after
 				s.fail = func() error {
@@ -290,15 +292,15 @@
 					}
 					return nil
 				}
-				var d Done
+				var d RestoreResult
 				err := stopped
 				for tries := 0; errors.Is(err, stopped) && tries < 3; tries++ {
 					d, err = Restore(background, s, snap, o)
 				}
 				if errors.Is(err, ErrNotEmpty) && d.Written == 0 && after {
-					err, d.Revision = nil, s.rev // stopped after the last write: there is nothing to go on with
+					err, d.Revision = nil, s.revision // stopped after the last write: there is nothing to go on with
 				}
-				if err != nil || !same(values(s), snap.Keys) || d.Revision <= 40 || s.rev <= 40 {
+				if err != nil || !equalKeys(values(s), snap.Keys) || d.Revision <= 40 || s.revision <= 40 {
 					t.Fatalf("after: %v, %v at %d: %v, %+v", after, what, at, err, d)
 				}
 				if n <= at {
@@ -316,7 +318,7 @@
 	stopped := errors.New("stopped")
 	for at := 0; at < 60; at++ {
 		for _, after := range []bool{false, true} {
-			s := newService()
+			s := newFakeStore()
 			s.put("term", 1)
 			term := wire.Condition{Key: "term", Version: s.keys["term"].Version}
 			n := 0
@@ -331,20 +333,20 @@
 			for round := range 5 {
 				snap := someSnapshot(10 + 60*(round%3))
 				snap.Revision, snap.Keys["extra"] = uint64(100+round), msgpack.RawMessage{0xa1, byte('a' + round)}
-				err := snap.Store(background, s, StoreOptions{Term: term, Ops: 4, Value: 300})
+				err := snap.StoreCopy(background, s, CopyOptions{Term: term, MaxMutations: 4, MaxValueBytes: 300})
 				if err == nil {
 					newest = snap
 				} else if !errors.Is(err, stopped) {
 					t.Fatal(err)
 				}
-				got, err := Load(background, s)
+				got, err := LoadCopy(background, s)
 				switch {
 				case err != nil:
-					if newest != nil || !errors.Is(err, ErrNone) {
+					if newest != nil || !errors.Is(err, ErrNoCopy) {
 						t.Fatalf("at %d, after: %v, round %d: %v", at, after, round, err)
 					}
-				case got.Revision == snap.Revision && same(got.Keys, snap.Keys):
-				case newest == nil || got.Revision != newest.Revision || !same(got.Keys, newest.Keys):
+				case got.Revision == snap.Revision && equalKeys(got.Keys, snap.Keys):
+				case newest == nil || got.Revision != newest.Revision || !equalKeys(got.Keys, newest.Keys):
 					t.Fatalf("at %d, after: %v, round %d: loaded %v, stored %v", at, after, round, got, newest)
 				}
 			}
@@ -355,8 +357,8 @@
 					break
 				}
 			}
-			got, err := Load(background, s)
-			if n > at && (errors.Is(err, ErrNone) || err == nil && got.Revision >= 102) {
+			got, err := LoadCopy(background, s)
+			if n > at && (errors.Is(err, ErrNoCopy) || err == nil && got.Revision >= 102) {
 				continue // one round was broken off
 			}
 			if err != nil || got.Revision < 103 || string(got.Keys["extra"][1:]) != string(rune('a'+got.Revision-100)) {
@@ -364,8 +366,8 @@
 			}
 		}
 	}
-	s := newService()
-	if err := someSnapshot(3).Store(background, s, StoreOptions{Term: wire.Condition{Key: "term", Version: 7}, Ops: 4, Value: 300}); !errors.Is(err, kvstore.ErrConflict) || len(s.keys) > 0 {
+	s := newFakeStore()
+	if err := someSnapshot(3).StoreCopy(background, s, CopyOptions{Term: wire.Condition{Key: "term", Version: 7}, MaxMutations: 4, MaxValueBytes: 300}); !errors.Is(err, kvstore.ErrConflict) || len(s.keys) > 0 {
 		t.Errorf("without the term: %v", err)
 	}
 }
@@ -373,18 +375,18 @@
 // What is there is never overwritten.
 func TestRestoreRefuses(t *testing.T) {
 	snap := someSnapshot(10)
-	s := newService()
+	s := newFakeStore()
 	s.put("q/e/j-0003", "another")
-	before := s.rev
-	if _, err := Restore(background, s, snap, Options{Ops: 6}); !errors.Is(err, ErrNotEmpty) || s.rev != before {
-		t.Errorf("got %v after %d changes, want %v", err, s.rev-before, ErrNotEmpty)
+	before := s.revision
+	if _, err := Restore(background, s, snap, RestoreOptions{MaxMutations: 6}); !errors.Is(err, ErrNotEmpty) || s.revision != before {
+		t.Errorf("got %v after %d changes, want %v", err, s.revision-before, ErrNotEmpty)
 	}
-	d, err := Restore(background, s, snap, Options{Ops: 6, Merge: true})
+	d, err := Restore(background, s, snap, RestoreOptions{MaxMutations: 6, Merge: true})
 	if !errors.Is(err, ErrDiffers) || d.Written != 9 {
 		t.Errorf("got %+v, %v; want %v", d, err, ErrDiffers)
 	}
 	other := someSnapshot(11)
-	if _, err := Restore(background, s, other, Options{Ops: 6, Merge: true}); !errors.Is(err, ErrNotEmpty) {
+	if _, err := Restore(background, s, other, RestoreOptions{MaxMutations: 6, Merge: true}); !errors.Is(err, ErrNotEmpty) {
 		t.Errorf("into a restore of another snapshot: %v, want %v", err, ErrNotEmpty)
 	}
 }
@@ -393,7 +395,7 @@
 	a, b := someSnapshot(5), someSnapshot(6)
 	delete(b.Keys, "q/e/j-0001")
 	b.Keys["q/e/j-0002"] = a.Keys["q/e/j-0003"]
-	want := []Change{{"q/e/j-0001", "removed"}, {"q/e/j-0002", "changed"}, {"q/e/j-0005", "added"}}
+	want := []Difference{{"q/e/j-0001", "removed"}, {"q/e/j-0002", "changed"}, {"q/e/j-0005", "added"}}
 	if got := Diff(a, b); !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
@@ -403,10 +405,10 @@
 func FuzzDecode(f *testing.F) {
 	b, _ := someSnapshot(3).Encode(nil)
 	f.Add(b)
-	f.Fuzz(func(t *testing.T, b []byte) {
+	f.Fuzz(func(_ *testing.T, b []byte) {
 		b = append(slices.Clone(b), checksum(b, nil)...) // past the checksum
 		if s, err := Decode(b, nil); err == nil {
-			_ = s.Counts()
+			_ = s.CountByKind()
 		}
 	})
 }
