--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -27,18 +27,18 @@
 const (
 	// firstSnapshotPause is the longest pause before the first snapshot of a term.
 	firstSnapshotPause = time.Minute
-	// snapshotPart: reading a snapshot takes one in so many of the requests that the state service
+	// snapshotReadShare: reading a snapshot takes one in so many of the requests that the state service
 	// takes, so that users come first.
-	snapshotPart = 10
-	// copyPart: storing a copy takes one in so many of the changes that it takes.
-	copyPart = 20
+	snapshotReadShare = 10
+	// copyWriteShare: storing a copy takes one in so many of the changes that it takes.
+	copyWriteShare = 20
 	// copyOps is how many values of a copy one transaction stores at most.
 	copyOps = 4
 )
 
 // snapshotReader returns the state service's client for reading snapshots.
 func (c *Controller) snapshotReader() paced {
-	return paced{c.store, seconds(snapshotPart / c.settings.Deployment.State.RPS)}
+	return paced{c.store, seconds(snapshotReadShare / c.settings.Deployment.State.RPS)}
 }
 
 // periodically does some work from time to time until the leadership ends, but not while the state
@@ -63,7 +63,7 @@
 	if operator.SnapshotDir == "" {
 		return
 	}
-	interval := seconds(*operator.SnapshotEvery)
+	interval := seconds(*operator.SnapshotIntervalS)
 	l.periodically(min(interval, firstSnapshotPause), interval, func() {
 		l.controller.writeSnapshot(ctx, operator.SnapshotDir)
 	})
@@ -93,7 +93,7 @@
 // storeSnapshots stores what a takeover needs in the state service from time to time, so that
 // the next leader reads few long values instead of many short ones.
 func (l *leadership) storeSnapshots(ctx context.Context) {
-	interval := seconds(*l.controller.settings.Operator.TakeoverCopyS)
+	interval := seconds(*l.controller.settings.Operator.FailoverSnapshotS)
 	if interval <= 0 {
 		return
 	}
@@ -110,7 +110,7 @@
 		err = snap.StoreCopy(ctx, store, snapshot.CopyOptions{
 			Term: l.termCondition(), MaxMutations: min(limits.TxnOps, copyOps), MaxValueBytes: int(limits.ValueKB * 1024),
 			Pace: func(ctx context.Context, changes int) bool {
-				sleepContext(ctx, seconds(float64(changes)*copyPart/limits.WriteRPS))
+				sleepContext(ctx, seconds(float64(changes)*copyWriteShare/limits.WriteRPS))
 				return ctx.Err() == nil
 			},
 		})
@@ -127,7 +127,7 @@
 // older than the term is never used, since the last leader may have written after it.
 func (l *leadership) loadCopy() *snapshot.Snapshot {
 	c := l.controller
-	if *c.settings.Operator.TakeoverCopyS <= 0 {
+	if *c.settings.Operator.FailoverSnapshotS <= 0 {
 		return nil
 	}
 	began := time.Now()
--- a/internal/sched/scalein.go
+++ b/internal/sched/scalein.go
@@ -143,7 +143,7 @@
 	expected map[*wire.MachineType]int // machines that expected tasks fill
 }
 
-// returnIdle gives back idle machines, dearest first, unless they are a spare that the objectives
+// returnIdle gives back idle machines, the most expensive first, unless they are a spare that the objectives
 // need, or some of those that a gang waits for while its others boot.
 func (r *scaleInRound) returnIdle() {
 	idle := r.findIdle()
@@ -216,7 +216,7 @@
 	if expected {
 		boots = expectedIdleBoots
 	}
-	return min(config.Micro(*c.settings.Operator.IdleReturnS), config.Micro(boots*t.BootS))
+	return min(config.Micro(*c.settings.Operator.IdleTimeoutS), config.Micro(boots*t.BootS))
 }
 
 // takeDemand says whether an idle machine is part of the room that is wanted, and takes it off the
