--- /dev/null
+++ b/internal/sched/cloudcapacity_test.go
@@ -0,0 +1,41 @@
+package sched
+
+import "testing"
+
+// A kind of machine that was refused isn't asked for a while, counts as lacking for a while longer,
+// and may be had again once a machine of the kind was returned.
+func TestRefusedKind(t *testing.T) {
+	kind, other := machineKind{"s", "x", false}, machineKind{"s", "x", true}
+	const refusedAt = 100 * second
+	for _, test := range []struct {
+		name               string
+		after              Micros
+		returned           bool
+		exhausted, lacking bool
+	}{
+		{name: "at once", exhausted: true, lacking: true},
+		{name: "until it is asked again", after: capacityRetry, exhausted: true, lacking: true},
+		{name: "asked again", after: capacityRetry + 1, lacking: true},
+		{name: "still remembered", after: capacityRetry + capacityMemory, lacking: true},
+		{name: "forgotten", after: capacityRetry + capacityMemory + 1},
+		{name: "one was returned", after: second, returned: true, lacking: true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			capacity := newCloudCapacity()
+			capacity.refused(kind, refusedAt)
+			now := refusedAt + test.after
+			if test.returned {
+				capacity.machineReturned(kind, now)
+			}
+			if got := capacity.isExhausted(kind, now); got != test.exhausted {
+				t.Errorf("exhausted: %v, want %v", got, test.exhausted)
+			}
+			if got := capacity.wasExhausted(kind, now); got != test.lacking {
+				t.Errorf("lacking: %v, want %v", got, test.lacking)
+			}
+			if capacity.isExhausted(other, now) || capacity.wasExhausted(other, now) {
+				t.Error("another kind counts as refused")
+			}
+		})
+	}
+}
--- a/internal/sched/fairness_test.go
+++ b/internal/sched/fairness_test.go
@@ -66,7 +66,7 @@
 
 // A class of which some quarter or two fifths was served beside one that had all catches
 // up until half of it is served, and the other keeps most.
-func TestNobodyIsLeftBehind(t *testing.T) {
+func TestUnderservedClassCatchesUp(t *testing.T) {
 	for _, gang := range []bool{false, true} {
 		for seed := uint64(1); seed <= 3; seed++ {
 			had, had2 := share(t, seed, false, gang)
@@ -141,7 +141,7 @@
 
 // The largest jobs of a class, to which the small ones leave no room, begin too: one in
 // fifty of them began within four minutes, and no small one waited.
-func TestTheLargestAreServed(t *testing.T) {
+func TestLargestJobsAreServed(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		if small, large := largest(t, seed, false); small < 0.95 || large > 0.1 {
 			t.Errorf("seed %d: the large ones would not be left behind: %.2f, %.2f", seed, small, large)
--- a/internal/sched/gangplacement_test.go
+++ b/internal/sched/gangplacement_test.go
@@ -64,7 +64,7 @@
 // Teams don't go on stopping each other's work: a gang that is mostly within its
 // team's guarantee is not evicted, and a gang that would go beyond its own
 // guarantee evicts nobody of equal priority.
-func TestTeamsDoNotTakeTurns(t *testing.T) {
+func TestTeamsDoNotPreemptEachOther(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a", CPUs: 24}, config.Team{Name: "b", CPUs: 24})
 	hosts := []string{"n-1", "n-2", "n-3", "n-4"}
 	for _, h := range hosts {
@@ -92,7 +92,7 @@
 
 // A gang that is chosen as the victim on several machines at once is told and
 // counted once.
-func TestGangIsEvictedOnce(t *testing.T) {
+func TestGangIsPreemptedOnce(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a"})
 	hosts := []string{"n-1", "n-2", "n-3"}
 	for _, h := range append(hosts, "n-4", "n-5", "n-6") {
@@ -154,7 +154,7 @@
 
 // Aims of one kind count one after the other: what has missed the first is served
 // for the second, and what has missed all is late.
-func TestAimsCountInTurn(t *testing.T) {
+func TestObjectivesCountInTurn(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a"})
 	due := 100.0
 	j := spec("j-1", "a", wire.Normal, 1, 1)
--- /dev/null
+++ b/internal/sched/gpus_test.go
@@ -0,0 +1,66 @@
+package sched
+
+import (
+	"testing"
+
+	"dalefront/internal/config"
+	"dalefront/wire"
+)
+
+// A GPU machine that small tasks keep busy empties and goes back while
+// ordinary machines can be had, but not one that has just served what it is for.
+func TestGPUMachinesEmpty(t *testing.T) {
+	b := newBed(t, config.Team{Name: "a"})
+	b.report("n-1", "g", "x", 1)
+	gpu, sweep := spec("j-1", "a", wire.Normal, 1, 2), spec("j-2", "a", wire.Normal, 1, 12)
+	gpu.GPUs = 1
+	b.AddJob(gpu, b.now, b.now)
+	b.AddJob(sweep, b.now, b.now)
+	b.AddJob(spec("j-3", "a", wire.Low, 50, 1), b.now, b.now)
+	b.jobs.find("j-2").class.waitObjectives = []Micros{30 * second}
+	m := b.machines.find("n-1")
+	ps := b.newPass()
+	ps.summarizeGPUs([]*job{b.jobs.find("j-1")})
+	small := b.jobs.find("j-3")
+	d := 60.0
+	small.spec.DeadlineS, small.dueAt = &d, b.now+500*second
+	end := func(id string) {
+		p := b.addPlacement(b.jobs.find(id), 0, m, 9)
+		p.durable, p.runningSince = true, b.now
+		b.now += 100 * second
+		b.release(p)
+	}
+	end("j-2")
+	if !ps.mayUseGPUMachine(small, m) || b.now-m.gpusIdleSince > 0 {
+		t.Error("a machine that has just served what it is for takes nothing else")
+	}
+	end("j-3")
+	if ps.mayUseGPUMachine(small, m) {
+		t.Error("small tasks keep a GPU machine whose GPUs have idled")
+	}
+	for _, zone := range []string{"x", "y"} {
+		b.cloud.exhaustedUntil[machineKind{"s", zone, false}] = b.now
+	}
+	if !ps.mayUseGPUMachine(small, m) {
+		t.Error("a GPU machine stands empty though ordinary ones are sold out")
+	}
+}
+
+// Only work that an objective watches more closely than GPU tasks fills the processors
+// of GPU machines: small tasks with a loose objective had left half their GPUs idle.
+func TestLooserObjectiveLeavesGPUs(t *testing.T) {
+	for _, within := range []float64{60, 250} {
+		b := newBed(t, config.Team{Name: "a"})
+		b.settings.Deployment.Objectives = []config.Objective{{Kind: "wait", Class: "scan", WithinS: 120}, {Kind: "wait", Class: "cj-2", WithinS: within}}
+		b.report("n-1", "g", "x", 1)
+		scan := spec("j-1", "a", wire.Low, 3, 1)
+		scan.Class, scan.GPUs = "scan", 1
+		b.AddJob(scan, b.now, b.now)
+		b.AddJob(spec("j-2", "a", wire.Low, 8, 1), b.now, b.now)
+		ps := b.newPass()
+		ps.summarizeGPUs(b.queue())
+		if got, want := ps.keepsGPUMachine(b.jobs.find("j-2")), within < 120; got != want {
+			t.Errorf("an objective of %.0f s beside one of 120 s: GPU machines are kept for it %v, want %v", within, got, want)
+		}
+	}
+}
--- a/internal/sched/size_test.go
+++ b/internal/sched/placetasks_test.go
@@ -47,7 +47,7 @@
 
 // Filling machine after machine decides as looking for a machine for each task
 // did, which at the grown size took too long.
-func TestFillingDecidesAsPlainScan(t *testing.T) {
+func TestFillingMatchesPlainScan(t *testing.T) {
 	for seed := uint64(1); seed <= 8; seed++ {
 		fast, plain := crowd(t, seed, 60, 20), crowd(t, seed, 60, 20)
 		fast.Schedule(fast.now)
--- a/internal/sched/victims_test.go
+++ b/internal/sched/victims_test.go
@@ -11,7 +11,7 @@
 // The cost of evicting is that of the victims that would be picked, on every machine and for
 // every job: tasks of several priorities and sizes that save or not, have run for different
 // times, were evicted before, are leaving, and gangs among them.
-func TestEvictionCostIsThatOfTheVictims(t *testing.T) {
+func TestPreemptionCostIsThatOfTheVictims(t *testing.T) {
 	compared, fits, several := 0, 0, 0
 	for seed := uint64(1); seed <= 6; seed++ {
 		r := rand.New(rand.NewPCG(seed, 34))
@@ -21,7 +21,8 @@
 			g.Shape = wire.Gang
 			b.AddJob(g, b.now, b.now)
 		}
-		for b.schedule() != nil {
+		for placed := true; placed; {
+			placed = b.schedule() != nil
 		}
 		for j := range b.jobs.all() {
 			j.spec.CheckpointIntervalS, j.spec.CheckpointDurationS, j.spec.MemoryGB = float64(r.IntN(3)*10), float64(r.IntN(5)), float64(1+r.IntN(3))
