--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -26,7 +26,7 @@
 		rnd := rand.New(rand.NewPCG(seed, 16))
 		svc := emulator.NewServices(wire.Catalog{})
 		srv := httptest.NewServer(svc)
-		n := newTestController(t, svc.ServeHTTP, func(set *config.Settings) { *set.Operator.TakeoverCopyS = 60 })
+		n := newTestController(t, svc.ServeHTTP, func(set *config.Settings) { *set.Operator.FailoverSnapshotS = 60 })
 		client := kvstore.New(strings.TrimPrefix(srv.URL, "http://"), 1e6, 1e6, 1)
 		write := func(k int) {
 			var txn wire.Txn
@@ -69,8 +69,8 @@
 			t.Fatalf("seed %d: loaded %v", seed, copied)
 		}
 		for _, prefix := range copyPrefixes {
-			a, _, _ := r.list(copied, prefix)
-			b, _, err := r.list(nil, prefix)
+			a, _, _ := (&stateReader{leadership: r, copied: copied}).list(prefix)
+			b, _, err := (&stateReader{leadership: r}).list(prefix)
 			if err != nil || len(a) != len(b) || len(a) > 0 && !reflect.DeepEqual(a, b) {
 				t.Fatalf("seed %d, %s: %v; from the copy %v, read %v", seed, prefix, err, a, b)
 			}
@@ -104,7 +104,7 @@
 	}, func(set *config.Settings) {
 		set.Deployment.State.TxnOps = 12
 		if copies {
-			*set.Operator.TakeoverCopyS = 60
+			*set.Operator.FailoverSnapshotS = 60
 		}
 	})
 	for i := range live {
