--- a/internal/sched/checkpoint_test.go
+++ b/internal/sched/checkpoint_test.go
@@ -24,8 +24,8 @@
 		{name: "the queue counts as overhead", running: 9 * second, queue: 2 * second, interval: 100, cost: 9 * second},
 		{name: "a kill loses no more than since the last checkpoint", running: 8 * second, interval: 3, cost: 3 * second},
 		{name: "without checkpoints all is lost", running: 60 * second, cost: 60 * second},
-		{name: "always checkpointed", policy: config.EvictCheckpoint, running: second, interval: 100, checkpoint: true, cost: 8 * second},
-		{name: "always killed", policy: config.EvictKill, running: 60 * second, interval: 100, cost: 60 * second},
+		{name: "always checkpointed", policy: config.PreemptCheckpoint, running: second, interval: 100, checkpoint: true, cost: 8 * second},
+		{name: "always killed", policy: config.PreemptKill, running: 60 * second, interval: 100, cost: 60 * second},
 		{name: "earlier preemptions cost", running: 8 * second, interval: 100, earlierPreemptions: 2, cost: 18 * second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
