--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -79,10 +79,10 @@
 func (s *snapshotter) writeFile(ctx context.Context, dir string) {
 	c := s.leadership.controller
 	began := time.Now()
-	snap, err := snapshot.Take(ctx, s.store, snapshot.All, Ephemeral, c.now)
+	snap, err := snapshot.Take(ctx, s.store, snapshot.AllKeys, Ephemeral, c.now)
 	path := ""
 	if err == nil {
-		path, err = snap.Save(dir, c.snapshotKey)
+		path, err = snap.SaveFile(dir, c.snapshotKey)
 	}
 	if err != nil {
 		c.log.Warn("no snapshot was written", "err", err)
@@ -113,8 +113,8 @@
 	limits := &c.settings.Deployment.State
 	snap, err := snapshot.Take(ctx, s.store, copyPrefixes, noKeys, c.now)
 	if err == nil {
-		err = snap.Store(ctx, s.store, snapshot.StoreOptions{
-			Term: s.leadership.termCondition(), Ops: min(limits.TxnOps, copyOps), Value: int(limits.ValueKB * 1024),
+		err = snap.StoreCopy(ctx, s.store, snapshot.CopyOptions{
+			Term: s.leadership.termCondition(), MaxMutations: min(limits.TxnOps, copyOps), MaxValueBytes: int(limits.ValueKB * 1024),
 			Pace: func(ctx context.Context, changes int) bool {
 				sleepContext(ctx, seconds(float64(changes)*copyWriteShare/limits.WriteRPS))
 				return ctx.Err() == nil
@@ -137,9 +137,9 @@
 		return nil
 	}
 	began := time.Now()
-	snap, err := snapshot.Load(l.ctx, c.store)
+	snap, err := snapshot.LoadCopy(l.ctx, c.store)
 	if err == nil {
-		err = snap.Follow(l.ctx, c.store, copyPrefixes, noKeys, l.token)
+		err = snap.CatchUp(l.ctx, c.store, copyPrefixes, noKeys, l.token)
 	}
 	if err != nil {
 		c.log.Info("everything is read", "err", err)
