--- /dev/null
+++ b/internal/controller/commit_test.go
@@ -0,0 +1,86 @@
+package controller
+
+import (
+	"context"
+	"testing"
+
+	"dalefront/internal/emulator"
+	"dalefront/internal/sched"
+	"dalefront/wire"
+)
+
+// A batch whose conditions fail was stored before, or is rejected for good, or the term is lost; what
+// is known to have changed is handed to the core before that.
+func TestCommitConflicts(t *testing.T) {
+	batch := &sched.Commit{
+		Entries: []sched.NamedLedgerEntry{{Name: "5.1"}},
+		Jobs:    []string{"j-1"},
+	}
+	ended := endRecord{Status: wire.JobDone}
+	for _, test := range []struct {
+		name   string
+		change func(*emulator.Services) // since the batch was planned
+		want   commitOutcome
+	}{
+		{"nothing", func(*emulator.Services) {}, commitStored},
+		{"stored before", func(s *emulator.Services) { s.Set(ledgerPrefix+"5.1", sched.LedgerEntry{}) }, commitStored},
+		{"the job has ended", func(s *emulator.Services) { s.Set(endKey("j-1"), ended) }, commitRejected},
+		{"stored before, and the job has ended since", func(s *emulator.Services) {
+			s.Set(ledgerPrefix+"5.1", sched.LedgerEntry{})
+			s.Set(endKey("j-1"), ended)
+		}, commitStored},
+		{"the term is another's", func(s *emulator.Services) { s.Set(termKey, termRecord{Node: "b"}) }, commitAbandoned},
+		{"the term is another's, though it was stored before", func(s *emulator.Services) {
+			s.Set(ledgerPrefix+"5.1", sched.LedgerEntry{})
+			s.Set(termKey, termRecord{Node: "b"})
+		}, commitAbandoned},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			services := emulator.NewServices(wire.Catalog{})
+			services.Set(termKey, termRecord{Node: "a"})
+			term, _ := services.Entry(termKey)
+			c := newTestController(t, services.ServeHTTP)
+			ctx, cancel := context.WithCancel(context.Background())
+			defer cancel()
+			l := newLeadership(ctx, c, term.Version, &lease{})
+			c.owner.leadership = l
+			test.change(services)
+			if got := l.commits.store(batch); got != test.want {
+				t.Errorf("outcome %d, want %d", got, test.want)
+			}
+			for len(c.owner.queue) > 0 && test.want == commitAbandoned {
+				(<-c.owner.queue)()
+			}
+			if (c.owner.leadership == nil) != (test.want == commitAbandoned) {
+				t.Error("the leadership goes on without its term, or ended with it")
+			}
+		})
+	}
+}
+
+// What a task comes back with is dropped once its leadership has ended.
+func TestTaskOfEndedLeadership(t *testing.T) {
+	for _, test := range []struct {
+		name  string
+		ended bool
+	}{{"goes on", false}, {"ended", true}} {
+		t.Run(test.name, func(t *testing.T) {
+			c := newTestController(t, emulator.NewServices(wire.Catalog{}).ServeHTTP)
+			l := newLeadership(context.Background(), c, 5, &lease{})
+			c.owner.leadership = l
+			var task backgroundTask
+			finished := false
+			l.startTask(&task, func() func() { return func() { finished = true } })
+			result := <-c.owner.queue
+			if !task.running {
+				t.Error("the task is not running before its result was taken")
+			}
+			if test.ended {
+				l.stepDown()
+			}
+			if result(); finished == test.ended {
+				t.Errorf("its result was taken: %v", finished)
+			}
+		})
+	}
+}
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -21,62 +21,73 @@
 
 // A takeover reads the same from a copy and what has changed since as from the keys,
 // whatever was written and deleted in between and beside it.
-func TestCopyIsTheSame(t *testing.T) {
+func TestTakeoverReadsSameFromCopy(t *testing.T) {
 	for seed := range uint64(20) {
-		rnd := rand.New(rand.NewPCG(seed, 16))
-		svc := emulator.NewServices(wire.Catalog{})
-		srv := httptest.NewServer(svc)
-		n := newTestController(t, svc.ServeHTTP, func(set *config.Settings) { *set.Operator.FailoverSnapshotS = 60 })
-		client := kvstore.New(strings.TrimPrefix(srv.URL, "http://"), 1e6, 1e6, 1)
-		write := func(k int) {
-			var txn wire.Txn
-			for range k {
-				key := fmt.Sprintf("%s%d", []string{jobPrefix, progressPrefix, ledgerPrefix, scaleOutPrefix, schedulePrefix, endPrefix, "x/"}[rnd.IntN(7)], rnd.IntN(20))
-				if rnd.IntN(3) == 0 {
-					txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: key})
-				} else {
-					txn.Mutations = append(txn.Mutations, wire.Mutation{Put: key, Value: rnd.IntN(100)})
-				}
-				if rnd.IntN(5) == 0 {
-					txn.Mutations = append(txn.Mutations, wire.Mutation{Put: learnedKey, Value: rnd.IntN(100)})
-				}
-			}
-			if _, err := client.Txn(context.Background(), txn); err != nil {
-				t.Fatal(err)
-			}
-		}
-		for range 30 {
-			write(1 + rnd.IntN(5))
-		}
-		svc.Set(termKey, termRecord{Node: "a", Mark: "a.1"})
-		e, _ := svc.Entry(termKey)
-		r := newLeadership(context.Background(), n, e.Version, &lease{})
-		if r.loadCopy() != nil {
-			t.Fatal("there is no copy yet")
-		}
-		snap, err := snapshot.Take(r.ctx, client, copyPrefixes, noKeys, n.now)
-		if err == nil {
-			err = snap.StoreCopy(r.ctx, client, snapshot.CopyOptions{Term: r.termCondition(), MaxMutations: 4, MaxValueBytes: 200})
-		}
-		if err != nil {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { compareTakeover(t, rand.New(rand.NewPCG(seed, 16))) })
+	}
+}
+
+// compareTakeover stores a copy amid random changes and compares what is read from it with the keys.
+func compareTakeover(t *testing.T, random *rand.Rand) {
+	t.Helper()
+	services := emulator.NewServices(wire.Catalog{})
+	server := httptest.NewServer(services)
+	defer server.Close()
+	c := newTestController(t, services.ServeHTTP, func(set *config.Settings) { *set.Operator.FailoverSnapshotS = 60 })
+	client := kvstore.New(strings.TrimPrefix(server.URL, "http://"), 1e6, 1e6, 1)
+	write := func() {
+		if _, err := client.Txn(context.Background(), randomChanges(random)); err != nil {
 			t.Fatal(err)
 		}
-		for range rnd.IntN(20) {
-			write(1 + rnd.IntN(5))
+	}
+	for range 30 {
+		write()
+	}
+	services.Set(termKey, termRecord{Node: "a", Mark: "a.1"})
+	term, _ := services.Entry(termKey)
+	l := newLeadership(context.Background(), c, term.Version, &lease{})
+	defer l.cancel()
+	if l.loadCopy() != nil {
+		t.Fatal("there is no copy yet")
+	}
+	snap, err := snapshot.Take(l.ctx, client, copyPrefixes, noKeys, c.now)
+	if err == nil {
+		err = snap.StoreCopy(l.ctx, client, snapshot.CopyOptions{Term: l.termCondition(), MaxMutations: 4, MaxValueBytes: 200})
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	for range random.IntN(20) {
+		write()
+	}
+	copied := l.loadCopy()
+	if copied == nil || copied.Revision < l.token {
+		t.Fatalf("loaded %v", copied)
+	}
+	for _, prefix := range copyPrefixes {
+		fromCopy, _, _ := (&stateReader{leadership: l, copied: copied}).list(prefix)
+		read, _, err := (&stateReader{leadership: l}).list(prefix)
+		if err != nil || len(fromCopy) != len(read) || len(fromCopy) > 0 && !reflect.DeepEqual(fromCopy, read) {
+			t.Fatalf("%s: %v; from the copy %v, read %v", prefix, err, fromCopy, read)
 		}
-		copied := r.loadCopy()
-		if copied == nil || copied.Revision < r.token {
-			t.Fatalf("seed %d: loaded %v", seed, copied)
+	}
+}
+
+// randomChanges writes and deletes a few keys, of a takeover and others.
+func randomChanges(random *rand.Rand) (txn wire.Txn) {
+	prefixes := []string{jobPrefix, progressPrefix, ledgerPrefix, scaleOutPrefix, schedulePrefix, endPrefix, "x/"}
+	for range 1 + random.IntN(5) {
+		key := fmt.Sprintf("%s%d", prefixes[random.IntN(len(prefixes))], random.IntN(20))
+		if random.IntN(3) == 0 {
+			txn.Mutations = append(txn.Mutations, wire.Mutation{Delete: key})
+		} else {
+			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: key, Value: random.IntN(100)})
 		}
-		for _, prefix := range copyPrefixes {
-			a, _, _ := (&stateReader{leadership: r, copied: copied}).list(prefix)
-			b, _, err := (&stateReader{leadership: r}).list(prefix)
-			if err != nil || len(a) != len(b) || len(a) > 0 && !reflect.DeepEqual(a, b) {
-				t.Fatalf("seed %d, %s: %v; from the copy %v, read %v", seed, prefix, err, a, b)
-			}
+		if random.IntN(5) == 0 {
+			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: learnedKey, Value: random.IntN(100)})
 		}
-		srv.Close()
 	}
+	return txn
 }
 
 // BenchmarkTakeover counts what a new leader asks of the key-value store, with and
@@ -95,12 +106,14 @@
 	}
 }
 
+// takeover loads the state once, of so many jobs that live and jobs that are over.
 func takeover(b *testing.B, live, over int, copies bool) {
-	svc := emulator.NewServices(wire.Catalog{})
+	b.Helper()
+	services := emulator.NewServices(wire.Catalog{})
 	var requests, bytes atomic.Int64
-	n := newTestController(b, func(w http.ResponseWriter, r *http.Request) {
+	c := newTestController(b, func(w http.ResponseWriter, r *http.Request) {
 		requests.Add(1)
-		svc.ServeHTTP(counted{w, &bytes}, r)
+		services.ServeHTTP(counted{w, &bytes}, r)
 	}, func(set *config.Settings) {
 		set.Deployment.State.TxnOps = 12
 		if copies {
@@ -108,21 +121,22 @@
 		}
 	})
 	for i := range live {
-		j := testJob(testJobID(i))
-		j.Class, j.Image, j.Tasks = "some-class", "some-image", 4
-		svc.Set(jobKey(j.ID), jobRecord{Job: *j, SubmittedAt: int64(i)})
-		svc.Set(fmt.Sprintf("%s%d.%d", ledgerPrefix, 7, i), sched.LedgerEntry{})
+		job := testJob(testJobID(i))
+		job.Class, job.Image, job.Tasks = "some-class", "some-image", 4
+		services.Set(jobKey(job.ID), jobRecord{Job: *job, SubmittedAt: int64(i)})
+		services.Set(fmt.Sprintf("%s%d.%d", ledgerPrefix, 7, i), sched.LedgerEntry{})
 	}
 	for i := range over {
-		svc.Set(endKey(fmt.Sprintf("j-9%06d", i)), testEnd(i))
+		services.Set(endKey(fmt.Sprintf("j-9%06d", i)), testEnd(i))
 	}
-	svc.Set(termKey, termRecord{Node: "a", Mark: "a.1"})
-	e, _ := svc.Entry(termKey)
-	r := newLeadership(context.Background(), n, e.Version, &lease{})
+	services.Set(termKey, termRecord{Node: "a", Mark: "a.1"})
+	term, _ := services.Entry(termKey)
+	l := newLeadership(context.Background(), c, term.Version, &lease{})
+	defer l.cancel()
 	if copies {
-		snap, err := snapshot.Take(r.ctx, n.store, copyPrefixes, noKeys, n.now)
+		snap, err := snapshot.Take(l.ctx, c.store, copyPrefixes, noKeys, c.now)
 		if err == nil {
-			err = snap.StoreCopy(r.ctx, n.store, snapshot.CopyOptions{Term: r.termCondition(), MaxMutations: 4, MaxValueBytes: 16 << 10})
+			err = snap.StoreCopy(l.ctx, c.store, snapshot.CopyOptions{Term: l.termCondition(), MaxMutations: 4, MaxValueBytes: 16 << 10})
 		}
 		if err != nil {
 			b.Fatal(err)
@@ -130,7 +144,7 @@
 	}
 	requests.Store(0)
 	bytes.Store(0)
-	if err := r.load(); err != nil {
+	if err := l.load(); err != nil {
 		b.Fatal(err)
 	}
 	b.ReportMetric(float64(requests.Load()), "requests")
