--- a/internal/sched/checkpoint.go
+++ b/internal/sched/checkpoint.go
@@ -29,25 +29,25 @@
 
 // planStop applies the paper's rule to a victim of so many tasks, by the progress of one of them.
 // queue is how long the checkpoints take that the machine writes before.
-func (c *Core) planStop(p *placement, tasks int, queue Micros) stopPlan {
-	j := p.job
+func (c *Core) planStop(placement *placement, tasks int, queue Micros) stopPlan {
+	job := placement.job
 	running := Micros(0)
-	if p.runningSince > 0 {
-		running = c.now - p.runningSince
+	if placement.runningSince > 0 {
+		running = c.now - placement.runningSince
 	}
-	plan := stopPlan{write: transferTime(j.spec.MemoryGB, c.bandwidth.write), progress: j.checkpointedRunTime + running}
-	plan.overhead = plan.write + transferTime(j.spec.MemoryGB, c.bandwidth.read) + queue
-	plan.checkpoint = c.checkpoints(j, &plan)
+	plan := stopPlan{write: transferTime(job.spec.MemoryGB, c.bandwidth.write), progress: job.checkpointedRunTime + running}
+	plan.overhead = plan.write + transferTime(job.spec.MemoryGB, c.bandwidth.read) + queue
+	plan.checkpoint = c.checkpoints(job, &plan)
 	switch {
 	case plan.checkpoint:
 		plan.cost = plan.overhead
-	case j.spec.CheckpointIntervalS > 0: // it saves by itself
-		plan.cost = min(running, config.Micro(j.spec.CheckpointIntervalS))
+	case job.spec.CheckpointIntervalS > 0: // it saves by itself
+		plan.cost = min(running, config.Micro(job.spec.CheckpointIntervalS))
 	default:
 		plan.cost = running
 	}
 	plan.cost *= Micros(tasks)
-	plan.cost += Micros(j.preemptions) * preemptedBefore
+	plan.cost += Micros(job.preemptions) * preemptedBefore
 	return plan
 }
 
--- a/internal/sched/demand.go
+++ b/internal/sched/demand.go
@@ -28,16 +28,16 @@
 // would boot, for classes whose start the objectives watch too closely for a boot, by their names.
 func (c *Core) expectedDemand() (expected []demand) {
 	guaranteeObjective := c.guaranteeObjective()
-	for _, cl := range c.classes.sorted() {
-		if cl.sampleJob == nil || cl.sampleJob.spec.Shape == wire.Service {
+	for _, class := range c.classes.sorted() {
+		if class.sampleJob == nil || class.sampleJob.spec.Shape == wire.Service {
 			continue
 		}
-		boot := c.shortestBootS(cl.sampleJob)
-		if cl.strictestObjective(guaranteeObjective) > config.Micro(rentInTime*boot)+rentDelayS*second {
+		boot := c.shortestBootS(class.sampleJob)
+		if class.strictestObjective(guaranteeObjective) > config.Micro(rentInTime*boot)+rentDelayS*second {
 			continue // a machine rented when it is needed is up in time
 		}
-		if slots := c.expectedSlots(cl, boot); slots > 0 {
-			expected = append(expected, demand{cl.sampleJob, slots})
+		if slots := c.expectedSlots(class, boot); slots > 0 {
+			expected = append(expected, demand{class.sampleJob, slots})
 		}
 	}
 	return expected
--- a/internal/sched/explain.go
+++ b/internal/sched/explain.go
@@ -35,43 +35,43 @@
 }
 
 // explainWait says why a job waits.
-func (ps *pass) explainWait(j *job) WaitingJob {
-	wait := WaitingJob{Job: j.id, Class: j.spec.Class, Team: j.spec.Team, Tasks: j.pendingCount(), Age: ps.core.now - j.arrival}
-	tasksByZone := j.tasksByZone()
+func (ps *pass) explainWait(job *job) WaitingJob {
+	wait := WaitingJob{Job: job.id, Class: job.spec.Class, Team: job.spec.Team, Tasks: job.pendingCount(), Age: ps.core.now - job.arrival}
+	tasksByZone := job.tasksByZone()
 	room := map[string]int{}
-	for _, m := range ps.schedulable {
-		if m.reservedFor == j {
+	for _, machine := range ps.schedulable {
+		if machine.reservedFor == job {
 			wait.Reserved++
 		}
 		zone := ""
-		if j.isGang() {
-			zone = j.gangZone(m)
+		if job.isGang() {
+			zone = job.gangZone(machine)
 		}
-		room[zone] += ps.slotsOn(j, m, tasksByZone)
+		room[zone] += ps.slotsOn(job, machine, tasksByZone)
 	}
 	for _, n := range room {
 		wait.Room = max(wait.Room, n)
 	}
-	wait.Reason = ps.core.waitReason(j, wait.Room)
+	wait.Reason = ps.core.waitReason(job, wait.Room)
 	return wait
 }
 
 // waitReason says why a job waits for which there is so much room. The texts are those of the
 // operators' pages.
-func (c *Core) waitReason(j *job, room int) string {
+func (c *Core) waitReason(job *job, room int) string {
 	switch {
-	case c.now < j.backoffUntil && j.isSuspect():
+	case c.now < job.backoffUntil && job.isSuspect():
 		return "it fails on every machine"
-	case c.now < j.backoffUntil:
+	case c.now < job.backoffUntil:
 		return "its tasks failed"
-	case j.isGang() && (j.gangBroken || j.isLeaving() || j.gangStarted && len(j.placements) > 0):
+	case job.isGang() && (job.gangBroken || job.isLeaving() || job.gangStarted && len(job.placements) > 0):
 		return "the last attempt is still leaving"
-	case j.atTeamLimit():
+	case job.atTeamLimit():
 		return "its team's limit"
-	case room > 0 && (!j.isGang() || room >= j.pendingCount()):
+	case room > 0 && (!job.isGang() || room >= job.pendingCount()):
 		return "next pass"
 	}
-	if cordon := c.cordonedOff(j); cordon != nil {
+	if cordon := c.cordonedOff(job); cordon != nil {
 		return "no room outside the cordon " + cordon.Name
 	}
 	return "no room"
@@ -132,18 +132,18 @@
 // Usages sums up what runs, by class, and the machines, by type.
 func (c *Core) Usages() (classes, types []Usage) {
 	byClass, byType := usageTable{}, usageTable{}
-	for j := range c.jobs.all() {
-		byClass.of(j.spec.Class).Tasks += len(j.placements)
+	for job := range c.jobs.all() {
+		byClass.of(job.spec.Class).Tasks += len(job.placements)
 	}
-	for _, m := range c.lastPass.schedulable {
-		usage := byType.of(m.machineType.Name)
+	for _, machine := range c.lastPass.schedulable {
+		usage := byType.of(machine.machineType.Name)
 		usage.Up++
-		usage.Tasks += m.placementCount
-		usage.Free += m.machineType.CPUs - m.usedCPUs
-		if m.placementCount == 0 {
+		usage.Tasks += machine.placementCount
+		usage.Free += machine.machineType.CPUs - machine.usedCPUs
+		if machine.placementCount == 0 {
 			usage.Idle++
 		}
-		if m.reservedFor != nil {
+		if machine.reservedFor != nil {
 			usage.Reserved++
 		}
 	}
--- a/internal/sched/fleet.go
+++ b/internal/sched/fleet.go
@@ -20,27 +20,27 @@
 
 // machineListed takes what the list says of a machine.
 func (c *Core) machineListed(listed *wire.Machine) {
-	m := c.machines.find(listed.ID)
-	if m == nil {
-		m = c.newMachine(listed.ID, listed.Addr, listed.Type, listed.Zone, listed.Spot)
+	machine := c.machines.find(listed.ID)
+	if machine == nil {
+		machine = c.newMachine(listed.ID, listed.Addr, listed.Type, listed.Zone, listed.Spot)
 	}
-	if m.addr == "" {
-		m.addr = listed.Addr
+	if machine.addr == "" {
+		machine.addr = listed.Addr
 	}
 	age := config.Micro(listed.AgeS)
-	if m.lastListedAt == 0 {
-		m.rentedAt = min(m.rentedAt, c.now-age)
+	if machine.lastListedAt == 0 {
+		machine.rentedAt = min(machine.rentedAt, c.now-age)
 	}
-	m.lastListedAt = c.now
-	m.booting = m.booting || (listed.State == wire.MachineBooting && !m.registered)
+	machine.lastListedAt = c.now
+	machine.booting = machine.booting || (listed.State == wire.MachineBooting && !machine.registered)
 	if listed.State == wire.MachineRunning {
 		// The moment that the list describes is the machine's age after its
 		// birth, which may itself have been learned late, from a list.
-		m.lastListedRunning = max(m.lastListedRunning, min(m.rentedAt+age, c.now)-config.Micro(c.settings.Deployment.Cloud.ListLagS))
+		machine.lastListedRunning = max(machine.lastListedRunning, min(machine.rentedAt+age, c.now)-config.Micro(c.settings.Deployment.Cloud.ListLagS))
 	}
-	if listed.State == wire.MachineFailed && !m.failed {
-		m.failed = true
-		if m.registered {
+	if listed.State == wire.MachineFailed && !machine.failed {
+		machine.failed = true
+		if machine.registered {
 			c.detector.Died()
 		}
 	}
@@ -83,22 +83,22 @@
 }
 
 // machineReturned releases what was on a machine and forgets it.
-func (c *Core) machineReturned(m *machine) {
-	m.eachPlacement(func(p *placement) {
+func (c *Core) machineReturned(machine *machine) {
+	machine.eachPlacement(func(p *placement) {
 		if p.durable {
 			c.release(p)
 		}
 	})
 	c.Stats.ScaledIn++
-	c.cloud.machineReturned(m.kind(), c.now)
-	c.ledger.machineReturned(m.host)
-	if m.placementCount == 0 {
-		c.dropMachine(m)
+	c.cloud.machineReturned(machine.kind(), c.now)
+	c.ledger.machineReturned(machine.host)
+	if machine.placementCount == 0 {
+		c.dropMachine(machine)
 		return
 	}
-	m.leaseExpired = true // a commit for it is outstanding; it releases its tasks
-	m.scalingIn = false
-	m.failed = true
+	machine.leaseExpired = true // a commit for it is outstanding; it releases its tasks
+	machine.scalingIn = false
+	machine.failed = true
 }
 
 // ScaleInFailed says that a return was not confirmed; it will be asked again.
--- a/internal/sched/gangclaim.go
+++ b/internal/sched/gangclaim.go
@@ -58,14 +58,14 @@
 		return
 	}
 	claims := &gangClaims{pass: ps, cleared: map[clearedKind]*clearedSlots{}, reserved: map[*job][]int{}}
-	for i, m := range ps.schedulable {
-		if m.reservedFor != nil {
-			claims.reserved[m.reservedFor] = append(claims.reserved[m.reservedFor], i)
+	for i, machine := range ps.schedulable {
+		if machine.reservedFor != nil {
+			claims.reserved[machine.reservedFor] = append(claims.reserved[machine.reservedFor], i)
 		}
 	}
-	for _, j := range gangs[:min(len(gangs), ps.maxGangCandidates())] {
-		if j.mayClaim(ps.core.now) {
-			claims.claim(j)
+	for _, gang := range gangs[:min(len(gangs), ps.maxGangCandidates())] {
+		if gang.mayClaim(ps.core.now) {
+			claims.claim(gang)
 		}
 	}
 }
@@ -80,32 +80,32 @@
 
 // claim lets a gang claim the machines of the zone that has the least room of those in which it
 // could start, if there is one.
-func (cs *gangClaims) claim(j *job) {
-	cleared := cs.clearedFor(j)
-	tasksByZone := j.tasksByZone()
-	missing, in, found := j.pendingCount(), "", false
-	slots := cs.slotsByZone(j, cleared, tasksByZone)
+func (cs *gangClaims) claim(job *job) {
+	cleared := cs.clearedFor(job)
+	tasksByZone := job.tasksByZone()
+	missing, in, found := job.pendingCount(), "", false
+	slots := cs.slotsByZone(job, cleared, tasksByZone)
 	for zone, n := range slots {
 		if n >= missing && (!found || n < slots[in] || (n == slots[in] && zone < in)) {
 			in, found = zone, true
 		}
 	}
 	if !found {
-		j.startableSince = 0
+		job.startableSince = 0
 		return
 	}
-	if j.startableSince == 0 {
-		j.startableSince = cs.pass.core.now
+	if job.startableSince == 0 {
+		job.startableSince = cs.pass.core.now
 	}
 	cs.made++
 	for _, empty := range []bool{true, false} { // those that need no clearing first
-		for i, m := range cs.pass.schedulable {
+		for i, machine := range cs.pass.schedulable {
 			if missing <= 0 {
 				return
 			}
-			if n := cs.claimableSlots(j, cleared, tasksByZone, i); n > 0 && j.gangZone(m) == in && hasRoom(j, m, 1) == empty {
+			if n := cs.claimableSlots(job, cleared, tasksByZone, i); n > 0 && job.gangZone(machine) == in && hasRoom(job, machine, 1) == empty {
 				missing -= n
-				cs.pass.claims[m] = j.rank
+				cs.pass.claims[machine] = job.rank
 			}
 		}
 	}
@@ -145,23 +145,23 @@
 
 // slotsByZone sums up what the gang may claim. Unless its tasks must heed where others of them are,
 // the sum is that of all gangs of the kind, and what is reserved for it.
-func (cs *gangClaims) slotsByZone(j *job, cleared *clearedSlots, tasksByZone map[string]int) map[string]int {
-	if len(tasksByZone) > 0 || j.spec.Spread {
+func (cs *gangClaims) slotsByZone(job *job, cleared *clearedSlots, tasksByZone map[string]int) map[string]int {
+	if len(tasksByZone) > 0 || job.spec.Spread {
 		sum := map[string]int{}
-		for i, m := range cs.pass.schedulable {
-			sum[j.gangZone(m)] += cs.claimableSlots(j, cleared, tasksByZone, i)
+		for i, machine := range cs.pass.schedulable {
+			sum[job.gangZone(machine)] += cs.claimableSlots(job, cleared, tasksByZone, i)
 		}
 		return sum
 	}
-	cs.sumUp(j, cleared)
-	own := cs.reserved[j]
+	cs.sumUp(job, cleared)
+	own := cs.reserved[job]
 	if len(own) == 0 {
 		return cleared.byZone
 	}
 	sum := maps.Clone(cleared.byZone)
 	for _, i := range own {
 		if !cs.claimableByAny(cleared, i) {
-			sum[j.gangZone(cs.pass.schedulable[i])] += cs.claimableSlots(j, cleared, tasksByZone, i)
+			sum[job.gangZone(cs.pass.schedulable[i])] += cs.claimableSlots(job, cleared, tasksByZone, i)
 		}
 	}
 	return sum
--- a/internal/sched/gangoffer.go
+++ b/internal/sched/gangoffer.go
@@ -83,7 +83,7 @@
 }
 
 // apply takes in what preemptions have changed since the last call.
-func (os *gangOffers) apply(changes []offerChange, j *job) {
+func (os *gangOffers) apply(changes []offerChange, job *job) {
 	fresh := changes[os.changes:]
 	for _, change := range fresh {
 		if change.costlier {
@@ -95,7 +95,7 @@
 	for _, change := range fresh {
 		if !change.costlier && !updated[change.machine] {
 			updated[change.machine] = true
-			os.update(change.machine, j)
+			os.update(change.machine, job)
 		}
 	}
 	os.changes = len(changes)
@@ -103,40 +103,40 @@
 
 // offer says how the machine could take tasks of a gang: now, by waiting, or by
 // preempting, whichever costs less.
-func (ps *pass) offer(j *job, m *machine, mayPreempt bool) gangOffer {
-	if slots := slotsFor(j, m.machineType, m.used()); slots > 0 {
+func (ps *pass) offer(job *job, machine *machine, mayPreempt bool) gangOffer {
+	if slots := slotsFor(job, machine.machineType, machine.used()); slots > 0 {
 		return gangOffer{slots: slots, hasRoom: true}
 	}
-	waiting := ps.offerByWaiting(j, m)
+	waiting := ps.offerByWaiting(job, machine)
 	if waiting.slots == 0 || !mayPreempt || waiting.wait <= worthWaiting {
 		return waiting
 	}
-	victims, ok := ps.victims(j, m)
+	victims, ok := ps.victims(job, machine)
 	if !ok {
 		return waiting
 	}
 	cost := Micros(0)
 	for i := range victims {
-		cost += Micros(float64(victims[i].cost) * victims[i].machineShare(m))
+		cost += Micros(float64(victims[i].cost) * victims[i].machineShare(machine))
 	}
 	return gangOffer{slots: 1, victims: victims, cost: cost}
 }
 
 // offerByWaiting waits for the tasks that are expected to end first.
-func (ps *pass) offerByWaiting(j *job, m *machine) (offer gangOffer) {
+func (ps *pass) offerByWaiting(gang *job, machine *machine) (offer gangOffer) {
 	type taskEnd struct {
 		left Micros
 		job  *job
 	}
-	ends := make([]taskEnd, 0, m.placementCount)
-	m.eachPlacement(func(p *placement) {
-		ends = append(ends, taskEnd{ps.expectedRemaining(p), p.job})
+	ends := make([]taskEnd, 0, machine.placementCount)
+	machine.eachPlacement(func(task *placement) {
+		ends = append(ends, taskEnd{ps.expectedRemaining(task), task.job})
 	})
 	slices.SortFunc(ends, func(a, b taskEnd) int { return cmp.Compare(a.left, b.left) })
-	used := m.used()
+	used := machine.used()
 	for _, end := range ends {
 		used.subtract(end.job.taskResources())
-		if offer.slots = slotsFor(j, m.machineType, used); offer.slots > 0 {
+		if offer.slots = slotsFor(gang, machine.machineType, used); offer.slots > 0 {
 			offer.wait = end.left
 			break
 		}
--- a/internal/sched/gangplacement.go
+++ b/internal/sched/gangplacement.go
@@ -51,39 +51,39 @@
 }
 
 // placeGangIn places the missing tasks in a zone, or anywhere if it is empty.
-func (ps *pass) placeGangIn(j *job, zone string) bool {
-	before := j.gangAttempt
+func (ps *pass) placeGangIn(job *job, zone string) bool {
+	before := job.gangAttempt
 	if before == 0 {
-		j.gangAttempt = ps.core.sequence.nextAttempt()
+		job.gangAttempt = ps.core.sequence.nextAttempt()
 	}
-	attempt := ps.placeMissing(j, zone)
+	attempt := ps.placeMissing(job, zone)
 	if ps.reserveBatch(attempt) {
-		for _, m := range attempt.machines {
-			ps.batch.add(attempt.placed[m]...)
+		for _, machine := range attempt.machines {
+			ps.batch.add(attempt.placed[machine]...)
 		}
 		return true
 	}
-	for _, m := range attempt.machines {
-		for _, p := range attempt.placed[m] {
-			ps.core.release(p)
+	for _, machine := range attempt.machines {
+		for _, placement := range attempt.placed[machine] {
+			ps.core.release(placement)
 		}
 	}
-	j.gangAttempt = before
+	job.gangAttempt = before
 	return false
 }
 
 // placeMissing places the gang's missing tasks, as many as there is room for.
-func (ps *pass) placeMissing(j *job, zone string) *gangAttempt {
-	attempt := &gangAttempt{job: j, placed: map[*machine][]*placement{}}
-	tasksByZone := j.tasksByZone()
-	machines := ps.candidates(j, tasksByZone, zone)
+func (ps *pass) placeMissing(gang *job, zone string) *gangAttempt {
+	attempt := &gangAttempt{job: gang, placed: map[*machine][]*placement{}}
+	tasksByZone := gang.tasksByZone()
+	machines := ps.candidates(gang, tasksByZone, zone)
 	var current *machine
-	for task := int32(0); task < int32(j.spec.Tasks); task++ {
-		if j.placementsByTask[task] > 0 {
+	for task := int32(0); task < int32(gang.spec.Tasks); task++ {
+		if gang.placementsByTask[task] > 0 {
 			continue
 		}
-		if current == nil || !ps.canTakeTask(j, current, tasksByZone) {
-			current = ps.popBest(&machines, j, tasksByZone)
+		if current == nil || !ps.canTakeTask(gang, current, tasksByZone) {
+			current = ps.popBest(&machines, gang, tasksByZone)
 			if current == nil {
 				break
 			}
@@ -91,7 +91,7 @@
 			attempt.hostBytes += ps.batch.cost(current)
 		}
 		attempt.tasks++
-		attempt.placed[current] = append(attempt.placed[current], ps.core.addPlacement(j, task, current, j.gangAttempt))
+		attempt.placed[current] = append(attempt.placed[current], ps.core.addPlacement(gang, task, current, gang.gangAttempt))
 		tasksByZone[current.zone]++
 	}
 	attempt.outOfPlaces = current == nil
@@ -138,10 +138,10 @@
 // zone rule gets the empty one. The zone that has least room comes first, so that
 // small gangs don't cut up the room that large ones need; where the tasks would
 // rather not be (their image is missing) counts as room that is left.
-func (ps *pass) gangZones(j *job, missing int) []string {
-	tasksByZone := j.tasksByZone()
+func (ps *pass) gangZones(job *job, missing int) []string {
+	tasksByZone := job.tasksByZone()
 	var fitting []*zoneRoom
-	for _, room := range ps.roomByZone(j, tasksByZone) {
+	for _, room := range ps.roomByZone(job, tasksByZone) {
 		if room.slots >= missing {
 			fitting = append(fitting, room)
 		}
@@ -149,9 +149,9 @@
 	slices.SortFunc(fitting, func(a, b *zoneRoom) int {
 		return cmp.Or(cmp.Compare(a.leftover(), b.leftover()), cmp.Compare(a.zone, b.zone))
 	})
-	if j.spec.Tasks == 1 && len(fitting) > 1 { // a lone task goes where it starts first
-		if m := ps.findMachine(j, tasksByZone); m != nil {
-			return []string{m.zone}
+	if job.spec.Tasks == 1 && len(fitting) > 1 { // a lone task goes where it starts first
+		if machine := ps.findMachine(job, tasksByZone); machine != nil {
+			return []string{machine.zone}
 		}
 	}
 	zones := make([]string, len(fitting))
@@ -163,24 +163,24 @@
 
 // roomByZone sums up the room for a gang's tasks, in all under the empty name if it has no zone
 // rule.
-func (ps *pass) roomByZone(j *job, tasksByZone map[string]int) map[string]*zoneRoom {
+func (ps *pass) roomByZone(job *job, tasksByZone map[string]int) map[string]*zoneRoom {
 	rooms := map[string]*zoneRoom{}
 	spread := map[string]int{} // what counts of a zone, for tasks that are to be spread
-	for _, m := range ps.withRoom {
-		slots := ps.slotsOn(j, m, tasksByZone)
-		if j.spec.Spread {
-			slots = max(0, min(slots, j.zoneLimit()-tasksByZone[m.zone]-spread[m.zone]))
-			spread[m.zone] += slots
+	for _, machine := range ps.withRoom {
+		slots := ps.slotsOn(job, machine, tasksByZone)
+		if job.spec.Spread {
+			slots = max(0, min(slots, job.zoneLimit()-tasksByZone[machine.zone]-spread[machine.zone]))
+			spread[machine.zone] += slots
 		}
 		if slots == 0 {
 			continue
 		}
-		zone := j.gangZone(m)
+		zone := job.gangZone(machine)
 		if rooms[zone] == nil {
 			rooms[zone] = &zoneRoom{zone: zone}
 		}
 		rooms[zone].slots += slots
-		rooms[zone].preferred += float64(slots) / (1 + ps.placementScore(j, m))
+		rooms[zone].preferred += float64(slots) / (1 + ps.placementScore(job, machine))
 	}
 	return rooms
 }
--- a/internal/sched/gangplan.go
+++ b/internal/sched/gangplan.go
@@ -56,21 +56,21 @@
 	}
 	ps.sortForPlan(gangs)
 	plan := &gangPlan{pass: ps, waited: map[string]bool{}, reserved: map[*job][]int{}, offers: map[offerKind]*gangOffers{}}
-	for i, m := range ps.schedulable {
-		if m.reservedFor != nil && m.reservationStart > 0 {
-			plan.reserved[m.reservedFor] = append(plan.reserved[m.reservedFor], i)
+	for i, machine := range ps.schedulable {
+		if machine.reservedFor != nil && machine.reservationStart > 0 {
+			plan.reserved[machine.reservedFor] = append(plan.reserved[machine.reservedFor], i)
 		}
 	}
-	for _, j := range gangs[:min(len(gangs), ps.maxGangCandidates())] {
-		plan.makeRoom(j)
+	for _, gang := range gangs[:min(len(gangs), ps.maxGangCandidates())] {
+		plan.makeRoom(gang)
 	}
 }
 
 // sortForPlan puts the gangs into the order in which machines are reserved for them.
 func (ps *pass) sortForPlan(gangs []*job) {
 	late := make(map[*job]bool, len(gangs))
-	for _, j := range gangs {
-		_, late[j] = j.latestStart(ps.core.now, 0)
+	for _, gang := range gangs {
+		_, late[gang] = gang.latestStart(ps.core.now, 0)
 	}
 	slices.SortStableFunc(gangs, func(a, b *job) int {
 		return cmp.Or(
@@ -96,13 +96,13 @@
 // those where the paper's rule finds victims. Without that a large gang waits for ever for
 // machines that small tasks keep filling. Two gangs never hold part of what the other needs:
 // what is reserved for one isn't looked at for the next.
-func (gp *gangPlan) makeRoom(j *job) {
-	for _, i := range gp.reserved[j] {
-		if m := gp.pass.schedulable[i]; m.reservedFor == j && m.reservationStart > 0 {
-			m.reservedFor = nil // chosen anew
+func (gp *gangPlan) makeRoom(job *job) {
+	for _, i := range gp.reserved[job] {
+		if machine := gp.pass.schedulable[i]; machine.reservedFor == job && machine.reservationStart > 0 {
+			machine.reservedFor = nil // chosen anew
 		}
 	}
-	best := gp.cheapestZone(j)
+	best := gp.cheapestZone(job)
 	if best == nil {
 		return
 	}
@@ -114,7 +114,7 @@
 		return
 	}
 	for i := range best.options {
-		gp.reserve(j, &best.options[i], best.start)
+		gp.reserve(job, &best.options[i], best.start)
 	}
 }
 
@@ -176,8 +176,8 @@
 
 // planIn takes the first options of a zone until all missing tasks have a place. Small gangs go where
 // few machines are left for them, and leave the zones with many to large ones.
-func (gp *gangPlan) planIn(zone string, j *job, missing int, tasksByZone map[string]int, offers *gangOffers) *zonePlan {
-	options, quickSlots := gp.optionsIn(zone, j, missing, tasksByZone, offers)
+func (gp *gangPlan) planIn(zone string, job *job, missing int, tasksByZone map[string]int, offers *gangOffers) *zonePlan {
+	options, quickSlots := gp.optionsIn(zone, job, missing, tasksByZone, offers)
 	plan := &zonePlan{zone: zone}
 	taken := 0
 	for ; taken < len(options) && plan.slots < missing; taken++ {
@@ -202,10 +202,10 @@
 // how many slots all options there have that are not worth preempting for. Where an option's victims have
 // become costlier since it was looked at, it is looked at again only if it would be among the first:
 // most would not.
-func (gp *gangPlan) optionsIn(zone string, j *job, missing int, tasksByZone map[string]int, offers *gangOffers) (first []startOption, quickSlots int) {
+func (gp *gangPlan) optionsIn(zone string, job *job, missing int, tasksByZone map[string]int, offers *gangOffers) (first []startOption, quickSlots int) {
 	var all []startOption
 	for _, i := range offers.zones[zone] {
-		if option, ok := gp.optionOn(i, j, tasksByZone, offers); ok {
+		if option, ok := gp.optionOn(i, job, tasksByZone, offers); ok {
 			all = append(all, option)
 		}
 	}
@@ -218,7 +218,7 @@
 		stale := false
 		for _, option := range best.options {
 			if option.stale {
-				offers.update(option.index, j)
+				offers.update(option.index, job)
 				stale = true
 			}
 		}
@@ -238,23 +238,23 @@
 
 // optionOn is how a machine can come to have room for tasks of the gang. Its cost is yet without that
 // of the offer.
-func (gp *gangPlan) optionOn(machine int, j *job, tasksByZone map[string]int, offers *gangOffers) (startOption, bool) {
+func (gp *gangPlan) optionOn(index int, job *job, tasksByZone map[string]int, offers *gangOffers) (startOption, bool) {
 	ps := gp.pass
-	m, offer := ps.schedulable[machine], &offers.byMachine[machine]
-	if offer.slots == 0 || !satisfiesZones(j, tasksByZone, m.zone) {
+	m, offer := ps.schedulable[index], &offers.byMachine[index]
+	if offer.slots == 0 || !satisfiesZones(job, tasksByZone, m.zone) {
 		return startOption{}, false
 	}
-	if holder := m.reservedFor; holder != nil && holder != j && ps.core.now < m.reservedUntil && holder.rank >= j.rank && !ps.isReservedForWait(m) {
+	if holder := m.reservedFor; holder != nil && holder != job && ps.core.now < m.reservedUntil && holder.rank >= job.rank && !ps.isReservedForWait(m) {
 		return startOption{}, false
 	}
-	if offer.hasRoom && j.spec.GPUs == 0 && m.machineType.GPUs > 0 && !ps.mayUseGPUMachine(j, m) {
+	if offer.hasRoom && job.spec.GPUs == 0 && m.machineType.GPUs > 0 && !ps.mayUseGPUMachine(job, m) {
 		return startOption{}, false
 	}
-	cost := Micros(ps.placementScore(j, m) * float64(second))
-	if m.reservedFor == j && m.reservationStart == 0 {
+	cost := Micros(ps.placementScore(job, m) * float64(second))
+	if m.reservedFor == job && m.reservationStart == 0 {
 		cost = 0 // cleared for it
 	}
-	return startOption{offer, m, machine, cost}, true
+	return startOption{offer, m, index, cost}, true
 }
 
 // recordPreemption notes what the preemption that is about to happen does to machines. A job that
@@ -287,19 +287,19 @@
 // offersFor is what the machines offer to the gang as things stand in the plan. How far other teams
 // go beyond their guarantees changes with each preemption, so what is offered to a gang that
 // reclaims its team's guarantee is found out anew then.
-func (gp *gangPlan) offersFor(j *job) *gangOffers {
-	kind := offerKind{gangShape: j.gangShape(), mayPreempt: gp.pass.mayPreempt(j), oneZone: j.spec.OneZone}
-	if kind.mayPreempt && j.reclaimsGuarantee() {
-		kind.reclaims, kind.team = true, j.team
+func (gp *gangPlan) offersFor(job *job) *gangOffers {
+	kind := offerKind{gangShape: job.gangShape(), mayPreempt: gp.pass.mayPreempt(job), oneZone: job.spec.OneZone}
+	if kind.mayPreempt && job.reclaimsGuarantee() {
+		kind.reclaims, kind.team = true, job.team
 	}
 	offers := gp.offers[kind]
 	if offers == nil || kind.reclaims && offers.changes < len(gp.changes) {
 		offers = gp.pass.newGangOffers(kind, len(gp.changes))
 		for i := range gp.pass.schedulable {
-			offers.update(i, j)
+			offers.update(i, job)
 		}
 		gp.offers[kind] = offers
 	}
-	offers.apply(gp.changes, j)
+	offers.apply(gp.changes, job)
 	return offers
 }
--- a/internal/sched/gpus.go
+++ b/internal/sched/gpus.go
@@ -18,21 +18,21 @@
 // spot machines.
 func (ps *pass) summarizeGPUs(queue []*job) {
 	summary := gpuSummary{rank: -1}
-	for _, cl := range ps.core.classes.sorted() {
-		if cl.sampleJob != nil && cl.sampleJob.spec.GPUs > 0 {
-			summary.addClass(cl, ps.core.now)
+	for _, class := range ps.core.classes.sorted() {
+		if class.sampleJob != nil && class.sampleJob.spec.GPUs > 0 {
+			summary.addClass(class, ps.core.now)
 		}
 	}
-	for _, j := range queue {
-		if !j.spec.Spot {
-			for name, t := range ps.core.machineTypes {
-				ps.onDemandTypes[name] = ps.onDemandTypes[name] || fitsType(&j.spec, t)
+	for _, job := range queue {
+		if !job.spec.Spot {
+			for name, machineType := range ps.core.machineTypes {
+				ps.onDemandTypes[name] = ps.onDemandTypes[name] || fitsType(&job.spec, machineType)
 			}
 		}
-		summary.waiting += float64(j.pendingCount()) * j.spec.GPUs
+		summary.waiting += float64(job.pendingCount()) * job.spec.GPUs
 	}
-	for _, m := range ps.schedulable {
-		summary.free += max(0, m.machineType.GPUs-m.usedGPUs)
+	for _, machine := range ps.schedulable {
+		summary.free += max(0, machine.machineType.GPUs-machine.usedGPUs)
 	}
 	ps.gpus = summary
 }
--- a/internal/sched/pass.go
+++ b/internal/sched/pass.go
@@ -97,21 +97,21 @@
 // gangs of the higher ones are about to start.
 func (ps *pass) placeAll(queue []*job) (gangs []*job) {
 	rank, reserved := numRanks, 0
-	for _, j := range queue {
-		if ps.core.now < j.backoffUntil {
+	for _, job := range queue {
+		if ps.core.now < job.backoffUntil {
 			continue
 		}
-		if j.rank < rank {
-			rank = j.rank
+		if job.rank < rank {
+			rank = job.rank
 			ps.reserveBelow(gangs[reserved:])
 			reserved = len(gangs)
 		}
-		if !j.isGang() {
-			ps.placeTasks(j)
-		} else if !ps.placeGang(j) && !j.isSuspect() {
-			gangs = append(gangs, j)
+		if !job.isGang() {
+			ps.placeTasks(job)
+		} else if !ps.placeGang(job) && !job.isSuspect() {
+			gangs = append(gangs, job)
 		}
-		if ps.blocksQueue(j) {
+		if ps.blocksQueue(job) {
 			break
 		}
 	}
--- a/internal/sched/placetasks.go
+++ b/internal/sched/placetasks.go
@@ -33,26 +33,26 @@
 
 // reservedAgainst says whether the machine is reserved for another job. A task that is
 // expected to be gone before that job can use it may run in the meantime.
-func (ps *pass) reservedAgainst(j *job, m *machine) bool {
-	now, holder := ps.core.now, m.reservedFor
-	if holder == nil || holder == j || now >= m.reservedUntil || holder.rank < j.rank || holder.isOver() {
+func (ps *pass) reservedAgainst(job *job, machine *machine) bool {
+	now, holder := ps.core.now, machine.reservedFor
+	if holder == nil || holder == job || now >= machine.reservedUntil || holder.rank < job.rank || holder.isOver() {
 		return false
 	}
-	if holder.rank == j.rank && holder.withinGuarantee == j.withinGuarantee && j.underserved() && !holder.underserved() {
+	if holder.rank == job.rank && holder.withinGuarantee == job.withinGuarantee && job.underserved() && !holder.underserved() {
 		return false
 	}
-	starved := ps.core.starved(j)
-	if (m.reservationStart > now+worthWaiting || starved) && holder.rank > j.rank {
+	starved := ps.core.starved(job)
+	if (machine.reservationStart > now+worthWaiting || starved) && holder.rank > job.rank {
 		return false // it is preempted when the gang's other machines are there
 	}
-	if starved && m.placementCount == 0 && now-m.idleSince > starvationAfter {
+	if starved && machine.placementCount == 0 && now-machine.idleSince > starvationAfter {
 		return false // reserved in vain for so long: that gang may wait for what can't be had
 	}
-	if m.reservationStart == 0 || j.spec.EstimateS == 0 {
+	if machine.reservationStart == 0 || job.spec.EstimateS == 0 {
 		return true
 	}
-	fetch := Micros(m.imageFetchS(j, now) * float64(second))
-	return now+j.expectedRunTime()*3/2+fetch > m.reservationStart
+	fetch := Micros(machine.imageFetchS(job, now) * float64(second))
+	return now+job.expectedRunTime()*3/2+fetch > machine.reservationStart
 }
 
 // candidate is a machine that may take tasks of a job.
@@ -115,24 +115,24 @@
 // placeTasks places tasks of a job that is no gang, and preempts for it if there is no room. It
 // fills machine after machine: the best one for a task is also the best for the job's next one,
 // since it only gets fuller.
-func (ps *pass) placeTasks(j *job) {
-	limit := ps.core.concurrencyLimit(j)
-	if !j.mayPlaceMore(limit) {
+func (ps *pass) placeTasks(job *job) {
+	limit := ps.core.concurrencyLimit(job)
+	if !job.mayPlaceMore(limit) {
 		return
 	}
-	tasksByZone := j.tasksByZone()
-	machines := ps.candidates(j, tasksByZone, "")
+	tasksByZone := job.tasksByZone()
+	machines := ps.candidates(job, tasksByZone, "")
 	attempt := uint64(0)
-	for j.mayPlaceMore(limit) {
-		m := ps.popBest(&machines, j, tasksByZone)
-		if m == nil {
-			ps.preemptFor(j)
+	for job.mayPlaceMore(limit) {
+		machine := ps.popBest(&machines, job, tasksByZone)
+		if machine == nil {
+			ps.preemptFor(job)
 			return
 		}
 		if attempt == 0 {
 			attempt = ps.core.sequence.nextAttempt()
 		}
-		placed := ps.fillMachine(j, m, attempt, limit, tasksByZone)
+		placed := ps.fillMachine(job, machine, attempt, limit, tasksByZone)
 		if len(placed) == 0 {
 			return // the batch is full
 		}
--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -62,21 +62,21 @@
 // preemptFor preempts for the job's next task, if it has waited long enough and may preempt
 // at all: victims from the one machine with the least total cost. Each search goes over all
 // machines; jobs that don't get one have it in a later pass.
-func (ps *pass) preemptFor(j *job) {
-	if !ps.mayPreempt(j) || ps.preemptionSearches > ps.maxPreemptionSearches() {
+func (ps *pass) preemptFor(job *job) {
+	if !ps.mayPreempt(job) || ps.preemptionSearches > ps.maxPreemptionSearches() {
 		return
 	}
 	ps.preemptionSearches++
-	if !ps.mayClearMore(j) {
+	if !ps.mayClearMore(job) {
 		return
 	}
-	m := ps.cheapestToClear(j)
-	if m == nil {
-		j.preemptionBackoffUntil = ps.core.now + preemptionBackoff
+	machine := ps.cheapestToClear(job)
+	if machine == nil {
+		job.preemptionBackoffUntil = ps.core.now + preemptionBackoff
 		return
 	}
-	victims, _ := ps.victims(j, m)
-	ps.preempt(j, m, victims)
+	victims, _ := ps.victims(job, machine)
+	ps.preempt(job, machine, victims)
 }
 
 // mayClearMore says whether another machine may be cleared for the job: a quarter of the machines
@@ -95,53 +95,53 @@
 
 // cheapestToClear returns the machine on which room for a task of the job costs least, nil for
 // none.
-func (ps *pass) cheapestToClear(j *job) (best *machine) {
+func (ps *pass) cheapestToClear(job *job) (best *machine) {
 	var bestCost Micros
-	tasksByZone, reclaims := j.tasksByZone(), j.reclaimsGuarantee()
-	for _, m := range ps.schedulable {
-		if !allowed(j, m) || m.reservedFor != nil || !satisfiesZones(j, tasksByZone, m.zone) || !fitsEmpty(j, m) {
+	tasksByZone, reclaims := job.tasksByZone(), job.reclaimsGuarantee()
+	for _, machine := range ps.schedulable {
+		if !allowed(job, machine) || machine.reservedFor != nil || !satisfiesZones(job, tasksByZone, machine.zone) || !fitsEmpty(job, machine) {
 			continue
 		}
-		if !reclaims && slotsFor(j, m.machineType, m.usedFrom(j.rank)) == 0 {
+		if !reclaims && slotsFor(job, machine.machineType, machine.usedFrom(job.rank)) == 0 {
 			continue // not with all of lower rank gone
 		}
-		cost, ok := ps.preemptionCost(j, m)
+		cost, ok := ps.preemptionCost(job, machine)
 		if !ok {
 			continue
 		}
-		cost += Micros(ps.placementScore(j, m) * float64(second))
-		if best == nil || cost < bestCost || (cost == bestCost && m.host < best.host) {
-			best, bestCost = m, cost
+		cost += Micros(ps.placementScore(job, machine) * float64(second))
+		if best == nil || cost < bestCost || (cost == bestCost && machine.host < best.host) {
+			best, bestCost = machine, cost
 		}
 	}
 	return best
 }
 
 // preempt carries out a choice of victims and reserves the machine for the job.
-func (ps *pass) preempt(j *job, m *machine, victims []victim) {
+func (ps *pass) preempt(job *job, machine *machine, victims []victim) {
 	c := ps.core
 	queue := Micros(0)
 	for i := range victims {
-		v := &victims[i]
-		preempted := v.tasks[0].job
-		if v.tasks[0].stopping {
+		victim := &victims[i]
+		preempted := victim.tasks[0].job
+		if victim.tasks[0].stopping {
 			continue // it goes already, for another machine of the same choice
 		}
-		c.Stats.Preemptions += len(v.tasks)
-		if v.checkpoint {
+		c.Stats.Preemptions += len(victim.tasks)
+		if victim.checkpoint {
 			c.Stats.Checkpoints++
 		} else {
 			c.Stats.Kills++
 		}
-		queue += v.queueTime(preempted)
+		queue += victim.queueTime(preempted)
 		preempted.preemptions++
-		c.log("evict", "for", j.id, "job", preempted.id, "tasks", len(v.tasks), "host", m.host,
-			"checkpoint", v.checkpoint, "progress_us", v.progress, "overhead_us", v.overhead)
-		for _, p := range v.tasks {
-			p.preempted = true
-			c.stopPlacement(p, v.checkpoint)
+		c.log("evict", "for", job.id, "job", preempted.id, "tasks", len(victim.tasks), "host", machine.host,
+			"checkpoint", victim.checkpoint, "progress_us", victim.progress, "overhead_us", victim.overhead)
+		for _, placement := range victim.tasks {
+			placement.preempted = true
+			c.stopPlacement(placement, victim.checkpoint)
 		}
 	}
-	m.reservedFor, m.reservationStart = j, 0
-	m.reservedUntil = c.now + queue + clearedReservation
+	machine.reservedFor, machine.reservationStart = job, 0
+	machine.reservedUntil = c.now + queue + clearedReservation
 }
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -30,8 +30,8 @@
 	c.updateFairness()
 	c.rotateForCapacity(waiting)
 	positions := make([]queuePosition, len(waiting))
-	for i, j := range waiting {
-		positions[i] = c.queuePositionOf(j)
+	for i, job := range waiting {
+		positions[i] = c.queuePositionOf(job)
 	}
 	slices.SortFunc(positions, func(a, b queuePosition) int {
 		if c.firstComeFirstServed {
@@ -119,22 +119,22 @@
 
 // classCapacity is how many CPUs the jobs of a class have between them: those of the
 // machines that they may use, without what higher ranks take there.
-func (c *Core) classCapacity(j *job) float64 {
-	cl := j.class
-	if !c.capacityStale(cl) {
-		return cl.capacity
+func (c *Core) classCapacity(job *job) float64 {
+	class := job.class
+	if !c.capacityStale(class) {
+		return class.capacity
 	}
-	cl.capacity, cl.capacityAt = 0, c.now
-	for _, m := range c.lastPass.schedulable {
-		if !allowed(j, m) || slotsOnEmpty(j, m.machineType) == 0 || (m.machineType.GPUs > 0 && j.spec.GPUs == 0) {
+	class.capacity, class.capacityAt = 0, c.now
+	for _, machine := range c.lastPass.schedulable {
+		if !allowed(job, machine) || slotsOnEmpty(job, machine.machineType) == 0 || (machine.machineType.GPUs > 0 && job.spec.GPUs == 0) {
 			continue
 		}
-		cl.capacity += m.machineType.CPUs
-		for _, used := range m.usedByRank[j.rank+1:] {
-			cl.capacity -= used.cpus
+		class.capacity += machine.machineType.CPUs
+		for _, used := range machine.usedByRank[job.rank+1:] {
+			class.capacity -= used.cpus
 		}
 	}
-	return cl.capacity
+	return class.capacity
 }
 
 // markWithinGuarantee marks the jobs that fit their teams' guarantees together with the
--- a/internal/sched/scalein.go
+++ b/internal/sched/scalein.go
@@ -89,26 +89,26 @@
 }
 
 // returnReason says why a machine is to be given back, empty if it is kept.
-func (c *Core) returnReason(m *machine, blind bool, costs *silenceCosts) string {
-	silence := c.now - max(m.lastHeartbeat, c.termStart)
+func (c *Core) returnReason(machine *machine, blind bool, costs *silenceCosts) string {
+	silence := c.now - max(machine.lastHeartbeat, c.termStart)
 	switch {
-	case m.failed:
+	case machine.failed:
 		return "failed"
 	case blind:
 		return ""
-	case c.isUnlisted(m, silence):
+	case c.isUnlisted(machine, silence):
 		return "no longer listed"
-	case m.leaseExpired:
-		return c.replaceReason(m, "silent beyond its lease: ", costs)
-	case m.registered && !m.confirmed && silence > c.lease+unconfirmedSilence:
+	case machine.leaseExpired:
+		return c.replaceReason(machine, "silent beyond its lease: ", costs)
+	case machine.registered && !machine.confirmed && silence > c.lease+unconfirmedSilence:
 		// Never confirmed this term: time proves nothing about its lease.
-		return c.replaceReason(m, "silent since the term began: ", costs)
-	case c.isBootGivenUp(m, silence) || c.unlikelyToBoot(m, costs.boots):
-		c.recordBootOutcome(m, false)
+		return c.replaceReason(machine, "silent since the term began: ", costs)
+	case c.isBootGivenUp(machine, silence) || c.unlikelyToBoot(machine, costs.boots):
+		c.recordBootOutcome(machine, false)
 		return "never came up"
-	case m.quarantined && m.placementCount == 0:
+	case machine.quarantined && machine.placementCount == 0:
 		return "tasks fail on it"
-	case m.registered && m.placementCount == 0 && m.reclaimAt > 0 && m.confirmed:
+	case machine.registered && machine.placementCount == 0 && machine.reclaimAt > 0 && machine.confirmed:
 		return "empty and about to be taken"
 	}
 	return ""
@@ -149,17 +149,17 @@
 	idle := r.findIdle()
 	byPrice := slices.Clone(r.machines)
 	slices.SortStableFunc(byPrice, func(a, b *machine) int { return cmp.Compare(b.hourlyPrice(), a.hourlyPrice()) })
-	for _, m := range byPrice {
-		if !r.core.isIdleLong(m, idle) || takeDemand(m, idle.wanted) {
+	for _, idleMachine := range byPrice {
+		if !r.core.isIdleLong(idleMachine, idle) || takeDemand(idleMachine, idle.wanted) {
 			continue
 		}
-		cpus := r.core.serves(m.machineType, m.zone, m.spot)
+		cpus := r.core.serves(idleMachine.machineType, idleMachine.zone, idleMachine.spot)
 		if cpus > 0 && idle.surplus < cpus {
 			continue
 		}
 		idle.surplus -= cpus
-		idle.idle[m.machineType]--
-		r.giveBack(m, "idle")
+		idle.idle[idleMachine.machineType]--
+		r.giveBack(idleMachine, "idle")
 	}
 }
 
@@ -167,22 +167,22 @@
 func (r *scaleInRound) findIdle() *idleMachines {
 	c := r.core
 	idle := &idleMachines{wanted: c.expectedDemand(), surplus: -c.standbyDemand(), idle: map[*wire.MachineType]int{}, expected: map[*wire.MachineType]int{}}
-	for _, j := range c.jobs.sorted(func(j *job) bool { return j.isGang() && j.pendingCount() > 0 && c.mayScaleOutFor(j) }) {
-		idle.wanted = append(idle.wanted, demand{j, j.pendingCount()})
+	for _, gang := range c.jobs.sorted(func(gang *job) bool { return gang.isGang() && gang.pendingCount() > 0 && c.mayScaleOutFor(gang) }) {
+		idle.wanted = append(idle.wanted, demand{gang, gang.pendingCount()})
 	}
-	for _, m := range r.machines {
-		if m.scalingIn || !m.confirmed {
+	for _, machine := range r.machines {
+		if machine.scalingIn || !machine.confirmed {
 			continue
 		}
-		if m.cordon == nil {
-			idle.surplus += c.serves(m.machineType, m.zone, m.spot)
+		if machine.cordon == nil {
+			idle.surplus += c.serves(machine.machineType, machine.zone, machine.spot)
 		}
-		if m.placementCount == 0 {
-			idle.idle[m.machineType]++
+		if machine.placementCount == 0 {
+			idle.idle[machine.machineType]++
 		}
 	}
-	for t := range idle.idle {
-		idle.expected[t] = c.expectedMachines(t)
+	for machineType := range idle.idle {
+		idle.expected[machineType] = c.expectedMachines(machineType)
 	}
 	return idle
 }
--- a/internal/sched/scaleout.go
+++ b/internal/sched/scaleout.go
@@ -116,14 +116,14 @@
 	for _, name := range slices.Sorted(maps.Keys(c.machineTypes)) {
 		r.types = append(r.types, c.machineTypes[name])
 	}
-	for _, m := range c.machines.all() {
-		r.inZone[m.zone]++
-		if m.failed || m.scalingIn {
+	for _, machine := range c.machines.all() {
+		r.inZone[machine.zone]++
+		if machine.failed || machine.scalingIn {
 			continue
 		}
 		r.known++
-		if m.reclaimAt == 0 && !m.quarantined && m.cordon == nil && !c.isBootOverdue(m) {
-			r.machines = append(r.machines, c.plan(m))
+		if machine.reclaimAt == 0 && !machine.quarantined && machine.cordon == nil && !c.isBootOverdue(machine) {
+			r.machines = append(r.machines, c.plan(machine))
 		}
 	}
 	return r
@@ -163,19 +163,19 @@
 	if short <= 0 {
 		return wanted
 	}
-	for _, m := range r.machines {
-		short -= r.core.serves(m.machineType, m.zone, m.spot)
+	for _, machine := range r.machines {
+		short -= r.core.serves(machine.machineType, machine.zone, machine.spot)
 	}
-	j := r.core.heaviestJob()
-	if j == nil || short < j.spec.CPUs {
+	job := r.core.heaviestJob()
+	if job == nil || short < job.spec.CPUs {
 		return wanted
 	}
 	slots := 0
 	for _, d := range wanted {
 		slots += d.slots
 	}
-	if standby := int(short / j.spec.CPUs); standby > slots {
-		wanted = append(wanted, demand{j, standby - slots})
+	if standby := int(short / job.spec.CPUs); standby > slots {
+		wanted = append(wanted, demand{job, standby - slots})
 	}
 	return wanted
 }
@@ -274,14 +274,14 @@
 		search.zone = r.bestZone(search)
 	}
 	filled := 0
-	for _, m := range r.machines {
+	for _, machine := range r.machines {
 		if search.left == 0 {
 			break
 		}
-		if !search.blocksGPUs(m) {
-			search.fill(m)
+		if !search.blocksGPUs(machine) {
+			search.fill(machine)
 		}
-		if r.isFull(m) {
+		if r.isFull(machine) {
 			filled++
 		}
 	}
@@ -297,16 +297,16 @@
 // bestZone is the zone that has most room for a gang, now or soon: it gets what is still missing, as
 // machines spread over zones don't help the gang.
 func (r *scaleOutRound) bestZone(search *roomSearch) (best string) {
-	j, room := search.job, map[string]int{}
-	for _, m := range r.machines {
-		if !m.unreachable && (!m.spot || j.spec.Spot) && fitsType(&j.spec, m.machineType) && !search.blocksGPUs(m) {
-			room[m.zone] += min(search.left, slotsFor(j, m.machineType, m.used))
+	job, room := search.job, map[string]int{}
+	for _, machine := range r.machines {
+		if !machine.unreachable && (!machine.spot || job.spec.Spot) && fitsType(&job.spec, machine.machineType) && !search.blocksGPUs(machine) {
+			room[machine.zone] += min(search.left, slotsFor(job, machine.machineType, machine.used))
 		}
 	}
 	mostRoom := -1
-	for _, zone := range r.candidateZones(j) {
+	for _, zone := range r.candidateZones(job) {
 		slots := room[zone]
-		if slots < search.left && !r.canRent(j, zone) {
+		if slots < search.left && !r.canRent(job, zone) {
 			slots -= zoneWithoutMachines
 		}
 		if best == "" || slots > mostRoom {
@@ -341,16 +341,16 @@
 // rent asks for machines until all tasks have room.
 func (r *scaleOutRound) rent(search *roomSearch) {
 	for search.left > 0 && r.known < *r.core.settings.Operator.MaxMachines && r.rented < maxRentalsPerRound {
-		t, kind, ok := r.chooseKind(search)
+		machineType, kind, ok := r.chooseKind(search)
 		if !ok {
 			return
 		}
-		m := &plannedMachine{machineType: t, zone: kind.zone, spot: kind.spot, toBeRented: true}
-		r.machines = append(r.machines, m)
+		machine := &plannedMachine{machineType: machineType, zone: kind.zone, spot: kind.spot, toBeRented: true}
+		r.machines = append(r.machines, machine)
 		r.rented++
 		r.known++
 		before := search.left
-		search.fill(m)
+		search.fill(machine)
 		if search.left == before {
 			return
 		}
@@ -398,21 +398,21 @@
 // chooseKind picks the kind of machine with the least price for a task of the job among those not
 // lately refused.
 func (r *scaleOutRound) chooseKind(search *roomSearch) (best *wire.MachineType, kind machineKind, ok bool) {
-	j := search.job
+	job := search.job
 	bestPrice := math.Inf(1)
-	cheapest := r.cheapestPerTask(j)
-	for _, t := range r.types {
-		slots := slotsOnEmpty(j, t)
-		if !fitsType(&j.spec, t) || min(search.left, slots) == 0 {
+	cheapest := r.cheapestPerTask(job)
+	for _, machineType := range r.types {
+		slots := slotsOnEmpty(job, machineType)
+		if !fitsType(&job.spec, machineType) || min(search.left, slots) == 0 {
 			continue
 		}
-		if len(j.class.waitObjectives) == 0 && t.Price/float64(slots) > acceptablePriceRatio*cheapest {
+		if len(job.class.waitObjectives) == 0 && machineType.Price/float64(slots) > acceptablePriceRatio*cheapest {
 			continue
 		}
-		for _, candidate := range r.kindsOf(t, search) {
-			price := hourlyRate(t, candidate.spot) / float64(min(search.left, slots)) * (1 + crowding*float64(r.inZone[candidate.zone]))
+		for _, candidate := range r.kindsOf(machineType, search) {
+			price := hourlyRate(machineType, candidate.spot) / float64(min(search.left, slots)) * (1 + crowding*float64(r.inZone[candidate.zone]))
 			if price < bestPrice {
-				best, kind, bestPrice = t, candidate, price
+				best, kind, bestPrice = machineType, candidate, price
 			}
 		}
 	}
@@ -432,18 +432,18 @@
 
 // kindsOf lists the kinds of a type that may be rented for the job, spot machines first. What is
 // rented in a zone that is cut off can't be reached.
-func (r *scaleOutRound) kindsOf(t *wire.MachineType, search *roomSearch) (kinds []machineKind) {
+func (r *scaleOutRound) kindsOf(machineType *wire.MachineType, search *roomSearch) (kinds []machineKind) {
 	c, spec := r.core, &search.job.spec
-	for _, zone := range t.Zones {
+	for _, zone := range machineType.Zones {
 		if (spec.Zone != nil && *spec.Zone != zone) || (search.zone != "" && zone != search.zone) || !satisfiesZones(search.job, search.tasksByZone, zone) {
 			continue
 		}
-		if c.detector.IsCut(zone) || !c.mayScaleOutIn(t.Name, zone) {
+		if c.detector.IsCut(zone) || !c.mayScaleOutIn(machineType.Name, zone) {
 			continue
 		}
 		for _, spot := range []bool{true, false} {
-			kind := machineKind{t.Name, zone, spot}
-			if (!spot || spec.Spot) && !r.full[kind] && !c.cloud.isExhausted(kind, c.now) && hourlyRate(t, spot) > 0 {
+			kind := machineKind{machineType.Name, zone, spot}
+			if (!spot || spec.Spot) && !r.full[kind] && !c.cloud.isExhausted(kind, c.now) && hourlyRate(machineType, spot) > 0 {
 				kinds = append(kinds, kind)
 			}
 		}
--- a/internal/sched/score.go
+++ b/internal/sched/score.go
@@ -27,26 +27,26 @@
 }
 
 // placementScore says how much a task would rather not go to the machine, in seconds.
-func (ps *pass) placementScore(j *job, m *machine) float64 {
-	onGPUMachine := m.machineType.GPUs > 0 && j.spec.GPUs == 0
-	score := m.imageFetchS(j, ps.core.now)
+func (ps *pass) placementScore(job *job, machine *machine) float64 {
+	onGPUMachine := machine.machineType.GPUs > 0 && job.spec.GPUs == 0
+	score := machine.imageFetchS(job, ps.core.now)
 	if onGPUMachine {
 		score += gpuMachineScore
 	}
-	if j.spec.Spot && !m.spot {
+	if job.spec.Spot && !machine.spot {
 		score += onDemandScore
-		if ps.onDemandTypes[m.machineType.Name] {
+		if ps.onDemandTypes[machine.machineType.Name] {
 			score += onDemandWantedScore
 		}
 	}
-	if onGPUMachine || ps.contested(j, m) {
+	if onGPUMachine || ps.contested(job, machine) {
 		score += contestedScore
 	}
-	if m.slowdown > usualSlowdown {
-		score += slowdownScore * (m.slowdown - usualSlowdown)
+	if machine.slowdown > usualSlowdown {
+		score += slowdownScore * (machine.slowdown - usualSlowdown)
 	}
-	if m.machineType.CPUs > 0 {
-		score += emptinessScore * (m.machineType.CPUs - m.usedCPUs - j.spec.CPUs) / m.machineType.CPUs
+	if machine.machineType.CPUs > 0 {
+		score += emptinessScore * (machine.machineType.CPUs - machine.usedCPUs - job.spec.CPUs) / machine.machineType.CPUs
 	}
 	return score
 }
--- a/internal/sched/victims.go
+++ b/internal/sched/victims.go
@@ -19,17 +19,17 @@
 
 // newVictim is what a task's preemption takes with it. Gangs go whole: the task itself comes first,
 // then the rest of its gang in no order.
-func newVictim(p *placement) victim {
-	v := victim{tasks: []*placement{p}, here: 1}
-	if !p.job.isGang() {
+func newVictim(task *placement) victim {
+	v := victim{tasks: []*placement{task}, here: 1}
+	if !task.job.isGang() {
 		return v
 	}
-	for other := range p.job.placements {
-		if other == p {
+	for other := range task.job.placements {
+		if other == task {
 			continue
 		}
 		v.tasks = append(v.tasks, other)
-		if other.machine == p.machine {
+		if other.machine == task.machine {
 			v.here++
 		}
 	}
@@ -100,24 +100,24 @@
 
 // victims picks the cheapest victims on the machine, by checkpoint time, that
 // make room for one task of the job. It says whether there are any.
-func (ps *pass) victims(j *job, m *machine) ([]victim, bool) {
-	room := clearedRoom{free: m.free()}
+func (ps *pass) victims(claimant *job, machine *machine) ([]victim, bool) {
+	room := clearedRoom{free: machine.free()}
 	var candidates []victim
 	seen := map[*job]bool{}
-	m.eachPlacement(func(p *placement) {
+	machine.eachPlacement(func(task *placement) {
 		switch {
-		case p.stopping:
-			room.addStopping(p)
-		case seen[p.job] && p.job.isGang() || !mayBeVictim(p, j):
+		case task.stopping:
+			room.addStopping(task)
+		case seen[task.job] && task.job.isGang() || !mayBeVictim(task, claimant):
 		default:
-			seen[p.job] = true
-			v := newVictim(p)
-			v.stopPlan = ps.core.planStop(p, len(v.tasks), 0)
+			seen[task.job] = true
+			v := newVictim(task)
+			v.stopPlan = ps.core.planStop(task, len(v.tasks), 0)
 			candidates = append(candidates, v)
 		}
 	})
 	slices.SortFunc(candidates, compareVictims)
-	asked := j.taskResources()
+	asked := claimant.taskResources()
 	var picked []victim
 	for _, v := range candidates {
 		if asked.fitsIn(room.free) {
@@ -158,23 +158,23 @@
 // preemptionCost is what the victims that victims would pick on the machine cost together, and
 // whether they make room. At a full site every task that waits asks this of all machines, and
 // mostly one victim is enough: nothing is sorted or allocated here.
-func (ps *pass) preemptionCost(j *job, m *machine) (total Micros, ok bool) {
-	room := clearedRoom{free: m.free()}
+func (ps *pass) preemptionCost(claimant *job, machine *machine) (total Micros, ok bool) {
+	room := clearedRoom{free: machine.free()}
 	candidates := ps.victimCandidates[:0]
-	for _, p := range m.placements {
+	for _, task := range machine.placements {
 		switch {
-		case !p.isHeld():
-		case p.stopping:
-			room.addStopping(p)
-		case !mayBeVictim(p, j):
-		case p.job.isGang():
-			return ps.victimCostSum(j, m) // they go whole, from other machines too
+		case !task.isHeld():
+		case task.stopping:
+			room.addStopping(task)
+		case !mayBeVictim(task, claimant):
+		case task.job.isGang():
+			return ps.victimCostSum(claimant, machine) // they go whole, from other machines too
 		default:
-			candidates = append(candidates, victimCandidate{placement: p, plan: ps.core.planStop(p, 1, 0)})
+			candidates = append(candidates, victimCandidate{placement: task, plan: ps.core.planStop(task, 1, 0)})
 		}
 	}
 	ps.victimCandidates = candidates
-	asked := j.taskResources()
+	asked := claimant.taskResources()
 	for !asked.fitsIn(room.free) {
 		next := cheapestCandidate(candidates)
 		if next == nil {
@@ -200,8 +200,8 @@
 }
 
 // victimCostSum is the same from the victims themselves.
-func (ps *pass) victimCostSum(j *job, m *machine) (total Micros, ok bool) {
-	victims, ok := ps.victims(j, m)
+func (ps *pass) victimCostSum(claimant *job, m *machine) (total Micros, ok bool) {
+	victims, ok := ps.victims(claimant, m)
 	if !ok {
 		return 0, false
 	}
