--- a/internal/sched/gangclaim.go
+++ b/internal/sched/gangclaim.go
@@ -80,22 +80,22 @@
 
 // claim lets a gang claim the machines of the zone that has the least room of those in which it
 // could start, if there is one.
-func (cs *gangClaims) claim(job *job) {
-	cleared := cs.clearedFor(job)
-	tasksByZone := job.tasksByZone()
-	missing, in, found := job.pendingCount(), "", false
-	slots := cs.slotsByZone(job, cleared, tasksByZone)
+func (cs *gangClaims) claim(gang *job) {
+	cleared := cs.clearedFor(gang)
+	tasksByZone := gang.tasksByZone()
+	missing, in, found := gang.pendingCount(), "", false
+	slots := cs.slotsByZone(gang, cleared, tasksByZone)
 	for zone, n := range slots {
 		if n >= missing && (!found || n < slots[in] || (n == slots[in] && zone < in)) {
 			in, found = zone, true
 		}
 	}
 	if !found {
-		job.startableSince = 0
+		gang.startableSince = 0
 		return
 	}
-	if job.startableSince == 0 {
-		job.startableSince = cs.pass.core.now
+	if gang.startableSince == 0 {
+		gang.startableSince = cs.pass.core.now
 	}
 	cs.made++
 	for _, empty := range []bool{true, false} { // those that need no clearing first
@@ -103,24 +103,24 @@
 			if missing <= 0 {
 				return
 			}
-			if n := cs.claimableSlots(job, cleared, tasksByZone, i); n > 0 && job.gangZone(machine) == in && hasRoom(job, machine, 1) == empty {
+			if n := cs.claimableSlots(gang, cleared, tasksByZone, i); n > 0 && gang.gangZone(machine) == in && hasRoom(gang, machine, 1) == empty {
 				missing -= n
-				cs.pass.claims[machine] = job.rank
+				cs.pass.claims[machine] = gang.rank
 			}
 		}
 	}
 }
 
 // clearedFor finds out once for all gangs of a kind what cleared machines have room for.
-func (cs *gangClaims) clearedFor(j *job) *clearedSlots {
-	kind := clearedKind{j.gangShape(), j.spec.OneZone}
+func (cs *gangClaims) clearedFor(gang *job) *clearedSlots {
+	kind := clearedKind{gang.gangShape(), gang.spec.OneZone}
 	if cleared := cs.cleared[kind]; cleared != nil {
 		return cleared
 	}
-	cleared := &clearedSlots{rank: j.rank, slots: make([]int, len(cs.pass.schedulable)), asOf: -1}
+	cleared := &clearedSlots{rank: gang.rank, slots: make([]int, len(cs.pass.schedulable)), asOf: -1}
 	for i, m := range cs.pass.schedulable {
-		if allowed(j, m) {
-			cleared.slots[i] = slotsFor(j, m.machineType, m.usedFrom(j.rank))
+		if allowed(gang, m) {
+			cleared.slots[i] = slotsFor(gang, m.machineType, m.usedFrom(gang.rank))
 		}
 	}
 	cs.cleared[kind] = cleared
@@ -134,10 +134,10 @@
 }
 
 // claimableSlots is how many tasks of the gang the machine has room for once it is cleared.
-func (cs *gangClaims) claimableSlots(j *job, cleared *clearedSlots, tasksByZone map[string]int, machine int) int {
+func (cs *gangClaims) claimableSlots(gang *job, cleared *clearedSlots, tasksByZone map[string]int, machine int) int {
 	m := cs.pass.schedulable[machine]
-	reservedForIt := cleared.slots[machine] > 0 && cs.pass.claims[m] == 0 && m.reservedFor == j
-	if (reservedForIt || cs.claimableByAny(cleared, machine)) && satisfiesZones(j, tasksByZone, m.zone) {
+	reservedForIt := cleared.slots[machine] > 0 && cs.pass.claims[m] == 0 && m.reservedFor == gang
+	if (reservedForIt || cs.claimableByAny(cleared, machine)) && satisfiesZones(gang, tasksByZone, m.zone) {
 		return cleared.slots[machine]
 	}
 	return 0
@@ -145,37 +145,37 @@
 
 // slotsByZone sums up what the gang may claim. Unless its tasks must heed where others of them are,
 // the sum is that of all gangs of the kind, and what is reserved for it.
-func (cs *gangClaims) slotsByZone(job *job, cleared *clearedSlots, tasksByZone map[string]int) map[string]int {
-	if len(tasksByZone) > 0 || job.spec.Spread {
+func (cs *gangClaims) slotsByZone(gang *job, cleared *clearedSlots, tasksByZone map[string]int) map[string]int {
+	if len(tasksByZone) > 0 || gang.spec.Spread {
 		sum := map[string]int{}
 		for i, machine := range cs.pass.schedulable {
-			sum[job.gangZone(machine)] += cs.claimableSlots(job, cleared, tasksByZone, i)
+			sum[gang.gangZone(machine)] += cs.claimableSlots(gang, cleared, tasksByZone, i)
 		}
 		return sum
 	}
-	cs.sumUp(job, cleared)
-	own := cs.reserved[job]
+	cs.sumUp(gang, cleared)
+	own := cs.reserved[gang]
 	if len(own) == 0 {
 		return cleared.byZone
 	}
 	sum := maps.Clone(cleared.byZone)
 	for _, i := range own {
 		if !cs.claimableByAny(cleared, i) {
-			sum[job.gangZone(cs.pass.schedulable[i])] += cs.claimableSlots(job, cleared, tasksByZone, i)
+			sum[gang.gangZone(cs.pass.schedulable[i])] += cs.claimableSlots(gang, cleared, tasksByZone, i)
 		}
 	}
 	return sum
 }
 
 // sumUp brings the sums of a kind of gangs up to date if machines were claimed since.
-func (cs *gangClaims) sumUp(j *job, cleared *clearedSlots) {
+func (cs *gangClaims) sumUp(gang *job, cleared *clearedSlots) {
 	if cleared.asOf == cs.made {
 		return
 	}
 	cleared.byZone, cleared.asOf = map[string]int{}, cs.made
 	for i, m := range cs.pass.schedulable {
 		if cs.claimableByAny(cleared, i) {
-			cleared.byZone[j.gangZone(m)] += cleared.slots[i]
+			cleared.byZone[gang.gangZone(m)] += cleared.slots[i]
 		}
 	}
 }
--- a/internal/sched/gangoffer.go
+++ b/internal/sched/gangoffer.go
@@ -63,12 +63,12 @@
 }
 
 // update finds out anew what a machine offers and brings the sums up to date.
-func (os *gangOffers) update(machine int, j *job) {
+func (os *gangOffers) update(machine int, gang *job) {
 	m, offer := os.pass.schedulable[machine], gangOffer{}
-	if allowed(j, m) && slotsOnEmpty(j, m.machineType) > 0 {
-		offer = os.pass.offer(j, m, os.kind.mayPreempt)
+	if allowed(gang, m) && slotsOnEmpty(gang, m.machineType) > 0 {
+		offer = os.pass.offer(gang, m, os.kind.mayPreempt)
 	}
-	zone := j.gangZone(m)
+	zone := gang.gangZone(m)
 	os.count(zone, &os.byMachine[machine], -1)
 	os.count(zone, &offer, 1)
 	os.byMachine[machine] = offer
@@ -83,7 +83,7 @@
 }
 
 // apply takes in what preemptions have changed since the last call.
-func (os *gangOffers) apply(changes []offerChange, job *job) {
+func (os *gangOffers) apply(changes []offerChange, gang *job) {
 	fresh := changes[os.changes:]
 	for _, change := range fresh {
 		if change.costlier {
@@ -95,7 +95,7 @@
 	for _, change := range fresh {
 		if !change.costlier && !updated[change.machine] {
 			updated[change.machine] = true
-			os.update(change.machine, job)
+			os.update(change.machine, gang)
 		}
 	}
 	os.changes = len(changes)
@@ -103,15 +103,15 @@
 
 // offer says how the machine could take tasks of a gang: now, by waiting, or by
 // preempting, whichever costs less.
-func (ps *pass) offer(job *job, machine *machine, mayPreempt bool) gangOffer {
-	if slots := slotsFor(job, machine.machineType, machine.used()); slots > 0 {
+func (ps *pass) offer(gang *job, machine *machine, mayPreempt bool) gangOffer {
+	if slots := slotsFor(gang, machine.machineType, machine.used()); slots > 0 {
 		return gangOffer{slots: slots, hasRoom: true}
 	}
-	waiting := ps.offerByWaiting(job, machine)
+	waiting := ps.offerByWaiting(gang, machine)
 	if waiting.slots == 0 || !mayPreempt || waiting.wait <= worthWaiting {
 		return waiting
 	}
-	victims, ok := ps.victims(job, machine)
+	victims, ok := ps.victims(gang, machine)
 	if !ok {
 		return waiting
 	}
--- a/internal/sched/gangplacement.go
+++ b/internal/sched/gangplacement.go
@@ -8,22 +8,22 @@
 // placeGang places all missing tasks of a gang or none; false says that it lacks
 // room. A waiting attempt that lost a task gets a replacement with the same
 // attempt number; a broken one is cleared away first.
-func (ps *pass) placeGang(j *job) bool {
-	if j.gangBroken || (j.gangStarted && len(j.placements) > 0) {
-		ps.core.stopGang(j)
+func (ps *pass) placeGang(gang *job) bool {
+	if gang.gangBroken || (gang.gangStarted && len(gang.placements) > 0) {
+		ps.core.stopGang(gang)
 		return true
 	}
-	if j.isLeaving() || j.atTeamLimit() {
+	if gang.isLeaving() || gang.atTeamLimit() {
 		return true
 	}
-	return slices.ContainsFunc(ps.gangZones(j, j.pendingCount()), func(zone string) bool {
-		return ps.placeGangIn(j, zone)
+	return slices.ContainsFunc(ps.gangZones(gang, gang.pendingCount()), func(zone string) bool {
+		return ps.placeGangIn(gang, zone)
 	})
 }
 
 // stopGang stops what is left of a gang's attempt, but for tasks that are saving.
-func (c *Core) stopGang(j *job) {
-	for _, p := range j.sortedPlacements() {
+func (c *Core) stopGang(gang *job) {
+	for _, p := range gang.sortedPlacements() {
 		if !p.checkpointing {
 			c.stopPlacement(p, false)
 		}
@@ -51,12 +51,12 @@
 }
 
 // placeGangIn places the missing tasks in a zone, or anywhere if it is empty.
-func (ps *pass) placeGangIn(job *job, zone string) bool {
-	before := job.gangAttempt
+func (ps *pass) placeGangIn(gang *job, zone string) bool {
+	before := gang.gangAttempt
 	if before == 0 {
-		job.gangAttempt = ps.core.sequence.nextAttempt()
+		gang.gangAttempt = ps.core.sequence.nextAttempt()
 	}
-	attempt := ps.placeMissing(job, zone)
+	attempt := ps.placeMissing(gang, zone)
 	if ps.reserveBatch(attempt) {
 		for _, machine := range attempt.machines {
 			ps.batch.add(attempt.placed[machine]...)
@@ -68,7 +68,7 @@
 			ps.core.release(placement)
 		}
 	}
-	job.gangAttempt = before
+	gang.gangAttempt = before
 	return false
 }
 
@@ -138,10 +138,10 @@
 // zone rule gets the empty one. The zone that has least room comes first, so that
 // small gangs don't cut up the room that large ones need; where the tasks would
 // rather not be (their image is missing) counts as room that is left.
-func (ps *pass) gangZones(job *job, missing int) []string {
-	tasksByZone := job.tasksByZone()
+func (ps *pass) gangZones(gang *job, missing int) []string {
+	tasksByZone := gang.tasksByZone()
 	var fitting []*zoneRoom
-	for _, room := range ps.roomByZone(job, tasksByZone) {
+	for _, room := range ps.roomByZone(gang, tasksByZone) {
 		if room.slots >= missing {
 			fitting = append(fitting, room)
 		}
@@ -149,8 +149,8 @@
 	slices.SortFunc(fitting, func(a, b *zoneRoom) int {
 		return cmp.Or(cmp.Compare(a.leftover(), b.leftover()), cmp.Compare(a.zone, b.zone))
 	})
-	if job.spec.Tasks == 1 && len(fitting) > 1 { // a lone task goes where it starts first
-		if machine := ps.findMachine(job, tasksByZone); machine != nil {
+	if gang.spec.Tasks == 1 && len(fitting) > 1 { // a lone task goes where it starts first
+		if machine := ps.findMachine(gang, tasksByZone); machine != nil {
 			return []string{machine.zone}
 		}
 	}
@@ -163,24 +163,24 @@
 
 // roomByZone sums up the room for a gang's tasks, in all under the empty name if it has no zone
 // rule.
-func (ps *pass) roomByZone(job *job, tasksByZone map[string]int) map[string]*zoneRoom {
+func (ps *pass) roomByZone(gang *job, tasksByZone map[string]int) map[string]*zoneRoom {
 	rooms := map[string]*zoneRoom{}
 	spread := map[string]int{} // what counts of a zone, for tasks that are to be spread
 	for _, machine := range ps.withRoom {
-		slots := ps.slotsOn(job, machine, tasksByZone)
-		if job.spec.Spread {
-			slots = max(0, min(slots, job.zoneLimit()-tasksByZone[machine.zone]-spread[machine.zone]))
+		slots := ps.slotsOn(gang, machine, tasksByZone)
+		if gang.spec.Spread {
+			slots = max(0, min(slots, gang.zoneLimit()-tasksByZone[machine.zone]-spread[machine.zone]))
 			spread[machine.zone] += slots
 		}
 		if slots == 0 {
 			continue
 		}
-		zone := job.gangZone(machine)
+		zone := gang.gangZone(machine)
 		if rooms[zone] == nil {
 			rooms[zone] = &zoneRoom{zone: zone}
 		}
 		rooms[zone].slots += slots
-		rooms[zone].preferred += float64(slots) / (1 + ps.placementScore(job, machine))
+		rooms[zone].preferred += float64(slots) / (1 + ps.placementScore(gang, machine))
 	}
 	return rooms
 }
@@ -194,13 +194,13 @@
 }
 
 // slotsOn is how many tasks of the job the machine could take now.
-func (ps *pass) slotsOn(j *job, m *machine, tasksByZone map[string]int) int {
-	if !hasRoom(j, m, 1) || !ps.canTakeTask(j, m, tasksByZone) || ps.reservedAgainst(j, m) {
+func (ps *pass) slotsOn(gang *job, m *machine, tasksByZone map[string]int) int {
+	if !hasRoom(gang, m, 1) || !ps.canTakeTask(gang, m, tasksByZone) || ps.reservedAgainst(gang, m) {
 		return 0
 	}
-	slots := min(slotsFor(j, m.machineType, m.used()), maxTasksPerMachine-m.placementCount)
-	if j.spec.Spread {
-		slots = min(slots, j.zoneLimit()-tasksByZone[m.zone])
+	slots := min(slotsFor(gang, m.machineType, m.used()), maxTasksPerMachine-m.placementCount)
+	if gang.spec.Spread {
+		slots = min(slots, gang.zoneLimit()-tasksByZone[m.zone])
 	}
 	return slots
 }
--- a/internal/sched/gangplan.go
+++ b/internal/sched/gangplan.go
@@ -96,13 +96,13 @@
 // those where the paper's rule finds victims. Without that a large gang waits for ever for
 // machines that small tasks keep filling. Two gangs never hold part of what the other needs:
 // what is reserved for one isn't looked at for the next.
-func (gp *gangPlan) makeRoom(job *job) {
-	for _, i := range gp.reserved[job] {
-		if machine := gp.pass.schedulable[i]; machine.reservedFor == job && machine.reservationStart > 0 {
+func (gp *gangPlan) makeRoom(gang *job) {
+	for _, i := range gp.reserved[gang] {
+		if machine := gp.pass.schedulable[i]; machine.reservedFor == gang && machine.reservationStart > 0 {
 			machine.reservedFor = nil // chosen anew
 		}
 	}
-	best := gp.cheapestZone(job)
+	best := gp.cheapestZone(gang)
 	if best == nil {
 		return
 	}
@@ -114,23 +114,23 @@
 		return
 	}
 	for i := range best.options {
-		gp.reserve(job, &best.options[i], best.start)
+		gp.reserve(gang, &best.options[i], best.start)
 	}
 }
 
 // reserve reserves one of the machines on which a gang is to start, and clears it if the others are
 // there: before, the room would stand idle, or be filled by others and be cleared once more.
-func (gp *gangPlan) reserve(j *job, option *startOption, start Micros) {
+func (gp *gangPlan) reserve(gang *job, option *startOption, start Micros) {
 	m, now := option.machine, gp.pass.core.now
 	if len(option.victims) > 0 && start <= worthWaiting {
 		gp.recordPreemption(option.victims)
-		gp.pass.preempt(j, m, option.victims)
+		gp.pass.preempt(gang, m, option.victims)
 		return
 	}
-	if m.reservedFor == j && m.reservationStart == 0 && now < m.reservedUntil {
+	if m.reservedFor == gang && m.reservationStart == 0 && now < m.reservedUntil {
 		return // cleared for it
 	}
-	m.reservedFor, m.reservationStart, m.reservationCheckedAt = j, now+max(start, 1), now
+	m.reservedFor, m.reservationStart, m.reservationCheckedAt = gang, now+max(start, 1), now
 	m.reservedUntil = now + start + reservationSlack
 }
 
@@ -145,12 +145,12 @@
 }
 
 // cheapestZone returns the best plan for the gang, nil if it can't start anywhere.
-func (gp *gangPlan) cheapestZone(j *job) (best *zonePlan) {
-	missing := j.pendingCount()
-	offers := gp.offersFor(j)
-	tasksByZone := j.tasksByZone()
+func (gp *gangPlan) cheapestZone(gang *job) (best *zonePlan) {
+	missing := gang.pendingCount()
+	offers := gp.offersFor(gang)
+	tasksByZone := gang.tasksByZone()
 	for _, zone := range gp.zonesWorthLooking(offers, missing) {
-		plan := gp.planIn(zone, j, missing, tasksByZone, offers)
+		plan := gp.planIn(zone, gang, missing, tasksByZone, offers)
 		if plan.slots < missing || (gp.waited[zone] && plan.start > worthWaiting) {
 			continue
 		}
@@ -176,8 +176,8 @@
 
 // planIn takes the first options of a zone until all missing tasks have a place. Small gangs go where
 // few machines are left for them, and leave the zones with many to large ones.
-func (gp *gangPlan) planIn(zone string, job *job, missing int, tasksByZone map[string]int, offers *gangOffers) *zonePlan {
-	options, quickSlots := gp.optionsIn(zone, job, missing, tasksByZone, offers)
+func (gp *gangPlan) planIn(zone string, gang *job, missing int, tasksByZone map[string]int, offers *gangOffers) *zonePlan {
+	options, quickSlots := gp.optionsIn(zone, gang, missing, tasksByZone, offers)
 	plan := &zonePlan{zone: zone}
 	taken := 0
 	for ; taken < len(options) && plan.slots < missing; taken++ {
@@ -202,10 +202,10 @@
 // how many slots all options there have that are not worth preempting for. Where an option's victims have
 // become costlier since it was looked at, it is looked at again only if it would be among the first:
 // most would not.
-func (gp *gangPlan) optionsIn(zone string, job *job, missing int, tasksByZone map[string]int, offers *gangOffers) (first []startOption, quickSlots int) {
+func (gp *gangPlan) optionsIn(zone string, gang *job, missing int, tasksByZone map[string]int, offers *gangOffers) (first []startOption, quickSlots int) {
 	var all []startOption
 	for _, i := range offers.zones[zone] {
-		if option, ok := gp.optionOn(i, job, tasksByZone, offers); ok {
+		if option, ok := gp.optionOn(i, gang, tasksByZone, offers); ok {
 			all = append(all, option)
 		}
 	}
@@ -218,7 +218,7 @@
 		stale := false
 		for _, option := range best.options {
 			if option.stale {
-				offers.update(option.index, job)
+				offers.update(option.index, gang)
 				stale = true
 			}
 		}
@@ -238,20 +238,20 @@
 
 // optionOn is how a machine can come to have room for tasks of the gang. Its cost is yet without that
 // of the offer.
-func (gp *gangPlan) optionOn(index int, job *job, tasksByZone map[string]int, offers *gangOffers) (startOption, bool) {
+func (gp *gangPlan) optionOn(index int, gang *job, tasksByZone map[string]int, offers *gangOffers) (startOption, bool) {
 	ps := gp.pass
 	m, offer := ps.schedulable[index], &offers.byMachine[index]
-	if offer.slots == 0 || !satisfiesZones(job, tasksByZone, m.zone) {
+	if offer.slots == 0 || !satisfiesZones(gang, tasksByZone, m.zone) {
 		return startOption{}, false
 	}
-	if holder := m.reservedFor; holder != nil && holder != job && ps.core.now < m.reservedUntil && holder.rank >= job.rank && !ps.isReservedForWait(m) {
+	if holder := m.reservedFor; holder != nil && holder != gang && ps.core.now < m.reservedUntil && holder.rank >= gang.rank && !ps.isReservedForWait(m) {
 		return startOption{}, false
 	}
-	if offer.hasRoom && job.spec.GPUs == 0 && m.machineType.GPUs > 0 && !ps.mayUseGPUMachine(job, m) {
+	if offer.hasRoom && gang.spec.GPUs == 0 && m.machineType.GPUs > 0 && !ps.mayUseGPUMachine(gang, m) {
 		return startOption{}, false
 	}
-	cost := Micros(ps.placementScore(job, m) * float64(second))
-	if m.reservedFor == job && m.reservationStart == 0 {
+	cost := Micros(ps.placementScore(gang, m) * float64(second))
+	if m.reservedFor == gang && m.reservationStart == 0 {
 		cost = 0 // cleared for it
 	}
 	return startOption{offer, m, index, cost}, true
@@ -287,19 +287,19 @@
 // offersFor is what the machines offer to the gang as things stand in the plan. How far other teams
 // go beyond their guarantees changes with each preemption, so what is offered to a gang that
 // reclaims its team's guarantee is found out anew then.
-func (gp *gangPlan) offersFor(job *job) *gangOffers {
-	kind := offerKind{gangShape: job.gangShape(), mayPreempt: gp.pass.mayPreempt(job), oneZone: job.spec.OneZone}
-	if kind.mayPreempt && job.reclaimsGuarantee() {
-		kind.reclaims, kind.team = true, job.team
+func (gp *gangPlan) offersFor(gang *job) *gangOffers {
+	kind := offerKind{gangShape: gang.gangShape(), mayPreempt: gp.pass.mayPreempt(gang), oneZone: gang.spec.OneZone}
+	if kind.mayPreempt && gang.reclaimsGuarantee() {
+		kind.reclaims, kind.team = true, gang.team
 	}
 	offers := gp.offers[kind]
 	if offers == nil || kind.reclaims && offers.changes < len(gp.changes) {
 		offers = gp.pass.newGangOffers(kind, len(gp.changes))
 		for i := range gp.pass.schedulable {
-			offers.update(i, job)
+			offers.update(i, gang)
 		}
 		gp.offers[kind] = offers
 	}
-	offers.apply(gp.changes, job)
+	offers.apply(gp.changes, gang)
 	return offers
 }
