--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -1,6 +1,9 @@
 package config
 
 import (
+	"fmt"
+	"reflect"
+	"slices"
 	"strings"
 	"testing"
 
@@ -18,3 +21,23 @@
 func TestWordsStayAsTheyAre(t *testing.T) {
 	golden.Text(t, "words.golden", strings.Join([]string{EvictAdaptive, EvictKill, EvictCheckpoint, EvictNone, OrderPriority, OrderArrival}, "\n")+"\n")
 }
+
+// What the operator's settings are where no file sets them.
+func TestDefaultsStayAsTheyAre(t *testing.T) {
+	settings, err := Parse([]byte(good))
+	if err != nil {
+		t.Fatal(err)
+	}
+	operator := reflect.ValueOf(settings.Operator)
+	var out []string
+	for i := range operator.NumField() {
+		name, _, _ := strings.Cut(operator.Type().Field(i).Tag.Get("hcl"), ",")
+		value := operator.Field(i)
+		if value.Kind() == reflect.Pointer && !value.IsNil() {
+			value = value.Elem()
+		}
+		out = append(out, fmt.Sprintf("%s = %v", name, value.Interface()))
+	}
+	slices.Sort(out)
+	golden.Text(t, "defaults.golden", strings.Join(out, "\n")+"\n")
+}
