--- a/cmd/dalefront/earlier_test.go
+++ b/cmd/dalefront/earlier_test.go
@@ -108,6 +108,7 @@
 			t.Errorf("%s is read as %+v, want %+v", id, got, want)
 		}
 	}
+	until(t, "a controller leads", func() bool { return s.Leader() >= 0 })
 	outputOfASite(t, s.Users, s.Settings(0))
 	// What was under way goes on: the array with the tasks that were done before, and the gang,
 	// until it is cancelled. The schedule's jobs stay: workers of such a site know only jobs
