--- a/internal/sched/gangplacement_test.go
+++ b/internal/sched/gangplacement_test.go
@@ -200,3 +200,36 @@
 		}
 	}
 }
+
+// A gang is placed whole, in one zone if it asks for that, with one attempt
+// number; a task lost while it waits is replaced under the same number.
+func TestGang(t *testing.T) {
+	b := newBed(t, config.Team{Name: "a"})
+	b.report("n-1", "s", "x", 1)
+	b.report("n-2", "s", "y", 1)
+	g := spec("j-1", "a", wire.Normal, 2, 8)
+	g.Shape, g.OneZone = wire.Gang, true
+	b.AddJob(g, b.now, b.now)
+	if b.schedule() != nil {
+		t.Fatal("half a gang, or one over two zones, was placed")
+	}
+	b.report("n-3", "s", "y", 1)
+	if b.schedule() == nil {
+		t.Fatal("the gang was not placed")
+	}
+	attempt := b.jobs.find("j-1").gangAttempt
+	for p := range b.jobs.find("j-1").placements {
+		if p.machine.zone != "y" || p.attempt != attempt {
+			t.Errorf("placed on %s in %s with attempt %d", p.machine.host, p.machine.zone, p.attempt)
+		}
+	}
+	waiting := b.running("n-2")
+	waiting[0].State = wire.TaskWaiting
+	b.report("n-2", "s", "y", 1, waiting...)
+	b.report("n-3", "s", "y", 2) // its worker forgot everything
+	b.schedule()
+	a := b.report("n-3", "s", "y", 2)
+	if len(a.Commands) != 1 || a.Commands[0].Op != wire.Launch || a.Commands[0].Attempt != attempt {
+		t.Errorf("replacement: %+v, want a launch with attempt %d", a.Commands, attempt)
+	}
+}
--- a/internal/sched/ledger_test.go
+++ b/internal/sched/ledger_test.go
@@ -1,7 +1,6 @@
 package sched
 
 import (
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
 	"testing"
@@ -26,23 +25,6 @@
 	b.fits(cm)
 }
 
-// fits checks a batch against the limits of the state service.
-func (b *bed) fits(cm *Commit) {
-	b.t.Helper()
-	st := &b.settings.Deployment.State
-	all := 0
-	for _, e := range cm.Entries {
-		v, _ := json.Marshal(e.LedgerEntry)
-		all += len(v)
-		if float64(len(v)) > st.ValueKB*1024 {
-			b.t.Errorf("an entry of %d bytes", len(v))
-		}
-	}
-	if n := len(cm.Drop) + len(cm.Entries); n > st.TxnOps || all > 60<<10 || 2*len(cm.Jobs)+len(cm.Entries)+fixedConditions > 4*st.TxnOps {
-		b.t.Errorf("%d changes of %d bytes on %d jobs in a transaction", n, all, len(cm.Jobs))
-	}
-}
-
 // A gang on more machines than a transaction has changes, and than one value can
 // name, can start.
 func TestWideGang(t *testing.T) {
@@ -190,16 +172,6 @@
 	}
 }
 
-// present is what a worker reports that holds what it was told to launch.
-func (b *bed) present(host string) (out []wire.TaskStatus) {
-	b.machines.find(host).eachPlacement(func(p *placement) {
-		if p.state != "" {
-			out = append(out, wire.TaskStatus{Task: wire.TaskName(p.job.id, p.taskIndex), Attempt: p.attempt, State: p.state})
-		}
-	})
-	return out
-}
-
 // An entry goes once nothing in it can be on a machine any more, and not before.
 // What is left of an entry that names a returned machine moves to a later one:
 // the next leader would otherwise wait for a machine that is gone.
@@ -263,23 +235,6 @@
 	}
 }
 
-// Of two entries that name a machine the one with the later session counts: its
-// worker has killed and forgotten what it held before.
-func TestLaterSessionCounts(t *testing.T) {
-	b := newBed(t, config.Team{Name: "a"})
-	b.AddJob(spec("j-1", "a", wire.Normal, 2, 1), b.now, b.now)
-	host := LedgerHost{Host: "n-1", Addr: "n-1", Type: "s", Zone: "x", Incarnation: 1}
-	later := host
-	later.Incarnation = 2
-	b.RecoverLedger(map[string]LedgerEntry{
-		"a": {Hosts: []LedgerHost{later}, Runs: []LedgerRun{{Job: "j-1", Attempt: 6, Tasks: []int32{1}}}},
-		"b": {Hosts: []LedgerHost{host}, Runs: []LedgerRun{{Job: "j-1", Attempt: 5, Tasks: []int32{0}}}},
-	})
-	if m := b.machines.find("n-1"); m.placementCount != 1 || m.incarnation != 2 {
-		t.Errorf("%d tasks in session %d, want 1 in 2", m.placementCount, m.incarnation)
-	}
-}
-
 // A refused batch leaves everything as it was.
 func TestRefusedBatch(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a", CPUsMax: 8})
@@ -292,31 +247,6 @@
 	}
 }
 
-// A takeover used to forget how long tasks really run and how many arrive: owners'
-// estimates counted again, and machines that were about to be needed went back.
-func TestLearnedOutlivesTheLeader(t *testing.T) {
-	b := newBed(t, config.Team{Name: "a"})
-	b.AddJob(spec("j-1", "a", wire.Normal, 40, 1), b.now, b.now)
-	cl := b.jobs.find("j-1").class
-	cl.runTimeRatio, b.bandwidth.write = 1.7, 0.3
-	l := b.Statistics(b.now)
-
-	next := newBed(t, config.Team{Name: "a"})
-	next.now = b.now + arrivalDecayTime
-	next.RestoreStatistics(l)
-	got := next.classOf(cl.name)
-	if got.runTimeRatio != 1.7 || next.bandwidth.write != 0.3 || got.meanTasks != 40 {
-		t.Errorf("the next leader knows %+v, bandwidth %v", got, next.bandwidth.write)
-	}
-	if got.decayedArrivals < 14 || got.decayedArrivals > 15 { // 40 / e
-		t.Errorf("%v arrivals are remembered after the time in which they fade to a third", got.decayedArrivals)
-	}
-	next.RestoreStatistics(Statistics{Classes: []ClassStatistics{{Name: cl.name}}})
-	if got.runTimeRatio != 1.7 {
-		t.Error("nonsense was taken for an observation")
-	}
-}
-
 // Many small jobs at once: each brings a condition on its end and one on the archive. A
 // batch with more conditions than the state service takes was refused as malformed and
 // proposed again for ever; nothing started until another node took over.
--- a/internal/sched/preemption_test.go
+++ b/internal/sched/preemption_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"dalefront/internal/config"
 	"dalefront/wire"
 )
 
@@ -32,3 +33,57 @@
 		}
 	}
 }
+
+// Preemption as the protocol allows it, and nothing beyond.
+func TestWhoMayEvict(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		victim, by   string
+		victimTeam   string
+		evicts       bool
+		guaranteed   float64
+		victimsShare float64
+	}{
+		{"lower priority", wire.Low, wire.Normal, "b", true, 0, 0},
+		{"equal priority", wire.Normal, wire.Normal, "b", false, 0, 0},
+		{"higher priority", wire.High, wire.Normal, "b", false, 0, 0},
+		{"borrowed by another team", wire.High, wire.Low, "b", true, 8, 4},
+		{"within the other's guarantee", wire.High, wire.Low, "b", false, 8, 8},
+		{"same team", wire.High, wire.Low, "a", false, 8, 0},
+	} {
+		b := newBed(t, config.Team{Name: "a", CPUs: c.guaranteed}, config.Team{Name: "b", CPUs: c.victimsShare})
+		b.report("n-1", "s", "x", 1)
+		b.AddJob(spec("j-1", c.victimTeam, c.victim, 1, 8), b.now, b.now)
+		b.schedule()
+		b.report("n-1", "s", "x", 1, b.running("n-1")...)
+		b.AddJob(spec("j-2", "a", c.by, 1, 8), b.now, b.now)
+		b.now += 2 * second
+		b.report("n-1", "s", "x", 1, b.running("n-1")...)
+		b.schedule()
+		if got := b.Stats.Preemptions > 0; got != c.evicts {
+			t.Errorf("%s: evicted %v, want %v", c.name, got, c.evicts)
+		}
+	}
+}
+
+// Soft point: a guest's huge job clears only part of the machines at a time.
+func TestHugeJobClearsLittle(t *testing.T) {
+	b := newBed(t, config.Team{Name: "a"})
+	hosts := []string{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6", "n-7", "n-8"}
+	for _, h := range hosts {
+		b.report(h, "s", "x", 1)
+	}
+	b.AddJob(spec("j-1", "a", wire.Low, 8, 8), b.now, b.now)
+	b.schedule()
+	b.AddJob(spec("j-2", "a", wire.Production, 1000, 8), b.now, b.now)
+	for i := 0; i < 4; i++ {
+		b.now += second
+		for _, h := range hosts {
+			b.report(h, "s", "x", 1, b.running(h)...)
+		}
+		b.schedule()
+	}
+	if n := b.Stats.Preemptions; n == 0 || n > 2 {
+		t.Errorf("%d of 8 machines cleared at once, want 1 or 2", n)
+	}
+}
--- /dev/null
+++ b/internal/sched/progress_test.go
@@ -0,0 +1,67 @@
+package sched
+
+import (
+	"testing"
+
+	"dalefront/internal/config"
+	"dalefront/wire"
+)
+
+// A result is cleared from a worker only once it is stored; a job's end waits
+// for all its tasks.
+func TestDoneIsStoredFirst(t *testing.T) {
+	b := newBed(t, config.Team{Name: "a"})
+	b.report("n-1", "s", "x", 1)
+	b.AddJob(spec("j-1", "a", wire.Normal, 2, 4), b.now, b.now)
+	b.schedule()
+	run := b.running("n-1")
+	run[0].State, run[0].Cause = wire.TaskExited, wire.CauseDone
+	if a := b.report("n-1", "s", "x", 1, run...); len(ops(a, wire.Clear)) > 0 {
+		t.Error("cleared before it was stored")
+	}
+	if len(b.TakeEnds()) > 0 {
+		t.Error("ended after one of two tasks")
+	}
+	for _, ch := range b.ProgressToStore(10) {
+		b.ProgressStored(ch)
+	}
+	if a := b.report("n-1", "s", "x", 1, run...); len(ops(a, wire.Clear)) != 1 {
+		t.Error("not cleared after it was stored")
+	}
+	run[1].State, run[1].Cause = wire.TaskExited, wire.CauseDone
+	b.report("n-1", "s", "x", 1, run...)
+	if e := b.TakeEnds(); len(e) != 1 {
+		t.Errorf("ends %v, want j-1", e)
+	}
+}
+
+// 100,000 tasks fit the limits: few and small progress values, bounded records.
+func TestLargestJob(t *testing.T) {
+	b := newBed(t, config.Team{Name: "a"})
+	j := spec("j-1", "a", wire.Normal, 100_000, 0.001)
+	b.AddJob(j, b.now, b.now)
+	for i := int32(0); i < 100_000; i += 3 {
+		b.markDone(b.jobs.find("j-1"), i)
+	}
+	chunks := b.ProgressToStore(1000)
+	if len(chunks) != (100_000+ChunkTasks-1)/ChunkTasks {
+		t.Errorf("%d chunks", len(chunks))
+	}
+	c := newBed(t, config.Team{Name: "a"})
+	c.AddJob(j, c.now, c.now)
+	for _, ch := range chunks {
+		if len(ch.Text) > 1024 {
+			t.Errorf("chunk %d has %d bytes", ch.Index, len(ch.Text))
+		}
+		c.SetProgress(ch.Job, ch.Index, ch.Text)
+	}
+	if got, want := c.jobs.find("j-1").completedCount, b.jobs.find("j-1").completedCount; got != want {
+		t.Errorf("%d tasks done after loading, want %d", got, want)
+	}
+	b.report("n-1", "s", "x", 1)
+	cm := b.schedule()
+	if cm == nil || len(cm.Entries) != 1 {
+		t.Fatal("nothing placed")
+	}
+	b.fits(cm)
+}
--- /dev/null
+++ b/internal/sched/quarantine_test.go
@@ -0,0 +1,134 @@
+package sched
+
+import (
+	"slices"
+	"testing"
+
+	"dalefront/internal/config"
+	"dalefront/wire"
+)
+
+// A takeover goes on suspecting a job that fails everywhere: it is tried with one task
+// after a pause, not with all of them at once.
+func TestSuspicionOutlivesLeader(t *testing.T) {
+	b := newBed(t, config.Team{Name: "a"})
+	hosts := []string{"n-1", "n-2", "n-3"}
+	for _, h := range hosts {
+		b.report(h, "s", "x", 1)
+	}
+	bad := spec("j-1", "a", wire.Normal, 24, 1)
+	b.AddJob(bad, b.now, b.now)
+	b.failing("j-1", 20, hosts...)
+	l := b.Statistics(b.now)
+	if len(l.Suspect) != 1 || l.Suspect[0].ID != "j-1" {
+		t.Fatalf("suspected: %+v", l.Suspect)
+	}
+	after := newBed(t, config.Team{Name: "a"})
+	after.AddJob(bad, after.now, after.now)
+	after.RestoreStatistics(l)
+	if !after.jobs.find("j-1").isSuspect() {
+		t.Fatal("it is not suspected any more")
+	}
+	for _, h := range hosts {
+		after.report(h, "s", "x", 1)
+	}
+	if starts := after.failing("j-1", 10, hosts...); starts > 3 {
+		t.Errorf("%d tasks were started in ten seconds", starts)
+	}
+}
+
+// failing plays some time in which all tasks of a job fail once they have started,
+// and returns how many did.
+func (b *bed) failing(id string, seconds int, hosts ...string) (starts int) {
+	for i := 0; i < 2*seconds; i++ {
+		b.now += second / 2
+		for _, h := range hosts {
+			m := b.machines.find(h)
+			b.report(h, "s", "x", 1)
+			var run []wire.TaskStatus
+			m.eachPlacement(func(p *placement) {
+				t := wire.TaskStatus{Task: wire.TaskName(p.job.id, p.taskIndex), Attempt: p.attempt, State: wire.TaskRunning}
+				if p.job.id == id {
+					starts++
+					t.State, t.Cause = wire.TaskExited, wire.CauseError
+				}
+				run = append(run, t)
+			})
+			b.report(h, "s", "x", 1, run...)
+		}
+		b.schedule()
+	}
+	return starts
+}
+
+// A job submitted with a mistake fails on every machine. Its tasks used to make
+// all machines rest, two such jobs had healthy machines returned, and each retry
+// started all its tasks. It is tried with one task after ever longer pauses, in
+// room that is there, and blames no machine; it is never given up.
+func TestBrokenJob(t *testing.T) {
+	b := newBed(t, config.Team{Name: "a"})
+	hosts := []string{"n-1", "n-2", "n-3"}
+	for _, h := range hosts {
+		b.report(h, "s", "x", 1)
+	}
+	for _, id := range []string{"j-1", "j-2"} {
+		b.AddJob(spec(id, "a", wire.High, 30, 1), b.now, b.now)
+		if first := b.failing(id, 3, hosts...); first < 10 {
+			t.Fatalf("only %d tasks of %s started", first, id)
+		}
+	}
+	if more := b.failing("j-1", 240, hosts...); more < 3 || more > 10 {
+		t.Errorf("a broken job was started %d times more in 240 s", more)
+	}
+	for _, h := range hosts {
+		if m := b.machines.find(h); m.quarantined || m.avoidUntil > b.now {
+			t.Errorf("%s is blamed", h)
+		}
+	}
+	j := b.jobs.find("j-2")
+	j.backoffUntil = b.now
+	if b.lastPass.mayPreempt(j) || b.mayScaleOutFor(j) || b.concurrencyLimit(j) != 1 {
+		t.Error("a broken job may evict or rent, or is tried with all its tasks")
+	}
+	// Once a task of it runs for long it is trusted again.
+	b.schedule()
+	for i := 0; i < 40; i++ {
+		b.now += second
+		for _, h := range hosts {
+			b.report(h, "s", "x", 1, b.running(h)...)
+		}
+		b.schedule()
+	}
+	if len(j.placements) < 20 {
+		t.Errorf("%d tasks of a job that runs well were placed", len(j.placements))
+	}
+}
+
+// A machine on which jobs fail that do well elsewhere is returned.
+func TestFaultyMachine(t *testing.T) {
+	b := newBed(t, config.Team{Name: "a"})
+	for _, h := range []string{"n-1", "n-2"} {
+		b.report(h, "s", "x", 1)
+	}
+	for _, id := range []string{"j-1", "j-2"} {
+		b.AddJob(spec(id, "a", wire.Normal, 2, 2), b.now, b.now)
+		for i, h := range []string{"n-1", "n-2"} {
+			p := b.addPlacement(b.jobs.find(id), int32(i), b.machines.find(h), 900)
+			p.durable = true
+			end := wire.TaskStatus{Task: wire.TaskName(id, int32(i)), Attempt: 900, State: wire.TaskExited, Cause: wire.CauseError}
+			if h == "n-2" {
+				end.Cause = wire.CauseDone
+			}
+			b.report(h, "s", "x", 1, end)
+		}
+	}
+	b.now += second
+	for _, h := range []string{"n-1", "n-2"} {
+		b.report(h, "s", "x", 1)
+		b.machines.find(h).idleSince = b.now // not for idling
+	}
+	b.reconcile()
+	if back := b.ScaleIn(b.now, false); !slices.Equal(back, []string{"n-1"}) {
+		t.Errorf("returned %v, not just n-1, which failed jobs that did well elsewhere", back)
+	}
+}
--- /dev/null
+++ b/internal/sched/reconcile_test.go
@@ -0,0 +1,41 @@
+package sched
+
+import (
+	"testing"
+
+	"dalefront/internal/config"
+	"dalefront/wire"
+)
+
+// A machine that is silent beyond its lease, with tasks, is asked by commands: it may only reach no
+// controller, and its answer frees what it lost with the lease without its being given back.
+func TestLostMachineIsAsked(t *testing.T) {
+	b := newBed(t, config.Team{Name: "a"})
+	b.AddJob(spec("j-1", "a", wire.Low, 1, 8), b.now, b.now)
+	b.report("n-1", "s", "x", 1)
+	b.schedule()
+	b.report("n-1", "s", "x", 1, b.running("n-1")...)
+	b.TakeDirectCommands()
+	asked := false
+	for range 20 {
+		b.now += second
+		for _, h := range []string{"n-2", "n-3", "n-4"} {
+			b.report(h, "s", "x", 1)
+		}
+		b.schedule()
+		for _, d := range b.TakeDirectCommands() {
+			asked = asked || d.Addr == "n-1" && b.machines.find("n-1").leaseExpired
+		}
+	}
+	if !asked {
+		t.Fatal("not asked")
+	}
+	b.CommandAnswered(&wire.Heartbeat{Host: "n-1", Addr: "n-1", Type: "s", Zone: "x", Incarnation: 2, Sequence: 1, FencingToken: 7}, b.now)
+	if b.machines.find("n-1").placementCount != 0 {
+		t.Error("its answer of a later session freed nothing")
+	}
+	b.schedule()
+	if n := len(b.jobs.find("j-1").placements); n != 1 {
+		t.Errorf("%d places elsewhere", n)
+	}
+}
--- /dev/null
+++ b/internal/sched/replacement_test.go
@@ -0,0 +1,33 @@
+package sched
+
+import (
+	"slices"
+	"testing"
+
+	"dalefront/internal/config"
+	"dalefront/wire"
+)
+
+// A machine that hangs with nothing but tasks of a job that is over takes room, and counts against a
+// team's limit: it is given back once a boot would be quicker than to wait.
+func TestHungMachineWithFinishedWork(t *testing.T) {
+	b := newBed(t, config.Team{Name: "a"})
+	b.AddJob(spec("j-1", "a", wire.Low, 1, 8), b.now, b.now)
+	b.report("n-1", "s", "x", 1)
+	b.schedule()
+	b.report("n-1", "s", "x", 1, b.running("n-1")...)
+	b.JobEnded("j-1", wire.JobDone, b.now)
+	for range 150 {
+		b.now += second
+		for _, h := range []string{"n-2", "n-3", "n-4"} {
+			b.report(h, "s", "x", 1)
+		}
+		b.MachinesListed([]wire.Machine{{ID: "n-1", Type: "s", Zone: "x", State: wire.MachineRunning}}, b.now)
+		b.schedule()
+		b.DetectFailures(b.now, nil)
+		if slices.Contains(b.ScaleIn(b.now, false), "n-1") {
+			return
+		}
+	}
+	t.Error("never given back")
+}
--- /dev/null
+++ b/internal/sched/scalein_test.go
@@ -0,0 +1,55 @@
+package sched
+
+import (
+	"slices"
+	"testing"
+
+	"dalefront/internal/config"
+	"dalefront/wire"
+)
+
+// A machine stays while a gang that could use it waits for others to boot: it went back as idle,
+// and the gang waited for ever.
+func TestMachinesOfAWaitingGangStay(t *testing.T) {
+	b := newBed(t, config.Team{Name: "a"})
+	j := spec("j-1", "a", wire.High, 2, 8)
+	j.Shape = wire.Gang
+	b.AddJob(j, b.now, b.now)
+	for range 80 {
+		b.now += second
+		b.report("n-1", "s", "x", 1)
+		b.MachinesListed([]wire.Machine{{ID: "n-1", Type: "s", Zone: "x", State: wire.MachineRunning}}, b.now)
+		b.schedule()
+		if back := b.ScaleIn(b.now, false); len(back) > 0 {
+			t.Fatalf("returned %v after %d s", back, (b.now-b.termStart)/second)
+		}
+	}
+	b.JobEnded("j-1", wire.JobCancelled, b.now)
+	b.now += second
+	b.report("n-1", "s", "x", 1)
+	if back := b.ScaleIn(b.now, false); len(back) != 1 {
+		t.Errorf("returned %v once nobody waits", back)
+	}
+}
+
+// A machine that only the ledger names, and that no list of this term shows, is taken or dead:
+// a job that was done kept its places, against its team's limit, for ever.
+func TestMachineThatWasNeverListed(t *testing.T) {
+	b := newBed(t, config.Team{Name: "a"})
+	b.AddJob(spec("j-1", "a", wire.Low, 1, 2), b.now, b.now)
+	b.RecoverLedger(map[string]LedgerEntry{"e": {Hosts: []LedgerHost{{Host: "n-9", Addr: "n-9", Type: "s", Zone: "x", Incarnation: 1}}, Runs: []LedgerRun{{Host: 0, Job: "j-1", Attempt: 5, Tasks: []int32{0}}}}})
+	b.JobEnded("j-1", wire.JobDone, b.now)
+	returned := false
+	for range 40 { // the list lags 5 s, at times 10
+		b.now += second
+		b.MachinesListed(nil, b.now)
+		back := b.ScaleIn(b.now, false)
+		returned = returned || slices.Contains(back, "n-9")
+		if returned && b.now-b.termStart < 20*second {
+			t.Fatal("returned while a list that lags need not show it")
+		}
+	}
+	if !returned {
+		t.Error("never returned")
+	}
+}
--- /dev/null
+++ b/internal/sched/stop_test.go
@@ -0,0 +1,47 @@
+package sched
+
+import (
+	"testing"
+
+	"dalefront/internal/config"
+	"dalefront/wire"
+)
+
+// Checkpoints of one machine queue, one at a time.
+func TestCheckpointsQueue(t *testing.T) {
+	b := newBed(t, config.Team{Name: "a"})
+	b.report("n-1", "s", "x", 1)
+	low := spec("j-1", "a", wire.Low, 4, 2)
+	low.CheckpointIntervalS, low.CheckpointDurationS = 5, 2
+	b.AddJob(low, b.now, b.now)
+	b.schedule()
+	b.report("n-1", "s", "x", 1, b.running("n-1")...)
+	b.now += 200 * second
+	b.report("n-1", "s", "x", 1, b.running("n-1")...)
+	b.AddJob(spec("j-2", "a", wire.High, 1, 8), b.now, b.now)
+	b.now += 2 * second
+	b.report("n-1", "s", "x", 1, b.running("n-1")...)
+	b.schedule()
+	if b.Stats.Checkpoints != 4 {
+		t.Fatalf("%d checkpoints ordered, want 4", b.Stats.Checkpoints)
+	}
+	for left := 4; left > 0; left-- {
+		tasks := b.running("n-1")
+		a := b.report("n-1", "s", "x", 1, tasks...)
+		stops := ops(a, wire.Stop)
+		if len(stops) != 1 {
+			t.Fatalf("%d left: %d stops at a time", left, len(stops))
+		}
+		for i := range tasks {
+			if tasks[i].Task == stops[0] {
+				tasks[i].State, tasks[i].Cause, tasks[i].Saved = wire.TaskExited, wire.CauseStopped, true
+			}
+		}
+		b.now += 2 * second
+		b.report("n-1", "s", "x", 1, tasks...)
+	}
+	b.schedule()
+	if a := b.report("n-1", "s", "x", 1); len(ops(a, wire.Launch)) != 1 {
+		t.Errorf("the room made was not given to its claimant: %+v", a.Commands)
+	}
+}
--- a/internal/sched/victims_test.go
+++ b/internal/sched/victims_test.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"testing"
 
+	"dalefront/internal/config"
 	"dalefront/wire"
 )
 
@@ -61,3 +62,62 @@
 		t.Errorf("too little was compared: %d of %d make room, %d with several victims", fits, compared, several)
 	}
 }
+
+// The paper's rule: a victim whose progress exceeds dump, restore and queue time
+// is checkpointed, another one is killed; the cheaper one to dump goes first.
+func TestCheckpointOrKill(t *testing.T) {
+	for _, c := range []struct {
+		ran        Micros
+		checkpoint bool
+	}{{19 * second, false}, {21 * second, true}} { // 1 GB at 100 MB/s, out and back: 20 s
+		b := newBed(t, config.Team{Name: "a"})
+		b.report("n-1", "s", "x", 1)
+		low := spec("j-1", "a", wire.Low, 1, 8)
+		low.CheckpointIntervalS, low.CheckpointDurationS = 5, 2
+		b.AddJob(low, b.now, b.now)
+		b.schedule()
+		b.report("n-1", "s", "x", 1, b.running("n-1")...)
+		b.AddJob(spec("j-2", "a", wire.High, 1, 8), b.now, b.now)
+		b.now += c.ran
+		a := b.report("n-1", "s", "x", 1, b.running("n-1")...)
+		if len(ops(a, wire.Stop)) > 0 {
+			t.Fatal("evicted before any pass")
+		}
+		b.schedule()
+		a = b.report("n-1", "s", "x", 1, b.running("n-1")...)
+		if len(a.Commands) != 1 || a.Commands[0].Op != wire.Stop {
+			t.Fatalf("after %d us: orders %+v, want one stop", c.ran, a.Commands)
+		}
+		if got := *a.Commands[0].GraceS >= low.CheckpointDurationS; got != c.checkpoint {
+			t.Errorf("after %d us: grace %v, checkpoint should be %v", c.ran, *a.Commands[0].GraceS, c.checkpoint)
+		}
+	}
+}
+
+// Soft point: in a burst, fresh tasks are not killed over and over.
+func TestFreshTasksAreSpared(t *testing.T) {
+	b := newBed(t, config.Team{Name: "a"})
+	b.report("n-1", "s", "x", 1)
+	b.AddJob(spec("j-1", "a", wire.Low, 1, 8), b.now, b.now)
+	for i := 0; i < 10; i++ {
+		id := wire.TaskName("j-1", 0)
+		b.now += 2 * second
+		b.report("n-1", "s", "x", 1)
+		b.schedule() // the victim's turn
+		b.report("n-1", "s", "x", 1, b.running("n-1")...)
+		b.AddJob(spec("j-9"+string(rune('0'+i)), "a", wire.High, 1, 8), b.now, b.now)
+		b.now += 2 * second
+		b.report("n-1", "s", "x", 1, b.running("n-1")...)
+		b.schedule()
+		for _, tr := range b.running("n-1") {
+			if tr.Task == id && b.jobs.find("j-1").preemptions <= maxEvictions {
+				tr.State, tr.Cause = wire.TaskExited, wire.CauseStopped
+				b.report("n-1", "s", "x", 1, tr)
+			}
+		}
+		b.JobEnded("j-9"+string(rune('0'+i)), wire.JobCancelled, b.now)
+	}
+	if n := b.jobs.find("j-1").preemptions; n == 0 || n > maxEvictions {
+		t.Errorf("evicted %d times, want 1 to %d", n, maxEvictions)
+	}
+}
