--- a/internal/sched/admit_test.go
+++ b/internal/sched/admit_test.go
@@ -9,7 +9,7 @@
 
 // A job that no placement can ever satisfy is not accepted; one that can run in parts is.
 func TestImpossible(t *testing.T) {
-	b := newBed(t, config.Team{Name: "a", CPUsMax: 16})
+	b := newBed(t, config.Team{Name: "a", MaxCPUs: 16})
 	x := "x"
 	for _, c := range []struct {
 		what, shape         string
@@ -34,7 +34,7 @@
 		for _, n := range []string{"s", "g"} {
 			cat.Types = append(cat.Types, *b.machineTypes[n])
 		}
-		b.settings.Deployment.Teams = []config.Team{{Name: "a", CPUsMax: 16}}
+		b.settings.Deployment.Teams = []config.Team{{Name: "a", MaxCPUs: 16}}
 		if err := Admit(b.settings, cat, &j); (err == nil) != c.ok {
 			t.Errorf("%s: %v", c.what, err)
 		}
--- a/internal/sched/demand.go
+++ b/internal/sched/demand.go
@@ -27,13 +27,13 @@
 // expectedDemand is the room to be kept free for tasks that arrive while a machine
 // would boot, for classes whose start the objectives watch too closely for a boot, by their names.
 func (c *Core) expectedDemand() (expected []demand) {
-	guaranteeAim := c.guaranteeAim()
+	guaranteeObjective := c.guaranteeObjective()
 	for _, cl := range c.classes.sorted() {
 		if cl.sampleJob == nil || cl.sampleJob.spec.Shape == wire.Service {
 			continue
 		}
 		boot := c.shortestBootS(cl.sampleJob)
-		if cl.strictestAim(guaranteeAim) > config.Micro(rentInTime*boot)+rentDelayS*second {
+		if cl.strictestObjective(guaranteeObjective) > config.Micro(rentInTime*boot)+rentDelayS*second {
 			continue // a machine rented when it is needed is up in time
 		}
 		if slots := c.expectedSlots(cl, boot); slots > 0 {
@@ -43,26 +43,26 @@
 	return expected
 }
 
-// guaranteeAim is the strictest objective for the start of guaranteed work, 0 if there is none.
-func (c *Core) guaranteeAim() (aim Micros) {
+// guaranteeObjective is the strictest objective for the start of guaranteed work, 0 if there is none.
+func (c *Core) guaranteeObjective() (objective Micros) {
 	for _, o := range c.settings.Deployment.Objectives {
-		if within := config.Micro(o.WithinS); o.Kind == "guarantee" && (aim == 0 || within < aim) {
-			aim = within
+		if within := config.Micro(o.WithinS); o.Kind == "guarantee" && (objective == 0 || within < objective) {
+			objective = within
 		}
 	}
-	return aim
+	return objective
 }
 
-// strictestAim is the strictest objective for the start of the class's jobs.
-func (cl *class) strictestAim(guaranteeAim Micros) Micros {
-	aim := Micros(math.MaxInt64)
+// strictestObjective is the strictest objective for the start of the class's jobs.
+func (cl *class) strictestObjective(guaranteeObjective Micros) Micros {
+	objective := Micros(math.MaxInt64)
 	if len(cl.waitObjectives) > 0 {
-		aim = cl.waitObjectives[0]
+		objective = cl.waitObjectives[0]
 	}
-	if guaranteeAim > 0 && cl.sampleJob.team.hasGuarantee() {
-		aim = min(aim, guaranteeAim)
+	if guaranteeObjective > 0 && cl.sampleJob.team.hasGuarantee() {
+		objective = min(objective, guaranteeObjective)
 	}
-	return aim
+	return objective
 }
 
 // shortestBootS is the shortest boot time in seconds of the types that fit the job, 0 if none does.
@@ -80,7 +80,7 @@
 // deviation. What finishes meanwhile is left to chance.
 func (c *Core) expectedSlots(cl *class, bootS float64) int {
 	n := cl.arrivalRate(c.now) * (bootS + rentDelayS)
-	slots := int(math.Round((n + math.Sqrt(n)) * *c.settings.Operator.SpareFactor))
+	slots := int(math.Round((n + math.Sqrt(n)) * *c.settings.Operator.HeadroomFactor))
 	for _, m := range c.machines.all() {
 		if slots > 0 && c.isSchedulable(m) && canClear(cl.sampleJob, m) {
 			slots--
@@ -116,7 +116,7 @@
 	for _, t := range c.settings.Deployment.Teams {
 		guaranteed += t.CPUs
 	}
-	return guaranteed * *c.settings.Operator.ReserveFactor
+	return guaranteed * *c.settings.Operator.QuotaReserveFactor
 }
 
 // serves is how many CPUs of such a machine the classes seen can use: the least
--- a/internal/sched/placement_test.go
+++ b/internal/sched/placement_test.go
@@ -9,7 +9,7 @@
 
 // The limit counts what may still run on a machine that can't be seen.
 func TestQuotaCountsUnseen(t *testing.T) {
-	b := newBed(t, config.Team{Name: "a", CPUsMax: 8})
+	b := newBed(t, config.Team{Name: "a", MaxCPUs: 8})
 	b.report("n-1", "s", "x", 1)
 	b.report("n-2", "s", "x", 1)
 	b.AddJob(spec("j-1", "a", wire.Normal, 2, 8), b.now, b.now)
--- a/internal/sched/scaleout_test.go
+++ b/internal/sched/scaleout_test.go
@@ -37,7 +37,7 @@
 // Work that waits within its team's guarantee but at its team's limit can't start: it keeps no
 // machine from others.
 func TestLimitedClaimNothing(t *testing.T) {
-	b := newBed(t, config.Team{Name: "a", CPUs: 100, CPUsMax: 4}, config.Team{Name: "b"})
+	b := newBed(t, config.Team{Name: "a", CPUs: 100, MaxCPUs: 4}, config.Team{Name: "b"})
 	b.report("n-1", "s", "x", 1)
 	b.AddJob(spec("j-1", "a", wire.High, 3, 4), b.now, b.now)
 	b.AddJob(spec("j-2", "b", wire.Low, 1, 4), b.now, b.now)
