--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -27,7 +27,7 @@
 	termWatchHold  = 4 * time.Second
 	termWatchRetry = 300 * time.Millisecond
 
-	// probeAfter: the state service is asked when it has given no answer for so long.
+	// probeAfter: the key-value store is asked when it has given no answer for so long.
 	probeAfter = 800 * time.Millisecond
 )
 
@@ -43,7 +43,7 @@
 }
 
 // election follows the term and takes it when it is free. The key's version is
-// the fencing token: every change of the state service raises the revision, so tokens
+// the fencing token: every change of the key-value store raises the revision, so tokens
 // only rise.
 //
 // A term that names this controller here is one under which nobody acts: an earlier process has
@@ -71,7 +71,7 @@
 }
 
 func newElection(c *Controller) *election {
-	return &election{controller: c, leaseTTL: seconds(*c.settings.Operator.TermS)}
+	return &election{controller: c, leaseTTL: seconds(*c.settings.Operator.LeaderLeaseS)}
 }
 
 // run stands for election again and again until the context ends or the controller is about to end.
@@ -180,7 +180,7 @@
 	}
 }
 
-// deferToStandbys lets those go first that stand by warm and rank before this controller, and says
+// deferToStandbys lets warm standbys go first that rank before this controller, and says
 // whether the term is still free.
 func (e *election) deferToStandbys(ctx context.Context) bool {
 	delay := e.controller.candidateDelay()
@@ -207,7 +207,7 @@
 }
 
 // acquire takes a vacant term under a new lease. A lease is opened only now: those of all the
-// controllers that merely stand by would cost the service more requests than the term itself.
+// controllers that merely wait would cost the service more requests than the term itself.
 func (e *election) acquire(ctx context.Context, free vacancy) (*heldTerm, error) {
 	termLease, err := openLease(ctx, e.controller.store, e.leaseTTL)
 	if err != nil {
@@ -261,7 +261,7 @@
 	}
 }
 
-// probeStore asks the state service now and then when nothing else has: whether this
+// probeStore asks the key-value store now and then when nothing else has: whether this
 // controller is healthy, and may renew leases by itself, goes by what the service last answered.
 func (e *election) probeStore(ctx context.Context) {
 	store := e.controller.store
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -26,7 +26,7 @@
 		rnd := rand.New(rand.NewPCG(seed, 16))
 		svc := emulator.NewServices(wire.Catalog{})
 		srv := httptest.NewServer(svc)
-		n := testNode(t, svc.ServeHTTP, func(set *config.Settings) { *set.Operator.TakeoverCopyS = 60 })
+		n := newTestController(t, svc.ServeHTTP, func(set *config.Settings) { *set.Operator.FailoverSnapshotS = 60 })
 		client := kvstore.New(strings.TrimPrefix(srv.URL, "http://"), 1e6, 1e6, 1)
 		write := func(k int) {
 			var txn wire.Txn
@@ -56,7 +56,7 @@
 		}
 		snap, err := snapshot.Take(r.ctx, client, copyPrefixes, noKeys, n.now)
 		if err == nil {
-			err = snap.Store(r.ctx, client, snapshot.StoreOptions{Term: r.termCondition(), Ops: 4, Value: 200})
+			err = snap.StoreCopy(r.ctx, client, snapshot.CopyOptions{Term: r.termCondition(), MaxMutations: 4, MaxValueBytes: 200})
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -69,8 +69,8 @@
 			t.Fatalf("seed %d: loaded %v", seed, copied)
 		}
 		for _, prefix := range copyPrefixes {
-			a, _, _ := r.list(copied, prefix)
-			b, _, err := r.list(nil, prefix)
+			a, _, _ := (&stateReader{leadership: r, copied: copied}).list(prefix)
+			b, _, err := (&stateReader{leadership: r}).list(prefix)
 			if err != nil || len(a) != len(b) || len(a) > 0 && !reflect.DeepEqual(a, b) {
 				t.Fatalf("seed %d, %s: %v; from the copy %v, read %v", seed, prefix, err, a, b)
 			}
@@ -79,7 +79,7 @@
 	}
 }
 
-// BenchmarkTakeover counts what a new leader asks of the state service, with and
+// BenchmarkTakeover counts what a new leader asks of the key-value store, with and
 // without a copy, for some numbers of live jobs and of jobs that are over.
 func BenchmarkTakeover(b *testing.B) {
 	for _, live := range []int{1000, 10_000} {
@@ -98,23 +98,23 @@
 func takeover(b *testing.B, live, over int, copies bool) {
 	svc := emulator.NewServices(wire.Catalog{})
 	var requests, bytes atomic.Int64
-	n := testNode(b, func(w http.ResponseWriter, r *http.Request) {
+	n := newTestController(b, func(w http.ResponseWriter, r *http.Request) {
 		requests.Add(1)
 		svc.ServeHTTP(counted{w, &bytes}, r)
 	}, func(set *config.Settings) {
 		set.Deployment.State.TxnOps = 12
 		if copies {
-			*set.Operator.TakeoverCopyS = 60
+			*set.Operator.FailoverSnapshotS = 60
 		}
 	})
 	for i := range live {
-		j := sceneJob(sceneID(i))
+		j := testJob(testJobID(i))
 		j.Class, j.Image, j.Tasks = "some-class", "some-image", 4
 		svc.Set(jobKey(j.ID), jobRecord{Job: *j, SubmittedAt: int64(i)})
 		svc.Set(fmt.Sprintf("%s%d.%d", ledgerPrefix, 7, i), sched.LedgerEntry{})
 	}
 	for i := range over {
-		svc.Set(endKey(fmt.Sprintf("j-9%06d", i)), sceneEnd(i))
+		svc.Set(endKey(fmt.Sprintf("j-9%06d", i)), testEnd(i))
 	}
 	svc.Set(termKey, termRecord{Node: "a", Mark: "a.1"})
 	e, _ := svc.Entry(termKey)
@@ -122,7 +122,7 @@
 	if copies {
 		snap, err := snapshot.Take(r.ctx, n.store, copyPrefixes, noKeys, n.now)
 		if err == nil {
-			err = snap.Store(r.ctx, n.store, snapshot.StoreOptions{Term: r.termCondition(), Ops: 4, Value: 16 << 10})
+			err = snap.StoreCopy(r.ctx, n.store, snapshot.CopyOptions{Term: r.termCondition(), MaxMutations: 4, MaxValueBytes: 16 << 10})
 		}
 		if err != nil {
 			b.Fatal(err)
--- a/internal/sched/size_test.go
+++ b/internal/sched/placetasks_test.go
@@ -13,7 +13,7 @@
 // with images, and arrays that want more than there is.
 func crowd(t testing.TB, seed uint64, machines, jobs int) *bed {
 	r := rand.New(rand.NewPCG(seed, 2))
-	b := newBed(t, config.Team{Name: "a"}, config.Team{Name: "b", CPUsMax: 300})
+	b := newBed(t, config.Team{Name: "a"}, config.Team{Name: "b", MaxCPUs: 300})
 	b.settings.Deployment.State.ValueKB, b.settings.Deployment.State.TxnOps = 1e6, 24 // a batch takes all
 	for i := 0; i < machines; i++ {
 		h := fmt.Sprintf("n-%06d", i)
@@ -47,7 +47,7 @@
 
 // Filling machine after machine decides as looking for a machine for each task
 // did, which at the grown size took too long.
-func TestFillingDecidesAsPlainScan(t *testing.T) {
+func TestFillingMatchesPlainScan(t *testing.T) {
 	for seed := uint64(1); seed <= 8; seed++ {
 		fast, plain := crowd(t, seed, 60, 20), crowd(t, seed, 60, 20)
 		fast.Schedule(fast.now)
