--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -12,7 +12,7 @@
 
 // What controllers store is encoded and decoded as testdata/stored.golden has it.
 func TestStoredStaysAsItIs(t *testing.T) {
-	golden.Messages(t, "stored.golden", []golden.Message{
+	messages := []golden.Message{
 		{Name: "job record", Zero: jobRecord{}},
 		{Name: "end record", Zero: endRecord{}},
 		{Name: "term record", Zero: termRecord{}},
@@ -21,7 +21,9 @@
 		{Name: "progress chunk", Zero: sched.ProgressChunk{}.Text},
 		{Name: "ledger entry", Zero: sched.LedgerEntry{}},
 		{Name: "learned", Zero: sched.Statistics{}},
-	})
+	}
+	golden.Messages(t, "stored.golden", messages)
+	golden.Complete(t, messages)
 }
 
 // Where controllers store it.
--- a/internal/dynconfig/golden_test.go
+++ b/internal/dynconfig/golden_test.go
@@ -10,7 +10,7 @@
 
 // What is stored of the configuration is encoded and decoded as testdata/stored.golden has it.
 func TestStoredStaysAsItIs(t *testing.T) {
-	golden.Messages(t, "stored.golden", []golden.Message{
+	messages := []golden.Message{
 		{Name: "document", Zero: Document{}},
 		{Name: "team", Zero: Team{}},
 		{Name: "cordon", Zero: Cordon{}},
@@ -21,7 +21,9 @@
 		{Name: "record", Zero: Record{}},
 		{Name: "change in the history", Zero: HistoryChange{}},
 		{Name: "history", Zero: History{}},
-	})
+	}
+	golden.Messages(t, "stored.golden", messages)
+	golden.Complete(t, messages)
 }
 
 // Where it is stored, and the names in files.
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -15,6 +15,9 @@
 	"errors"
 	"flag"
 	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
 	"hash/fnv"
 	"io"
 	"maps"
@@ -142,6 +145,55 @@
 	decodeAll(t, name, messages)
 }
 
+// Complete checks that every struct of the package in the current directory that has names
+// on the wire, in tags, is among the messages or a part of one.
+func Complete(t *testing.T, messages []Message) {
+	t.Helper()
+	covered := map[string]bool{}
+	for _, m := range messages {
+		cover(reflect.TypeOf(m.Zero), covered)
+	}
+	files, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, file := range files {
+		if strings.HasSuffix(file, "_test.go") {
+			continue
+		}
+		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
+		if err != nil {
+			t.Fatal(err)
+		}
+		ast.Inspect(parsed, func(node ast.Node) bool {
+			declared, ok := node.(*ast.TypeSpec)
+			if !ok {
+				return true
+			}
+			body, ok := declared.Type.(*ast.StructType)
+			if ok && !covered[declared.Name.Name] && slices.ContainsFunc(body.Fields.List, func(f *ast.Field) bool {
+				return f.Tag != nil && strings.Contains(f.Tag.Value, `msgpack:"`)
+			}) {
+				t.Errorf("%s: the form of %s is compared with no golden file", file, declared.Name.Name)
+			}
+			return true
+		})
+	}
+}
+
+// cover notes the names of a type and of all that it consists of.
+func cover(t reflect.Type, names map[string]bool) {
+	switch t.Kind() {
+	case reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map:
+		cover(t.Elem(), names)
+	case reflect.Struct:
+		names[t.Name()] = true
+		for i := range t.NumField() {
+			cover(t.Field(i).Type, names)
+		}
+	}
+}
+
 // JSON compares what filled values of types that are printed as JSON look like with
 // testdata/NAME.
 func JSON(t *testing.T, name string, messages []Message) {
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -12,7 +12,7 @@
 // What controllers say to one another is encoded and decoded as testdata/messages.golden has
 // it, so that two versions understand each other while a site is upgraded.
 func TestMessagesStayAsTheyAre(t *testing.T) {
-	golden.Messages(t, "messages.golden", []golden.Message{
+	messages := []golden.Message{
 		{Name: "hello", Zero: Heartbeat{}},
 		{Name: "heard", Zero: Contact{}},
 		{Name: "relay", Zero: RelayRequest{}},
@@ -27,7 +27,9 @@
 		{Name: "answer to a read", Zero: ConfigReadResponse{}},
 		{Name: "status", Zero: ConfigStatusRequest{}},
 		{Name: "answer to status", Zero: ConfigStatusResponse{}},
-	})
+	}
+	golden.Messages(t, "messages.golden", messages)
+	golden.Complete(t, messages)
 }
 
 // The methods' names, the outcomes of an apply, and the codec that both sides name.
--- a/internal/recurring/golden_test.go
+++ b/internal/recurring/golden_test.go
@@ -10,7 +10,9 @@
 
 // What is stored of a schedule is encoded and decoded as testdata/stored.golden has it.
 func TestStoredStaysAsItIs(t *testing.T) {
-	golden.Messages(t, "stored.golden", []golden.Message{{Name: "state of a schedule", Zero: State{}}})
+	messages := []golden.Message{{Name: "state of a schedule", Zero: State{}}}
+	golden.Messages(t, "stored.golden", messages)
+	golden.Complete(t, messages)
 }
 
 // A schedule keeps its revision, and an occurrence the id of its job: otherwise a new version
--- a/internal/sched/golden_test.go
+++ b/internal/sched/golden_test.go
@@ -8,8 +8,10 @@
 
 // What the core has stored is encoded and decoded as testdata/stored.golden has it.
 func TestStoredStaysAsItIs(t *testing.T) {
-	golden.Messages(t, "stored.golden", []golden.Message{
+	messages := []golden.Message{
 		{Name: "ledger entry", Zero: LedgerEntry{}},
 		{Name: "learned", Zero: Statistics{}},
-	})
+	}
+	golden.Messages(t, "stored.golden", messages)
+	golden.Complete(t, messages)
 }
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -14,11 +14,13 @@
 
 // What is stored of copies and restores, and a file's content, stay as they are.
 func TestStoredStaysAsItIs(t *testing.T) {
-	golden.Messages(t, "stored.golden", []golden.Message{
+	messages := []golden.Message{
 		{Name: "snapshot", Zero: Snapshot{}},
 		{Name: "head of a stored copy", Zero: copyHead{}},
 		{Name: "mark of a restore", Zero: restoreMark{}},
-	})
+	}
+	golden.Messages(t, "stored.golden", messages)
+	golden.Complete(t, messages)
 	golden.Text(t, "keys.golden", fmt.Sprintf("%s\n%s\n%s\n%s\n", StoredPrefix, headKey(1), partKey(1, 23), markKey))
 }
 
--- a/internal/standby/golden_test.go
+++ b/internal/standby/golden_test.go
@@ -8,5 +8,7 @@
 
 // Who stands by is told as testdata/messages.golden has it.
 func TestMessagesStayAsTheyAre(t *testing.T) {
-	golden.Messages(t, "messages.golden", []golden.Message{{Name: "view", Zero: View{}}})
+	messages := []golden.Message{{Name: "view", Zero: View{}}}
+	golden.Messages(t, "messages.golden", messages)
+	golden.Complete(t, messages)
 }
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -12,7 +12,7 @@
 // Every message is encoded and decoded as testdata/messages.golden has it. The file holds
 // the names on the wire and must not be rewritten.
 func TestMessagesStayAsTheyAre(t *testing.T) {
-	golden.Messages(t, "messages.golden", []golden.Message{
+	messages := []golden.Message{
 		{Name: "job", Zero: wire.Job{}},
 		{Name: "job status", Zero: wire.JobStatus{}},
 		{Name: "task in a report", Zero: wire.TaskStatus{}},
@@ -42,7 +42,9 @@
 		{Name: "schedules", Zero: wire.Schedules{}},
 		{Name: "job in a list", Zero: wire.JobSummary{}},
 		{Name: "job list", Zero: wire.JobList{}},
-	})
+	}
+	golden.Messages(t, "messages.golden", messages)
+	golden.Complete(t, messages)
 }
 
 // Paths, words and limits of the protocol.
