--- a/internal/sched/batch.go
+++ b/internal/sched/batch.go
@@ -135,8 +135,8 @@
 	b.reserveJob(p.job)
 	b.reserveMachine(p.machine)
 	b.placements = append(b.placements, ps...)
-	if p.machine.reservedFor == p.job {
-		p.machine.reservedFor = nil
+	if p.machine.isReservedFor(p.job) {
+		p.machine.endReservation()
 	}
 }
 
--- a/internal/sched/explain.go
+++ b/internal/sched/explain.go
@@ -40,7 +40,7 @@
 	tasksByZone := job.tasksByZone()
 	room := map[string]int{}
 	for _, machine := range ps.schedulable {
-		if machine.reservedFor == job {
+		if machine.isReservedFor(job) {
 			wait.Reserved++
 		}
 		zone := ""
@@ -143,7 +143,7 @@
 		if machine.placementCount == 0 {
 			usage.Idle++
 		}
-		if machine.reservedFor != nil {
+		if machine.isReserved() {
 			usage.Reserved++
 		}
 	}
--- a/internal/sched/gangclaim.go
+++ b/internal/sched/gangclaim.go
@@ -59,7 +59,7 @@
 	}
 	claims := &gangClaims{pass: ps, cleared: map[clearedKind]*clearedSlots{}, reserved: map[*job][]int{}}
 	for i, machine := range ps.schedulable {
-		if machine.reservedFor != nil {
+		if machine.isReserved() {
 			claims.reserved[machine.reservedFor] = append(claims.reserved[machine.reservedFor], i)
 		}
 	}
@@ -130,13 +130,13 @@
 // claimableByAny says whether the machine has room for any gang of the kind.
 func (cs *gangClaims) claimableByAny(cleared *clearedSlots, machine int) bool {
 	m := cs.pass.schedulable[machine]
-	return cleared.slots[machine] > 0 && cs.pass.claims[m] == 0 && (m.reservedFor == nil || m.reservedFor.rank < cleared.rank)
+	return cleared.slots[machine] > 0 && cs.pass.claims[m] == 0 && (!m.isReserved() || m.reservedFor.rank < cleared.rank)
 }
 
 // claimableSlots is how many tasks of the gang the machine has room for once it is cleared.
 func (cs *gangClaims) claimableSlots(gang *job, cleared *clearedSlots, tasksByZone map[string]int, machine int) int {
 	m := cs.pass.schedulable[machine]
-	reservedForIt := cleared.slots[machine] > 0 && cs.pass.claims[m] == 0 && m.reservedFor == gang
+	reservedForIt := cleared.slots[machine] > 0 && cs.pass.claims[m] == 0 && m.isReservedFor(gang)
 	if (reservedForIt || cs.claimableByAny(cleared, machine)) && satisfiesZones(gang, tasksByZone, m.zone) {
 		return cleared.slots[machine]
 	}
--- a/internal/sched/gangplan.go
+++ b/internal/sched/gangplan.go
@@ -57,7 +57,7 @@
 	ps.sortForPlan(gangs)
 	plan := &gangPlan{pass: ps, waited: map[string]bool{}, reserved: map[*job][]int{}, offers: map[offerKind]*gangOffers{}}
 	for i, machine := range ps.schedulable {
-		if machine.reservedFor != nil && machine.reservationStart > 0 {
+		if machine.isWaitedFor() {
 			plan.reserved[machine.reservedFor] = append(plan.reserved[machine.reservedFor], i)
 		}
 	}
@@ -88,7 +88,7 @@
 // that has not been looked at in this plan: one that is served before may have it.
 // Until then the machine stays reserved, or small tasks would take it in between.
 func (ps *pass) isReservedForWait(m *machine) bool {
-	return m.reservationStart > 0 && m.reservationCheckedAt < ps.core.gangsPlannedAt
+	return m.isWaitedFor() && m.reservationCheckedAt < ps.core.gangsPlannedAt
 }
 
 // makeRoom finds the machines on which a waiting gang could start with the least cost, in one
@@ -98,8 +98,8 @@
 // what is reserved for one isn't looked at for the next.
 func (gp *gangPlan) makeRoom(gang *job) {
 	for _, i := range gp.reserved[gang] {
-		if machine := gp.pass.schedulable[i]; machine.reservedFor == gang && machine.reservationStart > 0 {
-			machine.reservedFor = nil // chosen anew
+		if machine := gp.pass.schedulable[i]; machine.isReservedFor(gang) && machine.isWaitedFor() {
+			machine.endReservation() // chosen anew
 		}
 	}
 	best := gp.cheapestZone(gang)
@@ -127,11 +127,10 @@
 		gp.pass.preempt(gang, m, option.victims)
 		return
 	}
-	if m.reservedFor == gang && m.reservationStart == 0 && now < m.reservedUntil {
+	if m.isClearedFor(gang) && now < m.reservedUntil {
 		return // cleared for it
 	}
-	m.reservedFor, m.reservationStart, m.reservationCheckedAt = gang, now+max(start, 1), now
-	m.reservedUntil = now + start + reservationSlack
+	m.reserveWaiting(gang, now+max(start, 1), now+start+reservationSlack, now)
 }
 
 // zonePlan is how a gang can start in a zone.
@@ -244,14 +243,14 @@
 	if offer.slots == 0 || !satisfiesZones(gang, tasksByZone, m.zone) {
 		return startOption{}, false
 	}
-	if holder := m.reservedFor; holder != nil && holder != gang && ps.core.now < m.reservedUntil && holder.rank >= gang.rank && !ps.isReservedForWait(m) {
+	if m.isReservedForOther(gang) && ps.core.now < m.reservedUntil && m.reservedFor.rank >= gang.rank && !ps.isReservedForWait(m) {
 		return startOption{}, false
 	}
 	if offer.hasRoom && gang.spec.GPUs == 0 && m.machineType.GPUs > 0 && !ps.mayUseGPUMachine(gang, m) {
 		return startOption{}, false
 	}
 	cost := Micros(ps.placementScore(gang, m) * float64(second))
-	if m.reservedFor == gang && m.reservationStart == 0 {
+	if m.isClearedFor(gang) {
 		cost = 0 // cleared for it
 	}
 	return startOption{offer, m, index, cost}, true
--- a/internal/sched/gangplan_test.go
+++ b/internal/sched/gangplan_test.go
@@ -64,7 +64,7 @@
 func (b *bed) planned() (out []string) {
 	for _, m := range b.machines.all() {
 		s := fmt.Sprint(m.host, " claimed by ", b.lastPass.claims[m])
-		if m.reservedFor != nil {
+		if m.isReserved() {
 			s += fmt.Sprint(" reserved for ", m.reservedFor.id, m.reservationStart, m.reservedUntil, m.reservationCheckedAt)
 		}
 		for _, p := range m.placements {
@@ -115,7 +115,7 @@
 			}
 			preempted += fast.Stats.Preemptions - before
 			for _, m := range fast.machines.all() {
-				if m.reservedFor != nil {
+				if m.isReserved() {
 					reserved++
 				}
 				if fastPass.claims[m] > 0 {
--- a/internal/sched/gangplanreference_test.go
+++ b/internal/sched/gangplanreference_test.go
@@ -110,7 +110,7 @@
 	ways := map[string][]referenceOption{}
 	for _, m := range ps.schedulable {
 		if m.reservedFor == j && m.reservationStart > 0 {
-			m.reservedFor = nil // chosen anew
+			m.endReservation() // chosen anew
 		}
 		if r := m.reservedFor; r != nil && r != j && ps.core.now < m.reservedUntil && r.rank >= j.rank && !ps.isReservedForWait(m) {
 			continue
@@ -188,8 +188,7 @@
 		if w.m.reservedFor == j && w.m.reservationStart == 0 && ps.core.now < w.m.reservedUntil {
 			continue // cleared for it
 		}
-		w.m.reservedFor, w.m.reservationStart, w.m.reservationCheckedAt = j, ps.core.now+max(start, 1), ps.core.now
-		w.m.reservedUntil = ps.core.now + start + 5*second
+		w.m.reserveWaiting(j, ps.core.now+max(start, 1), ps.core.now+start+5*second, ps.core.now)
 	}
 }
 
--- a/internal/sched/machine.go
+++ b/internal/sched/machine.go
@@ -97,21 +97,6 @@
 // markCached notes that an image is there.
 func (i *imageCache) markCached(image string, now Micros) { i.cachedImages[image] = now }
 
-// reservation keeps a machine for a job.
-type reservation struct {
-	reservedFor          *job // nil if it isn't kept
-	reservedUntil        Micros
-	reservationCheckedAt Micros // when it was last decided that it is kept
-	reservationStart     Micros // when that job is expected to use it, 0 at once
-}
-
-// dropStale ends a reservation that has run out or that its job has no use for any more.
-func (r *reservation) dropStale(now Micros) {
-	if r.reservedFor != nil && (now >= r.reservedUntil || r.reservedFor.pendingCount() == 0) {
-		r.reservedFor = nil
-	}
-}
-
 // resourceUse is what tasks take of a machine.
 type resourceUse struct{ cpus, gpus, mem float64 }
 
--- a/internal/sched/placetasks.go
+++ b/internal/sched/placetasks.go
@@ -35,7 +35,7 @@
 // expected to be gone before that job can use it may run in the meantime.
 func (ps *pass) reservedAgainst(job *job, machine *machine) bool {
 	now, holder := ps.core.now, machine.reservedFor
-	if holder == nil || holder == job || now >= machine.reservedUntil || holder.rank < job.rank || holder.isOver() {
+	if !machine.isReservedForOther(job) || now >= machine.reservedUntil || holder.rank < job.rank || holder.isOver() {
 		return false
 	}
 	if holder.rank == job.rank && holder.withinGuarantee == job.withinGuarantee && job.underserved() && !holder.underserved() {
@@ -48,7 +48,7 @@
 	if starved && machine.placementCount == 0 && now-machine.idleSince > starvationAfter {
 		return false // reserved in vain for so long: that gang may wait for what can't be had
 	}
-	if machine.reservationStart == 0 || job.spec.EstimateS == 0 {
+	if !machine.isWaitedFor() || job.spec.EstimateS == 0 {
 		return true
 	}
 	fetch := Micros(machine.imageFetchS(job, now) * float64(second))
--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -86,7 +86,7 @@
 func (ps *pass) mayClearMore(j *job) bool {
 	cleared := 0
 	for _, m := range ps.schedulable {
-		if m.reservedFor == j {
+		if m.isReservedFor(j) {
 			cleared++
 		}
 	}
@@ -99,7 +99,7 @@
 	var bestCost Micros
 	tasksByZone, reclaims := job.tasksByZone(), job.reclaimsGuarantee()
 	for _, machine := range ps.schedulable {
-		if !allowed(job, machine) || machine.reservedFor != nil || !satisfiesZones(job, tasksByZone, machine.zone) || !fitsEmpty(job, machine) {
+		if !allowed(job, machine) || machine.isReserved() || !satisfiesZones(job, tasksByZone, machine.zone) || !fitsEmpty(job, machine) {
 			continue
 		}
 		if !reclaims && slotsFor(job, machine.machineType, machine.usedFrom(job.rank)) == 0 {
@@ -142,6 +142,5 @@
 			c.stopPlacement(placement, victim.checkpoint)
 		}
 	}
-	machine.reservedFor, machine.reservationStart = job, 0
-	machine.reservedUntil = c.now + queue + clearedReservation
+	machine.reserveCleared(job, c.now+queue+clearedReservation)
 }
--- a/internal/sched/replacement.go
+++ b/internal/sched/replacement.go
@@ -78,7 +78,7 @@
 func (c *Core) slotsBeyondWaiting(j *job) int {
 	slots := 0
 	for _, m := range c.lastPass.schedulable {
-		if allowed(j, m) && (m.reservedFor == nil || m.reservedFor == j) {
+		if allowed(j, m) && !m.isReservedForOther(j) {
 			slots += slotsFor(j, m.machineType, m.used())
 		}
 	}
--- a/internal/sched/scalein.go
+++ b/internal/sched/scalein.go
@@ -189,7 +189,7 @@
 
 // isIdleLong says whether a machine has been idle for longer than it is worth keeping.
 func (c *Core) isIdleLong(m *machine, idle *idleMachines) bool {
-	if m.scalingIn || !m.confirmed || m.placementCount > 0 || m.reservedFor != nil {
+	if m.scalingIn || !m.confirmed || m.placementCount > 0 || m.isReserved() {
 		return false
 	}
 	since := m.idleSince
