--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -66,7 +66,7 @@
 
 // silentGauges are the silent machines by the failure detector's verdict.
 func silentGauges(c *Controller) (out []gauge) {
-	for verdict := failuredomain.Unclear; verdict <= failuredomain.Blind; verdict++ {
+	for verdict := failuredomain.Undetermined; verdict <= failuredomain.ObserverIsolated; verdict++ {
 		name := verdict.String()
 		out = append(out, gauge{
 			name: "machines_silent", help: "Silent machines, by what has most likely become of them.", labels: prometheus.Labels{"verdict": name},
--- a/internal/controller/workercontacts.go
+++ b/internal/controller/workercontacts.go
@@ -138,7 +138,7 @@
 	for _, member := range c.settings.Members {
 		view := failuredomain.Controller{Zone: member.Zone}
 		if at := c.peerTable.lastSeen(member.Label); !at.IsZero() {
-			view.Heard = max(1, c.now()-config.Micros(time.Since(at)/time.Microsecond))
+			view.LastHeard = max(1, c.now()-config.Micros(time.Since(at)/time.Microsecond))
 		}
 		peers = append(peers, view)
 	}
--- a/internal/failuredomain/detector_test.go
+++ b/internal/failuredomain/detector_test.go
@@ -23,20 +23,20 @@
 const began = 1000 * second
 
 func params() Params {
-	return Params{Zone: "a", Began: began, Report: 4 * second, ListLag: 4 * second}
+	return Params{ObserverZone: "a", StartedAt: began, ReportInterval: 4 * second, ListLag: 4 * second}
 }
 
 // site is ten machines in each of three zones, one controller in a and b, none in c.
 func site(now Micros, silent func(zone string, i int) Micros) (ms []Machine, cs []Controller) {
 	for _, z := range []string{"a", "b", "c"} {
 		for i := range 10 {
-			ms = append(ms, Machine{Zone: z, Mine: true, Heard: now - silent(z, i)})
+			ms = append(ms, Machine{Zone: z, ReportedHere: true, LastHeard: now - silent(z, i)})
 		}
 	}
 	return ms, []Controller{{"a", now - second}, {"b", now - min(silent("b", 0), silent("b", 9))}}
 }
 
-func TestVerdicts(t *testing.T) {
+func TestDiagnoses(t *testing.T) {
 	now := began + 500*second
 	quiet := func(zones string, by Micros) func(string, int) Micros {
 		return func(z string, i int) Micros {
@@ -55,33 +55,33 @@
 		want    Verdict
 		working bool
 	}{
-		{"nothing is silent", quiet("", 0), Machine{Zone: "b", Heard: now - 5*second}, Serving, false},
-		{"late, but no more than one node that did not answer", quiet("b", 10*second), Machine{Zone: "b", Heard: now - 10*second}, Serving, false},
-		{"one by itself", quiet("", 0), Machine{Zone: "b", Heard: now - 20*second}, Unclear, false},
-		{"listed long after", quiet("", 0), Machine{Zone: "b", Heard: now - 60*second, Running: now - 10*second}, Hung, false},
-		{"listed as failed", quiet("b", 40*second), Machine{Zone: "b", Heard: now - 40*second, Failed: true}, Dead, false},
-		{"with its zone, a controller inside", quiet("b", 30*second), Machine{Zone: "b", Heard: now - 30*second}, Cut, true},
-		{"with its zone, no controller inside", quiet("c", 30*second), Machine{Zone: "c", Heard: now - 30*second}, Cut, false},
-		{"two zones of three", quiet("bc", 30*second), Machine{Zone: "c", Heard: now - 30*second}, Cut, false},
-		{"everything", quiet("abc", 30*second), Machine{Zone: "c", Heard: now - 30*second}, Blind, false},
-		{"the observer's own zone", quiet("a", 30*second), Machine{Zone: "a", Heard: now - 30*second}, Unclear, false},
+		{"nothing is silent", quiet("", 0), Machine{Zone: "b", LastHeard: now - 5*second}, Reachable, false},
+		{"late, but no more than one node that did not answer", quiet("b", 10*second), Machine{Zone: "b", LastHeard: now - 10*second}, Reachable, false},
+		{"one by itself", quiet("", 0), Machine{Zone: "b", LastHeard: now - 20*second}, Undetermined, false},
+		{"listed long after", quiet("", 0), Machine{Zone: "b", LastHeard: now - 60*second, ListedRunning: now - 10*second}, Hung, false},
+		{"listed as failed", quiet("b", 40*second), Machine{Zone: "b", LastHeard: now - 40*second, ListedFailed: true}, Dead, false},
+		{"with its zone, a controller inside", quiet("b", 30*second), Machine{Zone: "b", LastHeard: now - 30*second}, Partitioned, true},
+		{"with its zone, no controller inside", quiet("c", 30*second), Machine{Zone: "c", LastHeard: now - 30*second}, Partitioned, false},
+		{"two zones of three", quiet("bc", 30*second), Machine{Zone: "c", LastHeard: now - 30*second}, Partitioned, false},
+		{"everything", quiet("abc", 30*second), Machine{Zone: "c", LastHeard: now - 30*second}, ObserverIsolated, false},
+		{"the observer's own zone", quiet("a", 30*second), Machine{Zone: "a", LastHeard: now - 30*second}, Undetermined, false},
 	} {
 		d := New(params())
 		ms, cs := site(now, c.silent)
-		d.Survey(now, ms, cs)
-		f := d.Judge(now, c.m)
-		if f.Verdict != c.want || f.Working != c.working {
-			t.Errorf("%s: %v, working %v (%s), want %v, %v", c.name, f.Verdict, f.Working, f.Evidence, c.want, c.working)
+		d.Update(now, ms, cs)
+		f := d.Diagnose(now, c.m)
+		if f.Verdict != c.want || f.LeasesRenewed != c.working {
+			t.Errorf("%s: %v, working %v (%s), want %v, %v", c.name, f.Verdict, f.LeasesRenewed, f.Evidence, c.want, c.working)
 		}
-		if f.Verdict == Cut && (f.Since < now-32*second || f.Since > now-28*second) {
-			t.Errorf("%s: silent since %d s ago", c.name, (now-f.Since)/second)
+		if f.Verdict == Partitioned && (f.SilentSince < now-32*second || f.SilentSince > now-28*second) {
+			t.Errorf("%s: silent since %d s ago", c.name, (now-f.SilentSince)/second)
 		}
 	}
 }
 
 // A report that was held back and comes late must not move the time since which the
 // zone is silent, nor end the cut.
-func TestLateReport(t *testing.T) {
+func TestLateHeartbeat(t *testing.T) {
 	now := began + 500*second
 	d := New(params())
 	ms, cs := site(now, func(z string, i int) Micros {
@@ -90,17 +90,17 @@
 		}
 		return 0
 	})
-	cs[1].Heard = now - 40*second
-	if ch := d.Survey(now, ms, cs); len(ch) != 1 || !ch[0].Cut || now-ch[0].Since < 39*second {
+	cs[1].LastHeard = now - 40*second
+	if ch := d.Update(now, ms, cs); len(ch) != 1 || !ch[0].Partitioned || now-ch[0].Since < 39*second {
 		t.Errorf("changes %+v", ch)
 	}
-	if ch := d.Survey(now+second, ms, cs); len(ch) != 0 || !d.IsCut("b") {
+	if ch := d.Update(now+second, ms, cs); len(ch) != 0 || !d.IsPartitioned("b") {
 		t.Errorf("changed to %+v", ch)
 	}
 }
 
 // When a zone comes back its workers find their controllers one after the other.
-func TestZoneComesBack(t *testing.T) {
+func TestZoneRecovers(t *testing.T) {
 	now := began + 500*second
 	d := New(params())
 	cut := func(z string, _ int) Micros {
@@ -110,7 +110,7 @@
 		return 0
 	}
 	ms, cs := site(now, cut)
-	d.Survey(now, ms, cs)
+	d.Update(now, ms, cs)
 	now += 5 * second
 	ms, cs = site(now, func(z string, i int) Micros {
 		if z == "b" && i < 4 {
@@ -118,23 +118,23 @@
 		}
 		return 0
 	})
-	if ch := d.Survey(now, ms, cs); len(ch) != 1 || ch[0].Cut || ch[0].Lasted != 35*second {
+	if ch := d.Update(now, ms, cs); len(ch) != 1 || ch[0].Partitioned || ch[0].Duration != 35*second {
 		t.Fatalf("changes %+v", ch)
 	}
-	late := Machine{Zone: "b", Heard: now - 35*second}
-	if f := d.Judge(now, late); f.Verdict != Cut || !f.Working {
+	late := Machine{Zone: "b", LastHeard: now - 35*second}
+	if f := d.Diagnose(now, late); f.Verdict != Partitioned || !f.LeasesRenewed {
 		t.Errorf("%v at once, want it to be given time", f.Verdict)
 	}
-	if f := d.Judge(now+20*second, late); f.Verdict != Unclear {
+	if f := d.Diagnose(now+20*second, late); f.Verdict != Undetermined {
 		t.Errorf("%v twenty seconds later", f.Verdict)
 	}
 }
 
 // With nothing known a silence is expected to last as long again; what was seen of
 // earlier ones moves that, and a mass event counts once.
-func TestExpectation(t *testing.T) {
-	var e episodes
-	if got := e.remaining(20 * second); got != 20*second {
+func TestExpectedRemaining(t *testing.T) {
+	var e silenceLengths
+	if got := e.expectedRemaining(20 * second); got != 20*second {
 		t.Errorf("%d s with nothing known", got/second)
 	}
 	for i := range Micros(80) {
@@ -143,19 +143,19 @@
 	if len(e.lengths) != 1 {
 		t.Errorf("one event counts %d times", len(e.lengths))
 	}
-	if got := e.remaining(20 * second); got != 15*second {
+	if got := e.expectedRemaining(20 * second); got != 15*second {
 		t.Errorf("%d s after a silence of 30 s was seen", got/second)
 	}
-	if got := e.remaining(40 * second); got != 40*second {
+	if got := e.expectedRemaining(40 * second); got != 40*second {
 		t.Errorf("%d s beyond all that was seen", got/second)
 	}
 }
 
-// TestSurveys checks, on random surveys one after the other, what must hold whatever
+// TestRandomObservations checks, on random surveys one after the other, what must hold whatever
 // is heard: the observer's own zone is never found to be cut off, nor is any while
 // nothing elsewhere is heard or while a controller in it answers; what reports is
 // serving; and a new observer that remembers expects the same.
-func TestSurveys(t *testing.T) {
+func TestRandomObservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := New(params())
 		now := began
@@ -170,35 +170,35 @@
 				}
 			}
 			ms, cs := site(now, func(z string, i int) Micros { return Micros(ages[int(z[0]-'a')*10+i]) * second })
-			cs[1].Heard = now - Micros(rapid.IntRange(0, 60).Draw(t, "controller"))*second
-			d.Survey(now, ms, cs)
-			if d.IsCut("a") {
+			cs[1].LastHeard = now - Micros(rapid.IntRange(0, 60).Draw(t, "controller"))*second
+			d.Update(now, ms, cs)
+			if d.IsPartitioned("a") {
 				t.Fatal("the observer's own zone is cut off")
 			}
 			for _, m := range ms {
-				f := d.Judge(now, m)
-				heard := now-m.Heard <= d.p.Silence()
-				if heard != (f.Verdict == Serving) {
-					t.Fatalf("heard %d s ago: %v", (now-m.Heard)/second, f.Verdict)
+				f := d.Diagnose(now, m)
+				heard := now-m.LastHeard <= d.params.SilenceThreshold()
+				if heard != (f.Verdict == Reachable) {
+					t.Fatalf("heard %d s ago: %v", (now-m.LastHeard)/second, f.Verdict)
 				}
-				if f.Verdict != Serving && f.Expect <= 0 {
-					t.Fatalf("%v is expected for %d us more", f.Verdict, f.Expect)
+				if f.Verdict != Reachable && f.ExpectedSilence <= 0 {
+					t.Fatalf("%v is expected for %d us more", f.Verdict, f.ExpectedSilence)
 				}
 			}
 			var silent int
 			for _, m := range ms {
-				if now-m.Heard > d.p.Silence() {
+				if now-m.LastHeard > d.params.SilenceThreshold() {
 					silent++
 				}
 			}
-			if silent == len(ms) && !d.IsBlind() {
+			if silent == len(ms) && !d.IsObserverIsolated() {
 				t.Fatal("everything is silent and the fault is looked for elsewhere")
 			}
 		}
 		e := New(params())
-		e.Remember(d.Memory())
+		e.Restore(d.History())
 		for _, s := range []Micros{1, 20, 60} {
-			if a, b := d.cuts.remaining(s*second), e.cuts.remaining(s*second); a != b {
+			if a, b := d.partitions.expectedRemaining(s*second), e.partitions.expectedRemaining(s*second); a != b {
 				t.Fatalf("after %d s of a cut %d us are expected, before %d", s, b, a)
 			}
 		}
--- a/internal/failuredomain/golden_test.go
+++ b/internal/failuredomain/golden_test.go
@@ -8,5 +8,5 @@
 
 // What is remembered of past silences is stored as testdata/stored.golden has it.
 func TestStoredStaysAsItIs(t *testing.T) {
-	golden.Messages(t, "stored.golden", []golden.Message{{Name: "silences", Zero: Memory{}}})
+	golden.Messages(t, "stored.golden", []golden.Message{{Name: "silences", Zero: History{}}})
 }
--- a/internal/sched/bootestimate.go
+++ b/internal/sched/bootestimate.go
@@ -170,7 +170,7 @@
 // may be expected to be up for longer, of the next few boot times.
 func (c *Core) unlikelyToBoot(m *machine, boots map[string]survivalCurve) bool {
 	s, known := boots[m.machineType.Name]
-	if !known || !m.booting || m.registered || m.lastListedRunning > 0 || c.detector.IsCut(m.zone) {
+	if !known || !m.booting || m.registered || m.lastListedRunning > 0 || c.detector.IsPartitioned(m.zone) {
 		return false // what the cloud shows running boots no more, and nothing comes through from a zone that is cut off
 	}
 	age := m.bootAge(c.now)
--- a/internal/sched/failures.go
+++ b/internal/sched/failures.go
@@ -15,30 +15,30 @@
 // failureMonitor finds out which machines and zones have failed.
 type failureMonitor struct {
 	*failuredomain.Detector
-	surveyed []failuredomain.Machine // of the last survey, kept to be used again
+	observed []failuredomain.Machine // of the last survey, kept to be used again
 }
 
 func newFailureMonitor(settings *config.Settings, now Micros) failureMonitor {
 	return failureMonitor{Detector: failuredomain.New(failuredomain.Params{
-		Zone: settings.Zone, Began: now, Report: config.Micro(settings.Deployment.Workers.ReportS),
+		ObserverZone: settings.Zone, StartedAt: now, ReportInterval: config.Micro(settings.Deployment.Workers.ReportS),
 		ListLag: config.Micro(settings.Deployment.Cloud.ListLagS),
 	})}
 }
 
-// survey lets the detector look at all machines, and returns the zones that were cut off or came back.
-func (f *failureMonitor) survey(now Micros, machines []*machine, controllers []failuredomain.Controller) []failuredomain.Change {
-	f.surveyed = f.surveyed[:0]
+// update lets the detector look at all machines, and returns the zones that were cut off or came back.
+func (f *failureMonitor) update(now Micros, machines []*machine, controllers []failuredomain.Controller) []failuredomain.ZoneChange {
+	f.observed = f.observed[:0]
 	for _, m := range machines {
 		if m.isWatched() {
-			f.surveyed = append(f.surveyed, m.observation())
+			f.observed = append(f.observed, m.observation())
 		}
 	}
-	return f.Survey(now, f.surveyed, controllers)
+	return f.Update(now, f.observed, controllers)
 }
 
-// judge is what the detector says of a machine.
-func (f *failureMonitor) judge(now Micros, m *machine) failuredomain.Finding {
-	return f.Judge(now, m.observation())
+// diagnose is what the detector says of a machine.
+func (f *failureMonitor) diagnose(now Micros, m *machine) failuredomain.Diagnosis {
+	return f.Diagnose(now, m.observation())
 }
 
 // isWatched says whether the detector looks at the machine: its silence would say something.
@@ -47,17 +47,17 @@
 // observation is what the detector gets to know of a machine. Another controller may know
 // when it was last heard from before its first heartbeat in this term.
 func (m *machine) observation() failuredomain.Machine {
-	return failuredomain.Machine{Zone: m.zone, Mine: m.confirmed || m.leaseExpired, Heard: max(m.lastHeartbeat, m.lastPeerContact), Running: m.lastListedRunning, Failed: m.failed}
+	return failuredomain.Machine{Zone: m.zone, ReportedHere: m.confirmed || m.leaseExpired, LastHeard: max(m.lastHeartbeat, m.lastPeerContact), ListedRunning: m.lastListedRunning, ListedFailed: m.failed}
 }
 
 // DetectFailures lets the detector look at the machines and the other controllers.
 func (c *Core) DetectFailures(now Micros, controllers []failuredomain.Controller) {
 	c.now = now
-	for _, change := range c.detector.survey(now, c.machines.all(), controllers) {
-		if change.Cut {
-			c.log("zone cut off", "zone", change.Zone, "silent_us", now-change.Since, "evidence", change.Evidence, "leases_renewed_inside", change.Renewing)
+	for _, change := range c.detector.update(now, c.machines.all(), controllers) {
+		if change.Partitioned {
+			c.log("zone cut off", "zone", change.Zone, "silent_us", now-change.Since, "evidence", change.Evidence, "leases_renewed_inside", change.LeasesRenewed)
 		} else {
-			c.log("zone back", "zone", change.Zone, "after_us", change.Lasted, "evidence", change.Evidence)
+			c.log("zone back", "zone", change.Zone, "after_us", change.Duration, "evidence", change.Evidence)
 		}
 	}
 	for _, m := range c.machines.all() {
@@ -69,7 +69,7 @@
 
 // updateVerdict takes what the detector says of a machine.
 func (c *Core) updateVerdict(m *machine) {
-	verdict := c.detector.judge(c.now, m).Verdict
+	verdict := c.detector.diagnose(c.now, m).Verdict
 	if verdict != m.verdict && (verdict == failuredomain.Hung || verdict == failuredomain.Dead) {
 		c.log("silent machine", "host", m.host, "zone", m.zone, "verdict", verdict.String(), "silent_us", c.now-m.lastHeartbeat, "tasks", m.placementCount)
 	}
@@ -83,17 +83,17 @@
 	for _, m := range c.machines.all() {
 		machines[m.verdict.String()]++
 	}
-	return machines, c.detector.Cuts()
+	return machines, c.detector.PartitionedZones()
 }
 
 // unreachable says whether a machine can't be counted on for work that waits: it is silent
 // and not expected back before another one would be up.
 func (c *Core) unreachable(m *machine) bool {
-	if !m.registered || m.verdict == failuredomain.Serving {
+	if !m.registered || m.verdict == failuredomain.Reachable {
 		return m.leaseExpired
 	}
-	f := c.detector.judge(c.now, m)
-	return f.Expect > config.Micro(0.8*m.machineType.BootS) || f.Verdict == failuredomain.Dead
+	f := c.detector.diagnose(c.now, m)
+	return f.ExpectedSilence > config.Micro(0.8*m.machineType.BootS) || f.Verdict == failuredomain.Dead
 }
 
 // releaseUndispatched releases launches of a silent machine that were stored but never went with an
--- a/internal/sched/failures_test.go
+++ b/internal/sched/failures_test.go
@@ -21,7 +21,7 @@
 		if sent {
 			b.report("n-1", "s", "x", 1)
 		}
-		b.now += b.detector.Silence() + second
+		b.now += b.detector.SilenceThreshold() + second
 		b.report("n-2", "s", "x", 1)
 		b.schedule()
 		if got := b.machines.find("n-2").placementCount == 1; got == sent {
@@ -48,7 +48,7 @@
 	}
 	var cs []failuredomain.Controller
 	if inside {
-		cs = append(cs, failuredomain.Controller{Zone: "y", Heard: b.now})
+		cs = append(cs, failuredomain.Controller{Zone: "y", LastHeard: b.now})
 	}
 	for range 30 {
 		b.now += second
@@ -65,7 +65,7 @@
 // gone is given back whatever it costs, and one that the list shows dead at once.
 func TestSilentZone(t *testing.T) {
 	b := zoneBed(t, true)
-	if !b.detector.IsCut("y") {
+	if !b.detector.IsPartitioned("y") {
 		t.Fatal("not found to be cut off")
 	}
 	if back := b.ScaleIn(b.now, false); slices.Contains(back, "n-1") {
@@ -113,8 +113,8 @@
 	for _, h := range []string{"n-5", "n-6", "n-7"} {
 		b.report(h, "s", "x", 1)
 	}
-	b.DetectFailures(b.now, []failuredomain.Controller{{Zone: "y", Heard: b.now - 15*second}})
-	if !b.detector.IsCut("y") {
+	b.DetectFailures(b.now, []failuredomain.Controller{{Zone: "y", LastHeard: b.now - 15*second}})
+	if !b.detector.IsPartitioned("y") {
 		t.Error("the zone's silence began anew with the term")
 	}
 }
--- a/internal/sched/fleet.go
+++ b/internal/sched/fleet.go
@@ -41,7 +41,7 @@
 	if listed.State == wire.MachineFailed && !m.failed {
 		m.failed = true
 		if m.registered {
-			c.detector.Died()
+			c.detector.RecordDeath()
 		}
 	}
 }
@@ -115,7 +115,7 @@
 // on this side, and another controller should take over.
 func (c *Core) Blind(now Micros) bool {
 	c.now = now
-	return c.detector.IsBlind()
+	return c.detector.IsObserverIsolated()
 }
 
 // FleetSize counts the machines known and those whose workers have confirmed the
--- a/internal/sched/heartbeat.go
+++ b/internal/sched/heartbeat.go
@@ -55,8 +55,8 @@
 
 // acceptHeartbeat takes what a heartbeat of this term says of the machine itself: it has its lease.
 func (c *Core) acceptHeartbeat(m *machine, r *wire.Heartbeat) {
-	if m.lastHeartbeat > 0 && !c.detector.IsCut(m.zone) && c.canSampleTimes() {
-		c.detector.Resumed(c.now, c.now-m.lastHeartbeat)
+	if m.lastHeartbeat > 0 && !c.detector.IsPartitioned(m.zone) && c.canSampleTimes() {
+		c.detector.RecordRecovery(c.now, c.now-m.lastHeartbeat)
 	}
 	m.addr, m.registered, m.leaseExpired = r.Addr, true, false
 	if r.Incarnation > m.incarnation {
--- a/internal/sched/reconcile.go
+++ b/internal/sched/reconcile.go
@@ -27,7 +27,7 @@
 // reconcile looks after machines and tasks as time passes.
 func (c *Core) reconcile() {
 	pushes := c.pushLimit()
-	expiry, silence := c.leaseExpiry(), c.detector.Silence()
+	expiry, silence := c.leaseExpiry(), c.detector.SilenceThreshold()
 	for _, m := range c.machines.all() {
 		if pushes > 0 && c.needsToken(m) {
 			pushes--
@@ -79,7 +79,7 @@
 	if !m.registered || m.confirmed || m.scalingIn || m.addr == "" || m.incarnation == 0 || c.now-m.tokenPushedAt <= pushInterval {
 		return false
 	}
-	return !m.leaseExpired || m.placementCount > 0 && !c.detector.IsCut(m.zone)
+	return !m.leaseExpired || m.placementCount > 0 && !c.detector.IsPartitioned(m.zone)
 }
 
 // expireLease notes that as far as this controller can tell a machine's lease has run out. But while the
@@ -89,7 +89,7 @@
 func (c *Core) expireLease(m *machine) {
 	m.leaseExpired, m.confirmed = true, false
 	c.Stats.LeasesExpired++
-	c.log("silent beyond its lease", "host", m.host, "zone", m.zone, "tasks", m.placementCount, "zone_cut", c.detector.IsCut(m.zone))
+	c.log("silent beyond its lease", "host", m.host, "zone", m.zone, "tasks", m.placementCount, "zone_cut", c.detector.IsPartitioned(m.zone))
 }
 
 // stopBrokenGangs stops what is left of gang attempts that can't complete any more.
--- a/internal/sched/replacement.go
+++ b/internal/sched/replacement.go
@@ -28,7 +28,7 @@
 // delay is how long a task of a returned machine would wait until it runs again: it
 // takes a free slot, or a machine that has to be rented, or, where none can be had,
 // the one that takes the returned one's place once it can be reached.
-func (r *rescheduleCosts) delay(j *job, m *machine, finding *failuredomain.Finding) Micros {
+func (r *rescheduleCosts) delay(j *job, m *machine, finding *failuredomain.Diagnosis) Micros {
 	fetch := config.Micro(j.spec.ImageGB / max(m.machineType.FetchGBPS, slowestFetch))
 	if r.takeSlot(j) {
 		return fetch
@@ -37,8 +37,8 @@
 		return boot + fetch
 	}
 	boot := config.Micro(m.machineType.BootS)
-	if finding.Verdict == failuredomain.Cut {
-		boot = max(finding.Expect, boot)
+	if finding.Verdict == failuredomain.Partitioned {
+		boot = max(finding.ExpectedSilence, boot)
 	}
 	return boot + fetch
 }
@@ -114,7 +114,7 @@
 
 // isRentable says whether, as far as known, the cloud has such a machine for the job that could be reached.
 func (c *Core) isRentable(j *job, t *wire.MachineType, zone string) bool {
-	if !fitsType(&j.spec, t) || (j.spec.Zone != nil && *j.spec.Zone != zone) || c.detector.IsCut(zone) {
+	if !fitsType(&j.spec, t) || (j.spec.Zone != nil && *j.spec.Zone != zone) || c.detector.IsPartitioned(zone) {
 		return false
 	}
 	return !c.lacksCapacity(t.Name, zone, false) || (j.spec.Spot && !c.lacksCapacity(t.Name, zone, true))
@@ -138,9 +138,9 @@
 // may still be on the machine; it is never free of cost, since a machine that is only
 // cut off goes on working.
 func (c *Core) shouldReplace(m *machine, costs *rescheduleCosts) (why string, replace bool) {
-	finding := c.detector.judge(c.now, m)
+	finding := c.detector.diagnose(c.now, m)
 	switch {
-	case finding.Verdict == failuredomain.Blind:
+	case finding.Verdict == failuredomain.ObserverIsolated:
 		return "", false
 	case finding.Verdict == failuredomain.Dead:
 		return finding.Evidence, true
@@ -155,11 +155,11 @@
 }
 
 // expectedSilence is how long a silent machine is expected to stay so, in microseconds.
-func expectedSilence(finding *failuredomain.Finding) float64 {
-	back := float64(finding.Expect)
-	if finding.Verdict == failuredomain.Unclear {
+func expectedSilence(finding *failuredomain.Diagnosis) float64 {
+	back := float64(finding.ExpectedSilence)
+	if finding.Verdict == failuredomain.Undetermined {
 		// Either it is dead, which the list will tell, or it comes back.
-		return finding.Dying*float64(finding.Known) + (1-finding.Dying)*back
+		return finding.DeathProbability*float64(finding.KnownIn) + (1-finding.DeathProbability)*back
 	}
 	return back
 }
@@ -169,7 +169,7 @@
 	core    *Core
 	machine *machine
 	costs   *rescheduleCosts
-	finding *failuredomain.Finding
+	finding *failuredomain.Diagnosis
 	wait    float64 // microseconds until the machine is expected back, by the set patience
 }
 
@@ -217,10 +217,10 @@
 		return part * w.wait * float64(j.spec.Tasks), true // its whole gang waits for this attempt to be gone
 	}
 	delay := float64(w.costs.delay(j, w.machine, w.finding))
-	if p.stopping || !w.finding.Working {
+	if p.stopping || !w.finding.LeasesRenewed {
 		return part * (w.wait - delay), true // it runs no more: it only has to start again
 	}
-	left, lost, unended := w.core.workAtRisk(p, w.finding.Since)
+	left, lost, unended := w.core.workAtRisk(p, w.finding.SilentSince)
 	return part * (unended*(max(w.wait, left)-(delay+left+lost)) + (1-unended)*(w.wait-delay)), true
 }
 
--- a/internal/sched/scale_test.go
+++ b/internal/sched/scale_test.go
@@ -67,7 +67,7 @@
 		}
 		bm.Run(fmt.Sprint("silence/", n), func(bm *testing.B) {
 			for bm.Loop() {
-				b.DetectFailures(b.now, []failuredomain.Controller{{Zone: "x", Heard: b.now}})
+				b.DetectFailures(b.now, []failuredomain.Controller{{Zone: "x", LastHeard: b.now}})
 				b.ScaleInFailed(b.ScaleIn(b.now, false), b.now)
 			}
 		})
--- a/internal/sched/scaleout.go
+++ b/internal/sched/scaleout.go
@@ -438,7 +438,7 @@
 		if (spec.Zone != nil && *spec.Zone != zone) || (search.zone != "" && zone != search.zone) || !satisfiesZones(search.job, search.tasksByZone, zone) {
 			continue
 		}
-		if c.detector.IsCut(zone) || !c.mayScaleOutIn(t.Name, zone) {
+		if c.detector.IsPartitioned(zone) || !c.mayScaleOutIn(t.Name, zone) {
 			continue
 		}
 		for _, spot := range []bool{true, false} {
--- a/internal/sched/statistics.go
+++ b/internal/sched/statistics.go
@@ -12,12 +12,12 @@
 // to observe anew. It decides nothing by itself: a late or missing copy only costs
 // time.
 type Statistics struct {
-	At      Micros               `msgpack:"A"` // time of day
-	Write   float64              `msgpack:"W"` // bandwidth of saves, GB/s
-	Classes []ClassStatistics    `msgpack:"C"`
-	Teams   []TeamStatistics     `msgpack:"T,omitempty"`
-	Suspect []JobStatistics      `msgpack:"J,omitempty"`
-	Silence failuredomain.Memory `msgpack:"S"` // how past silences of machines and zones ended
+	At      Micros                `msgpack:"A"` // time of day
+	Write   float64               `msgpack:"W"` // bandwidth of saves, GB/s
+	Classes []ClassStatistics     `msgpack:"C"`
+	Teams   []TeamStatistics      `msgpack:"T,omitempty"`
+	Suspect []JobStatistics       `msgpack:"J,omitempty"`
+	Silence failuredomain.History `msgpack:"S"` // how past silences of machines and zones ended
 }
 
 // ClassStatistics is what was observed of a class of jobs.
@@ -101,7 +101,7 @@
 // Statistics sums up what was observed.
 func (c *Core) Statistics(now Micros) Statistics {
 	l := Statistics{
-		At: now, Write: c.bandwidth.write, Silence: c.detector.Memory(),
+		At: now, Write: c.bandwidth.write, Silence: c.detector.History(),
 		Classes: c.classStatistics(now), Teams: c.teamStatistics(now), Suspect: c.suspectStatistics(),
 	}
 	l.cutTeams(c.settings.Deployment.State.ValueKB * 1024)
@@ -149,7 +149,7 @@
 	if l.Write > 0 {
 		c.bandwidth.write = l.Write
 	}
-	c.detector.Remember(l.Silence)
+	c.detector.Restore(l.Silence)
 	at := min(l.At, c.now)
 	for i := range l.Classes {
 		c.restoreClass(&l.Classes[i], at)
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -49,13 +49,13 @@
 func (w *World) controllers() []failuredomain.Controller {
 	var out []failuredomain.Controller
 	for _, z := range []string{"x", "y"} {
-		c := failuredomain.Controller{Zone: z, Heard: w.Now}
+		c := failuredomain.Controller{Zone: z, LastHeard: w.Now}
 		if x := w.zones[z]; x != nil {
 			if !x.inside {
 				continue // nobody is there
 			}
 			if w.Now < x.until {
-				c.Heard = x.from
+				c.LastHeard = x.from
 			}
 		}
 		out = append(out, c)
