--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -177,9 +177,7 @@
 var named = regexp.MustCompile(`\.((max|most|min|least)[A-Z]|Max[A-Z]|Most[A-Z]|Min[A-Z]|.*(Page|Conns|Bytes|Queue)$)`)
 
 // notLimits are constants with such names that don't bound a size, a rate, a count or a buffer.
-var notLimits = map[string]string{
-	"sched.leastBoot": "a share of a usual boot",
-}
+var notLimits = map[string]string{}
 
 // Each constant that bounds a number of something has its row.
 func TestLimitsAreOnPage(t *testing.T) {
--- a/internal/sched/batch.go
+++ b/internal/sched/batch.go
@@ -3,41 +3,49 @@
 import (
 	"cmp"
 	"slices"
-)
 
-// Sizes count in the longer text form, estimated from above.
-func hostBytes(m *machine) int {
-	return 80 + len(m.host) + len(m.addr) + len(m.machineType.Name) + len(m.zone)
-}
+	"dalefront/internal/config"
+)
 
+// Sizes of what a batch stores count in the longer text form, estimated from above.
 const (
-	runBytes       = 100
+	fixedHostBytes = 80  // of a LedgerHost but for its texts
+	runBytes       = 100 // of a LedgerRun but for its tasks
 	taskBytes      = 7
 	entryBytes     = 128 // an entry's name as a change and as a condition
 	conditionBytes = 48  // a condition but for the job's id
 
+	// usableValue is the part of a stored value's limit that an entry may fill.
+	usableValue = 0.75
+
 	// Of the protocol's 64 KiB for a transaction. What is left is for machines that are named
 	// twice and for the fixed conditions.
-	maxTxnBytes       = 49 << 10
-	maxConditionBytes = 9 << 10
-	maxDrops          = 48 // deletions of one batch, some 50 bytes each
-	maxDropsAlong     = 4  // deletions of a batch that has launches, since both count as changes
+	maxTxnBytes          = 49 << 10
+	maxConditionBytes    = 9 << 10
+	maxDrops             = 48 // deletions of one batch, some 50 bytes each
+	maxDropsWithLaunches = 4  // deletions of a batch that has launches, since both count as changes
 
-	fixedConditions = 2 // of every batch, whatever it holds
+	fixedConditions     = 2 // of every batch, whatever it holds
+	conditionsPerChange = 4 // that the state service takes in a transaction for each change that it takes
 )
 
+// hostBytes is what naming a machine takes of an entry.
+func hostBytes(m *machine) int {
+	return fixedHostBytes + len(m.host) + len(m.addr) + len(m.machineType.Name) + len(m.zone)
+}
+
 // batch collects the placements of one pass.
 type batch struct {
-	machines   map[*machine]bool
-	jobs       map[*job]bool
-	bytes      int // of the entries, before they are cut
-	conditions int // bytes of the conditions on jobs
-	widest     int // bytes of the longest single launch, its machine included
-	limits     batchLimits
-	large      bool // one gang, in several transactions
-	placements []*placement
-	moved      []*placement
-	drop       []string
+	machines      map[*machine]bool // that it names
+	jobs          map[*job]bool     // of which it launches tasks
+	bytes         int               // of the entries, before they are cut
+	conditions    int               // bytes of the conditions on jobs
+	largestLaunch int               // bytes of the longest single launch, its machine included
+	limits        batchLimits
+	large         bool // one gang, in several transactions
+	placements    []*placement
+	moved         []*placement
+	drop          []string
 }
 
 // batchLimits bounds a batch so that its transaction is never refused as malformed: it
@@ -51,24 +59,29 @@
 	conditions int // bytes of the conditions on jobs
 }
 
-func (c *Core) newBatch() *batch {
-	st := &c.settings.Deployment.State
-	value := int(st.ValueKB * 1024 * 0.75)
-	entries := max(1, min(st.TxnOps/2, maxTxnBytes/(value+entryBytes)))
-	return &batch{machines: map[*machine]bool{}, jobs: map[*job]bool{}, limits: batchLimits{
-		value: value, total: entries * value, entries: entries, changes: st.TxnOps,
-		// Two conditions a job: no end of its own, and none in the archive. Those on the
-		// leadership and on the entries' names come on top.
-		jobs:       max(1, (4*st.TxnOps-fixedConditions-(entries+1))/2),
-		conditions: maxConditionBytes,
-	}}
+// newBatchLimits derives the limits from those of the state service.
+func newBatchLimits(state *config.StateLimits) batchLimits {
+	value := int(state.ValueKB * 1024 * usableValue)
+	entries := max(1, min(state.TxnOps/2, maxTxnBytes/(value+entryBytes)))
+	// Two conditions a job: no end of its own, and none in the archive. Those on the
+	// leadership and on the entries' names come on top.
+	conditions := conditionsPerChange*state.TxnOps - fixedConditions - (entries + 1)
+	return batchLimits{
+		value: value, total: entries * value, entries: entries, changes: state.TxnOps,
+		jobs: max(1, conditions/2), conditions: maxConditionBytes,
+	}
+}
+
+// newBatch returns an empty batch.
+func newBatch(state *config.StateLimits) *batch {
+	return &batch{machines: map[*machine]bool{}, jobs: map[*job]bool{}, limits: newBatchLimits(state)}
 }
 
-// entriesNeeded bounds from above how many entries split cuts the batch into. An entry is
+// entriesNeeded bounds from above how many entries splitIntoEntries cuts the batch into. An entry is
 // closed when the next launch doesn't fit, so up to one launch of it stays empty, and a
 // machine that is cut in two is named twice.
 func (b *batch) entriesNeeded() int {
-	switch usable := b.limits.value - 2*b.widest; {
+	switch usable := b.limits.value - 2*b.largestLaunch; {
 	case b.bytes <= b.limits.value:
 		return 1
 	case b.large:
@@ -91,7 +104,7 @@
 // reserveMachine notes that the batch names the machine.
 func (b *batch) reserveMachine(m *machine) {
 	b.machines[m] = true
-	b.widest = max(b.widest, launchBytes(m))
+	b.largestLaunch = max(b.largestLaunch, launchBytes(m))
 }
 
 // reserveJob notes that the batch launches tasks of the job.
@@ -105,23 +118,25 @@
 // jobConditions estimates the bytes of the two conditions on a job.
 func jobConditions(j *job) int { return 2 * (conditionBytes + len(j.id)) }
 
-// fitsAlone says whether what takes hosts bytes of machines, and so many runs and tasks, fits
+// fitsAlone says whether what takes so many bytes for machines, and so many runs and tasks, fits
 // a batch of its own.
-func (b *batch) fitsAlone(hosts, runs, k int) bool {
-	return hosts+runs*runBytes+k*taskBytes <= b.limits.total
+func (b *batch) fitsAlone(hostBytes, runs, tasks int) bool {
+	return hostBytes+runs*runBytes+tasks*taskBytes <= b.limits.total
 }
 
-// fits says whether the batch has room for k more tasks of the job on machines
-// that take hosts bytes of their own.
-func (b *batch) fits(j *job, hosts, runs, k int) bool {
-	return !b.large && (b.jobs[j] || b.fitsJob(j)) && b.fitsAlone(b.bytes+hosts, runs, k)
+// fits says whether the batch has room for more tasks of the job on machines
+// that take hostBytes in addition.
+func (b *batch) fits(j *job, hostBytes, runs, tasks int) bool {
+	return !b.large && (b.jobs[j] || b.hasRoomForJob(j)) && b.fitsAlone(b.bytes+hostBytes, runs, tasks)
 }
 
-func (b *batch) fitsJob(j *job) bool {
+// hasRoomForJob says whether the batch may name one more job.
+func (b *batch) hasRoomForJob(j *job) bool {
 	return len(b.jobs) < b.limits.jobs && (len(b.jobs) == 0 || b.conditions+jobConditions(j) <= b.limits.conditions)
 }
 
-func (b *batch) cost(m *machine) int {
+// hostCost is what naming the machine takes in addition: nothing if it is named already.
+func (b *batch) hostCost(m *machine) int {
 	if b.machines[m] {
 		return 0
 	}
@@ -129,21 +144,21 @@
 }
 
 // add takes tasks of one job on one machine.
-func (b *batch) add(ps ...*placement) {
-	p := ps[0]
-	b.bytes += b.cost(p.machine) + runBytes + len(ps)*taskBytes
-	b.reserveJob(p.job)
-	b.reserveMachine(p.machine)
-	b.placements = append(b.placements, ps...)
-	if p.machine.reservedFor == p.job {
-		p.machine.reservedFor = nil
+func (b *batch) add(placements ...*placement) {
+	j, m := placements[0].job, placements[0].machine
+	b.bytes += b.hostCost(m) + runBytes + len(placements)*taskBytes
+	b.reserveJob(j)
+	b.reserveMachine(m)
+	b.placements = append(b.placements, placements...)
+	if m.reservedFor == j {
+		m.reservedFor = nil
 	}
 }
 
 // dropLimit is how many entries the batch deletes at most.
 func (b *batch) dropLimit() int {
 	if len(b.placements) > 0 {
-		return maxDropsAlong
+		return maxDropsWithLaunches
 	}
 	return maxDrops
 }
@@ -151,7 +166,7 @@
 // recordFound lets the batch record a placement that was found on its machine, and says whether
 // there was room for it.
 func (b *batch) recordFound(p *placement) bool {
-	bytes := b.bytes + b.cost(p.machine) + runBytes + taskBytes
+	bytes := b.bytes + b.hostCost(p.machine) + runBytes + taskBytes
 	if bytes > b.limits.total {
 		return false
 	}
@@ -164,13 +179,13 @@
 // takeOver lets the batch record the live placements of an entry that is to be deleted, if there is
 // room for them and for its deletion.
 func (b *batch) takeOver(entry *ledgerEntry) bool {
-	bytes, widest := b.bytes, b.widest
+	bytes, largest := b.bytes, b.largestLaunch
 	b.bytes += b.transferBytes(entry)
 	for p := range entry.live {
-		b.widest = max(b.widest, launchBytes(p.machine))
+		b.largestLaunch = max(b.largestLaunch, launchBytes(p.machine))
 	}
 	if b.bytes > b.limits.total || !b.mayDrop() {
-		b.bytes, b.widest = bytes, widest
+		b.bytes, b.largestLaunch = bytes, largest
 		return false
 	}
 	for p := range entry.live {
@@ -192,7 +207,7 @@
 	for p := range entry.live {
 		if !machines[p.machine] {
 			machines[p.machine] = true
-			bytes += b.cost(p.machine)
+			bytes += b.hostCost(p.machine)
 		}
 		if key := (runKey{p.machine, p.job, p.attempt}); !runs[key] {
 			runs[key] = true
--- a/internal/sched/bootestimate.go
+++ b/internal/sched/bootestimate.go
@@ -17,12 +17,12 @@
 // come up. What was seen is forgotten within minutes, as the trouble may be.
 
 const (
-	bootMemory  = 60 * second // in which an outcome loses two thirds of its weight
-	mostBoots   = 256         // outcomes of a type that are kept
-	bootHorizon = 4.0         // boot times over which waiting and asking anew are compared
-	bootPrior   = 8.0         // machines that what is usual counts for
-	leastBoot   = 1.5         // boot times that one usually takes at most
-	freshGain   = 1.5         // how much better a fresh one must be: it costs another boot, and a minute at least
+	bootDecayTime        = 60 * second // in which an outcome loses two thirds of its weight
+	maxBootOutcomes      = 256         // outcomes of a type that are kept
+	bootHorizon          = 4.0         // boot times over which waiting and asking anew are compared
+	bootPriorWeight      = 8.0         // machines that what is usual counts for
+	usualBootLimit       = 1.5         // boot times that one usually takes at most
+	replacementAdvantage = 1.5         // how much better a fresh one must be: it costs another boot, and a minute at least
 )
 
 // bootOutcome is a machine that came up, or was given up, at an age.
@@ -64,7 +64,7 @@
 // add takes another outcome, and forgets the oldest when there are too many.
 func (h bootHistory) add(machineType string, outcome bootOutcome) {
 	outcomes := append(h[machineType], outcome)
-	h[machineType] = outcomes[max(0, len(outcomes)-mostBoots):]
+	h[machineType] = outcomes[max(0, len(outcomes)-maxBootOutcomes):]
 }
 
 // bootAge is the time since the machine was rented, in its type's boot times.
@@ -118,7 +118,7 @@
 		if m.booting && !m.registered && !m.failed && m.machineType.BootS > 0 {
 			age := m.bootAge(c.now)
 			ages[m.machineType.Name] = append(ages[m.machineType.Name], age)
-			late[m.machineType.Name] = late[m.machineType.Name] || age > leastBoot
+			late[m.machineType.Name] = late[m.machineType.Name] || age > usualBootLimit
 		}
 	}
 	out := map[string]survivalCurve{}
@@ -139,10 +139,10 @@
 	}
 	all := make([]seen, 0, len(usualBoots)+len(outcomes)+len(booting))
 	for _, o := range usualBoots {
-		all = append(all, seen{o.age, bootPrior / float64(len(usualBoots)), o.up})
+		all = append(all, seen{o.age, bootPriorWeight / float64(len(usualBoots)), o.up})
 	}
 	for _, o := range outcomes {
-		if w := math.Exp(-float64(now-o.at) / float64(bootMemory)); w > 0.01 {
+		if w := math.Exp(-float64(now-o.at) / float64(bootDecayTime)); w > 0.01 {
 			all = append(all, seen{o.age, w, o.up})
 		}
 	}
@@ -174,5 +174,5 @@
 		return false // what the cloud shows running boots no more, and nothing comes through from a zone that is cut off
 	}
 	age := m.bootAge(c.now)
-	return age > leastBoot && freshGain*s.upWithin(age, bootHorizon) < s.upWithin(0, bootHorizon)
+	return age > usualBootLimit && replacementAdvantage*s.upWithin(age, bootHorizon) < s.upWithin(0, bootHorizon)
 }
--- a/internal/sched/gangplacement.go
+++ b/internal/sched/gangplacement.go
@@ -88,7 +88,7 @@
 				break
 			}
 			attempt.machines = append(attempt.machines, current)
-			attempt.hostBytes += ps.batch.cost(current)
+			attempt.hostBytes += ps.batch.hostCost(current)
 		}
 		attempt.tasks++
 		attempt.placed[current] = append(attempt.placed[current], ps.core.addPlacement(j, task, current, j.gangAttempt))
--- a/internal/sched/heartbeat.go
+++ b/internal/sched/heartbeat.go
@@ -5,9 +5,9 @@
 	"dalefront/wire"
 )
 
-// maxAnswerOrders is how many orders an answer has at most before launches are added to it: it
+// maxAnswerCommands is how many orders an answer has at most before launches are added to it: it
 // keeps the answer within the protocol's limit for bodies.
-const maxAnswerOrders = 400
+const maxAnswerCommands = 400
 
 // Heartbeat takes a worker's heartbeat that this leader is entitled to answer with
 // 200, and returns the answer.
@@ -135,7 +135,7 @@
 // are repeated until a heartbeat shows them, which the protocol allows.
 func (m *machine) appendLaunches(answer *wire.HeartbeatResponse) {
 	m.eachPlacement(func(p *placement) {
-		if p.durable && !p.observed && !p.stopping && !p.recovered && len(answer.Commands) < maxAnswerOrders {
+		if p.durable && !p.observed && !p.stopping && !p.recovered && len(answer.Commands) < maxAnswerCommands {
 			p.dispatched = true
 			answer.Commands = append(answer.Commands, p.launchCommand())
 		}
--- a/internal/sched/pass.go
+++ b/internal/sched/pass.go
@@ -66,7 +66,7 @@
 		return commit
 	}
 	ps := c.newPass()
-	ps.batch = c.newBatch()
+	ps.batch = newBatch(&c.settings.Deployment.State)
 	queue := c.takeNextGang(c.queue())
 	ps.prepare(queue)
 	ps.planGangs(ps.placeAll(queue))
--- a/internal/sched/placetasks.go
+++ b/internal/sched/placetasks.go
@@ -150,7 +150,7 @@
 // fillMachine places as many tasks of the job on the machine as it, the batch, and the limits
 // allow.
 func (ps *pass) fillMachine(j *job, m *machine, attempt uint64, limit int, tasksByZone map[string]int) (placed []*placement) {
-	for len(j.placements) < limit && ps.batch.fits(j, ps.batch.cost(m), 1, len(placed)+1) &&
+	for len(j.placements) < limit && ps.batch.fits(j, ps.batch.hostCost(m), 1, len(placed)+1) &&
 		ps.canTakeTask(j, m, tasksByZone) && j.team.withinLimit(j.spec.CPUs, j.spec.GPUs) {
 		task, waits := j.nextPendingTask()
 		if !waits {
--- a/internal/sched/statistics.go
+++ b/internal/sched/statistics.go
@@ -42,33 +42,33 @@
 	Times int      `msgpack:"T"` // rounds of failures
 }
 
-// mostLearned bounds what is stored, well below any value limit: the classes that
+// maxStatisticsEntries bounds what is stored, well below any value limit: the classes that
 // most arrives of.
-const mostLearned = 64
+const maxStatisticsEntries = 64
 
-// maxLearnedName is how long a name may be of which something is stored.
-const maxLearnedName = 64
+// maxStatisticsName is how long a name may be of which something is stored.
+const maxStatisticsName = 64
 
 const (
-	// learnedShare is the part of a stored value's limit that what was learned may fill with teams.
-	learnedShare = 0.75
-	// learnedClassBytes, learnedTeamBytes and learnedJobBytes are what a class, a team and a suspect
+	// statisticsTeamShare is the part of a stored value's limit that what was learned may fill with teams.
+	statisticsTeamShare = 0.75
+	// classStatisticsBytes, teamStatisticsBytes and jobStatisticsBytes are what a class, a team and a suspect
 	// job take of the longer text form, by which the limit counts, beside their names.
-	learnedClassBytes = 120
-	learnedTeamBytes  = 40
-	learnedJobBytes   = 50
-	// learnedRestBytes is for what doesn't grow with the site.
-	learnedRestBytes = 1200
+	classStatisticsBytes = 120
+	teamStatisticsBytes  = 40
+	jobStatisticsBytes   = 50
+	// otherStatisticsBytes is for what doesn't grow with the site.
+	otherStatisticsBytes = 1200
 )
 
 // room is how many bytes of a stored value of at most limit bytes are left for teams.
 func (l *Statistics) room(limit float64) int {
-	left := int(limit*learnedShare) - learnedRestBytes
+	left := int(limit*statisticsTeamShare) - otherStatisticsBytes
 	for i := range l.Classes {
-		left -= learnedClassBytes + len(l.Classes[i].Name)
+		left -= classStatisticsBytes + len(l.Classes[i].Name)
 	}
 	for i := range l.Suspect {
-		left -= learnedJobBytes + len(l.Suspect[i].ID)
+		left -= jobStatisticsBytes + len(l.Suspect[i].ID)
 		for _, host := range l.Suspect[i].Hosts {
 			left -= len(host)
 		}
@@ -76,10 +76,10 @@
 	return left
 }
 
-// cutTeams keeps the teams of which most jobs have ended: mostLearned of them, and more as far as
+// cutTeams keeps the teams of which most jobs have ended: maxStatisticsEntries of them, and more as far as
 // they fit. Their order stays.
 func (l *Statistics) cutTeams(limit float64) {
-	if len(l.Teams) <= mostLearned {
+	if len(l.Teams) <= maxStatisticsEntries {
 		return
 	}
 	byEnded := slices.Clone(l.Teams)
@@ -87,7 +87,7 @@
 	left := l.room(limit)
 	kept := map[string]bool{}
 	for i, t := range byEnded {
-		if left -= learnedTeamBytes + len(t.Name); left < 0 && i >= mostLearned {
+		if left -= teamStatisticsBytes + len(t.Name); left < 0 && i >= maxStatisticsEntries {
 			break
 		}
 		kept[t.Name] = true
@@ -95,8 +95,8 @@
 	l.Teams = slices.DeleteFunc(l.Teams, func(t TeamStatistics) bool { return !kept[t.Name] })
 }
 
-// learnedDone is the decayed count of ended jobs below which nothing is stored of a team.
-const learnedDone = 0.1
+// storedDoneThreshold is the decayed count of ended jobs below which nothing is stored of a team.
+const storedDoneThreshold = 0.1
 
 // Statistics sums up what was observed.
 func (c *Core) Statistics(now Micros) Statistics {
@@ -112,7 +112,7 @@
 func (c *Core) classStatistics(now Micros) (classes []ClassStatistics) {
 	for _, cl := range c.classes.sorted() {
 		cl.decay(now)
-		if len(cl.name) <= maxLearnedName {
+		if len(cl.name) <= maxStatisticsName {
 			cl.service.decay(now)
 			classes = append(classes, ClassStatistics{cl.name, cl.runTimeRatio, cl.decayedArrivals, cl.meanTasks, cl.service.decayedDone})
 		}
@@ -120,13 +120,13 @@
 	slices.SortFunc(classes, func(a, b ClassStatistics) int {
 		return cmp.Or(cmp.Compare(b.Arrivals, a.Arrivals), cmp.Compare(a.Name, b.Name))
 	})
-	return classes[:min(len(classes), mostLearned)]
+	return classes[:min(len(classes), maxStatisticsEntries)]
 }
 
 // teamStatistics sums up the teams of which jobs have ended lately, by name.
 func (c *Core) teamStatistics(now Micros) (teams []TeamStatistics) {
 	for _, t := range c.teams.sorted() {
-		if t.service.decay(now); t.service.decayedDone > learnedDone && len(t.Name) <= maxLearnedName {
+		if t.service.decay(now); t.service.decayedDone > storedDoneThreshold && len(t.Name) <= maxStatisticsName {
 			teams = append(teams, TeamStatistics{t.Name, t.service.decayedDone})
 		}
 	}
@@ -136,7 +136,7 @@
 // suspectStatistics sums up the first suspect jobs, by id.
 func (c *Core) suspectStatistics() (suspects []JobStatistics) {
 	jobs := c.jobs.sorted(func(j *job) bool { return !j.isOver() && j.isSuspect() })
-	for _, j := range jobs[:min(len(jobs), mostLearned)] {
+	for _, j := range jobs[:min(len(jobs), maxStatisticsEntries)] {
 		hosts := slices.Sorted(maps.Keys(j.failedHosts))
 		suspects = append(suspects, JobStatistics{j.id, hosts[:suspectHosts], j.failureRounds})
 	}
