--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -33,7 +33,7 @@
 		fmt.Fprintf(&out, "%s\n  %d: %v, %s\n", strings.Join(recorder.Lines()[before:], "\n"), code_, answer, meaning)
 	}
 	hire := func() (any, error) {
-		return client.Hire(ctx, wire.ScaleOutRequest{RequestID: "7.1", Type: "small", Zone: "a", Spot: true, Count: 2})
+		return client.ScaleOut(ctx, wire.ScaleOutRequest{RequestID: "7.1", Type: "small", Zone: "a", Spot: true, Count: 2})
 	}
 	ask(200, map[string]any{"Builds": []any{map[string]any{"Label": "small"}}}, func() (any, error) {
 		c, err := client.Catalog(ctx)
@@ -42,9 +42,9 @@
 	ask(200, map[string]any{"Hosts": []string{"n-1", "n-2"}}, hire)
 	ask(503, map[string]any{"error": "no capacity"}, hire)
 	ask(503, map[string]any{"error": "outage"}, hire)
-	ask(200, map[string]any{}, func() (any, error) { return nil, client.Return(ctx, []string{"n-1"}) })
+	ask(200, map[string]any{}, func() (any, error) { return nil, client.ScaleIn(ctx, []string{"n-1"}) })
 	ask(200, map[string]any{"Hosts": []any{map[string]any{"Id": "n-1", "Status": "running"}}, "More": false}, func() (any, error) {
-		machines, err := client.List(ctx)
+		machines, err := client.ListMachines(ctx)
 		return len(machines), err
 	})
 	golden.Text(t, "requests.golden", out.String())
--- a/internal/controller/directcommands.go
+++ b/internal/controller/directcommands.go
@@ -54,7 +54,7 @@
 				continue // as old as the stall; the answer to a heartbeat repeats it
 			}
 			// Without an answer the heartbeat is empty; the next one tells.
-			heartbeat, _ := controller.worker.Orders(ctx, command.Addr, command.Batch)
+			heartbeat, _ := controller.worker.SendCommands(ctx, command.Addr, command.Batch)
 			s.answered(heartbeat)
 		}
 	}
--- a/internal/controller/largesite_test.go
+++ b/internal/controller/largesite_test.go
@@ -79,7 +79,7 @@
 	c.owner.lastRun.Store(c.now())
 	var hosts []string
 	var machines []wire.Machine
-	for i := range 3*cloud.MaxReturn + 20 {
+	for i := range 3*cloud.MaxScaleIn + 20 {
 		hosts = append(hosts, fmt.Sprintf("n-%04d", i))
 		machines = append(machines, wire.Machine{ID: hosts[i], Addr: "a", Type: "s", Zone: "x", State: wire.MachineRunning})
 	}
@@ -103,7 +103,7 @@
 	if !slices.Equal(slices.Concat(requests...), hosts) {
 		t.Error("not each machine was given back once")
 	}
-	if known, _ := l.core.FleetSize(); l.core.Stats.ScaledIn != len(hosts)-cloud.MaxReturn || known != cloud.MaxReturn {
+	if known, _ := l.core.FleetSize(); l.core.Stats.ScaledIn != len(hosts)-cloud.MaxScaleIn || known != cloud.MaxScaleIn {
 		t.Errorf("%d machines are gone and %d are left; only those of the request that was refused should be", l.core.Stats.ScaledIn, known)
 	}
 }
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -82,7 +82,7 @@
 	// A list takes a request for each page of machines: a quarter of what the cloud takes.
 	limits := &f.leadership.controller.settings.Deployment.Cloud
 	known, _ := f.leadership.core.FleetSize()
-	pages := float64(known/cloud.ListPage + 1)
+	pages := float64(known/cloud.ListPageSize + 1)
 	interval := int64(max(minListSeconds, limits.ListLagS/2, listShare*pages/max(limits.RPS, minCloudRPS)) * 1e6)
 	if now-f.listedAt < interval {
 		return false
@@ -94,7 +94,7 @@
 // startRound carries a round out. Owner goroutine.
 func (f *fleetScaler) startRound(round fleetRound) {
 	f.leadership.startTask(&f.task, func() func() {
-		for hosts := range slices.Chunk(round.returns, cloud.MaxReturn) {
+		for hosts := range slices.Chunk(round.returns, cloud.MaxScaleIn) {
 			f.scaleIn(hosts)
 		}
 		f.scaleOut(round.requests)
@@ -108,7 +108,7 @@
 // listMachines asks for all machines and hands them to the core.
 func (f *fleetScaler) listMachines() {
 	l, controller := f.leadership, f.leadership.controller
-	machines, err := controller.cloud.List(l.ctx)
+	machines, err := controller.cloud.ListMachines(l.ctx)
 	if err != nil {
 		controller.log.Info("machine list", "err", err)
 		return
@@ -122,7 +122,7 @@
 	l, controller := f.leadership, f.leadership.controller
 	err := errTermUnconfirmed
 	if l.holdsTerm() {
-		err = controller.cloud.Return(l.ctx, hosts)
+		err = controller.cloud.ScaleIn(l.ctx, hosts)
 	}
 	l.post(func() {
 		if err != nil {
@@ -177,7 +177,7 @@
 func (f *fleetScaler) requestMachines(request wire.ScaleOutRequest) (hosts []string, err error) {
 	l := f.leadership
 	for try := 1; ; try++ {
-		hosts, err = l.controller.cloud.Hire(l.ctx, request)
+		hosts, err = l.controller.cloud.ScaleOut(l.ctx, request)
 		if err == nil || errors.Is(err, cloud.ErrNoCapacity) || try == scaleOutTries || l.ctx.Err() != nil {
 			return hosts, err
 		}
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -88,7 +88,7 @@
 	switch {
 	case err == nil, isAnswer(code):
 		c.lastAnswer = time.Now()
-	default: // a request whose caller gave up, too: httpclient doesn't tell them apart
+	default: // a request whose caller gave up counts, too
 		c.lastFailure = time.Now()
 	}
 	switch {
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -1,4 +1,4 @@
-// Package workerclient is the typed client for commands sent straight to workers.
+// Package workerclient is the typed client for commands that are sent straight to workers.
 package workerclient
 
 import (
@@ -10,22 +10,30 @@
 	"dalefront/wire"
 )
 
-// Client sends direct commands.
-type Client struct{ calls *httpclient.Client }
+const (
+	sendTimeout  = 2 * time.Second
+	connsPerHost = 1
+)
+
+// Client sends commands to workers. It is safe for use by several goroutines.
+type Client struct{ requests *httpclient.Client }
 
-// New returns a client that keeps at most so many unused connections: without a bound
-// there would soon be one to each machine, and at some size no socket left for those who
-// ask.
-func New(idle int) *Client { return &Client{calls: httpclient.New("", 1, max(1, idle))} }
+// New returns a client that keeps at most maxIdle unused connections: without a bound
+// there would soon be one to each machine, and at some size no socket left for users.
+func New(maxIdle int) *Client {
+	const atLeast = 1 // 0 would be any number
+	return &Client{requests: httpclient.New("", connsPerHost, max(atLeast, maxIdle))}
+}
 
-// Orders sends stops and tokens to a worker. Launches never take this way: a
-// command may be held back and executed minutes later, and only a launch in a
-// report's answer is known to be either executed or dropped by the next report.
-func (c *Client) Orders(ctx context.Context, addr string, o wire.CommandBatch) (wire.Heartbeat, error) {
-	var r wire.Heartbeat
-	if o.Commands == nil {
-		o.Commands = []wire.Command{}
+// SendCommands sends stops and fencing tokens to a worker and returns its status. Launches
+// never take this way: a request may be delayed and executed minutes later, and only a
+// launch in a heartbeat's response is known to be either executed or dropped by the next
+// heartbeat.
+func (c *Client) SendCommands(ctx context.Context, addr string, batch wire.CommandBatch) (wire.Heartbeat, error) {
+	if batch.Commands == nil {
+		batch.Commands = []wire.Command{}
 	}
-	err := c.calls.Call(ctx, 2*time.Second, http.MethodPost, "http://"+addr+wire.PathCommands, o, &r)
-	return r, err
+	var status wire.Heartbeat
+	err := c.requests.Call(ctx, sendTimeout, http.MethodPost, "http://"+addr+wire.PathCommands, batch, &status)
+	return status, err
 }
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -41,7 +41,7 @@
 		}
 		srv.Start()
 		t.Cleanup(srv.Close)
-		r, err := c.Orders(context.Background(), strings.TrimPrefix(srv.URL, "http://"), wire.CommandBatch{FencingToken: 1, Incarnation: 1})
+		r, err := c.SendCommands(context.Background(), strings.TrimPrefix(srv.URL, "http://"), wire.CommandBatch{FencingToken: 1, Incarnation: 1})
 		if err != nil || r.Host != "n-1" {
 			t.Fatal(r, err)
 		}
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -20,7 +20,7 @@
 	grace := 3.5
 	for _, commands := range [][]wire.Command{nil, {{Op: wire.Stop, Task: "j-1/0", Attempt: 7, GraceS: &grace}, {Op: wire.Clear, Task: "j-1/1", Attempt: 8}}} {
 		batch := wire.CommandBatch{FencingToken: 5, Incarnation: 6, Commands: commands}
-		status, err := client.Orders(context.Background(), strings.TrimPrefix(server.URL, "http://"), batch)
+		status, err := client.SendCommands(context.Background(), strings.TrimPrefix(server.URL, "http://"), batch)
 		if err != nil || status.Host != "n-1" {
 			t.Fatal(status, err)
 		}
