--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -189,22 +189,32 @@
 	}
 }
 
-// Every refusal has its status, and those that may be asked again say when.
+// Every error has its HTTP status, and those that may pass say when to try again.
 func TestStatuses(t *testing.T) {
 	for _, c := range []struct {
+		name string
 		err  error
 		code int
 	}{
-		{ErrUnavailable, 503}, {ErrNotFound, 404}, {fmt.Errorf("%w: x", ErrUnsatisfiable), 422}, {ErrOverloaded, 429}, {nil, 200},
+		{"unavailable", ErrUnavailable, 503},
+		{"not found", ErrNotFound, 404},
+		{"unsatisfiable", fmt.Errorf("%w: x", ErrUnsatisfiable), 422},
+		{"overloaded", ErrOverloaded, 429},
+		{"malformed", fmt.Errorf("%w: x", wire.ErrMalformed), 400},
+		{"not the leader", ErrNotLeader, 421},
+		{"any other", io.ErrUnexpectedEOF, 503},
+		{"none", nil, 200},
 	} {
-		url := serve(t, &fakeService{err: c.err})
-		resp, _ := send(t, http.MethodGet, url+wire.PathJobs+"/j-1", nil)
-		if resp.StatusCode != c.code {
-			t.Errorf("%v: got %d", c.err, resp.StatusCode)
-		}
-		if again := resp.Header.Get("Retry-After") != ""; again != (c.code == 503 || c.code == 429) {
-			t.Errorf("%v: Retry-After is %q", c.err, resp.Header.Get("Retry-After"))
-		}
+		t.Run(c.name, func(t *testing.T) {
+			url := serve(t, &fakeService{err: c.err})
+			resp, _ := send(t, http.MethodGet, url+wire.PathJobs+"/j-1", nil)
+			if resp.StatusCode != c.code {
+				t.Errorf("got %d, want %d", resp.StatusCode, c.code)
+			}
+			if again := resp.Header.Get("Retry-After") != ""; again != (c.code == 503 || c.code == 429) {
+				t.Errorf("Retry-After is %q", resp.Header.Get("Retry-After"))
+			}
+		})
 	}
 	url := serve(t, &fakeService{err: ErrNotLeader})
 	rep, _ := wire.Marshal(wire.Heartbeat{Host: "n-1"})
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -24,19 +24,23 @@
 	go func() { _ = srv.Serve(l) }()
 	t.Cleanup(func() { _ = srv.Close() })
 	var conns []net.Conn
+	t.Cleanup(func() {
+		for _, conn := range conns {
+			_ = conn.Close()
+		}
+	})
 	for range 3 * sockets {
-		c, err := net.Dial("tcp", l.Addr().String())
+		conn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		_, _ = c.Write([]byte("GET " + wire.PathHealth + " HTTP/1.1\r\nHost: a\r\n\r\n"))
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		conns = append(conns, conn)
+		_, _ = conn.Write([]byte("GET " + wire.PathHealth + " HTTP/1.1\r\nHost: a\r\n\r\n"))
+		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
-			t.Fatalf("after %d connections: %v", len(conns), err)
+			t.Fatalf("connection %d: %v", len(conns), err)
 		}
-		_ = resp.Body.Close()
-		conns = append(conns, c)
+		_ = response.Body.Close()
 		time.Sleep(time.Millisecond) // until the server knows that it is idle
 	}
 	open := 0
--- a/internal/controller/leaderwatch.go
+++ b/internal/controller/leaderwatch.go
@@ -5,6 +5,7 @@
 	"sync"
 	"time"
 
+	"dalefront/internal/config"
 	"dalefront/internal/peer"
 	"dalefront/internal/standby"
 )
@@ -44,7 +45,7 @@
 func newLeaderWatch(c *Controller) *leaderWatch {
 	w := &leaderWatch{controller: c, replaceable: make(chan uint64, 1)}
 	if wait := c.settings.Operator.SuspectS; wait != nil {
-		w.detector = standby.FailureDetector{Controllers: len(c.settings.Members) + 1, MinSilence: int64(*wait * 1e6), MinInterval: replacementInterval}
+		w.detector = standby.FailureDetector{Controllers: len(c.settings.Members) + 1, MinSilence: config.Micro(*wait), MinInterval: replacementInterval}
 	}
 	return w
 }
