--- a/cmd/dalefront/calendar.go
+++ b/cmd/dalefront/calendar.go
@@ -14,174 +14,145 @@
 	"dalefront/wire"
 )
 
-// occurrence is a line of `calendar next --json`.
-type occurrence struct {
-	At       string `json:"at"` // RFC 3339, with the local offset
-	Schedule string `json:"schedule"`
-	Skip     string `json:"skip,omitempty"`
+// newCalendarCommand returns the commands about recurring jobs: those that read a file, and those
+// that ask a controller.
+func newCalendarCommand() *cobra.Command {
+	root := &cobra.Command{Use: "calendar", Short: "Recurring jobs: check a file, look ahead, ask a controller"}
+	root.AddCommand(
+		newCalendarCheckCommand(),
+		newNextCommand(),
+		newScheduleListCommand(),
+		newScheduleCommand("show NAME", "Show a schedule", http.MethodGet, "", printScheduleState),
+		newScheduleCommand("runs NAME", "Show a schedule's latest runs and misses", http.MethodGet, "", printScheduleRuns),
+		newScheduleCommand("pause NAME", "Let a schedule's runs out until it is resumed", http.MethodPost, "/"+wire.PauseAction, printScheduleState),
+		newScheduleCommand("resume NAME", "Let a schedule run again", http.MethodPost, "/"+wire.ResumeAction, printScheduleState),
+	)
+	return root
 }
 
-func calendarCommand() *cobra.Command {
-	root := &cobra.Command{Use: "calendar", Short: "Recurring jobs: check a file, look ahead, ask a controller"}
-	root.AddCommand(&cobra.Command{
+func newCalendarCheckCommand() *cobra.Command {
+	return &cobra.Command{
 		Use: "check FILE", Short: "Check a file of schedules", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			c, err := calendar.Load(args[0])
+			file, err := calendar.Load(args[0])
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: %d schedules: good\n", args[0], len(c.Schedules))
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: %d schedules: good\n", args[0], len(file.Schedules))
 			return nil
 		},
-	})
-	root.AddCommand(nextCommand())
-	var server string
-	var asJSON bool
-	add := func(use, short string, args cobra.PositionalArgs, run func(cmd *cobra.Command, args []string) error) {
-		c := &cobra.Command{Use: use, Short: short, Args: args, RunE: run}
-		c.Flags().StringVar(&server, "server", "http://127.0.0.1:8080", "address of a controller or of the load balancer")
-		c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-		root.AddCommand(c)
 	}
-	add("list", "List the schedules of a site", cobra.NoArgs, func(cmd *cobra.Command, _ []string) error {
-		for after := ""; ; {
-			var page wire.Schedules
-			if err := request(http.MethodGet, server+wire.PathSchedules+"?After="+url.QueryEscape(after), nil, &page); err != nil {
-				return err
-			}
-			for i := range page.Schedules {
-				if err := printSchedule(cmd.OutOrStdout(), &page.Schedules[i], asJSON, false); err != nil {
-					return err
-				}
-			}
-			if !page.More || len(page.Schedules) == 0 {
-				return nil
-			}
-			after = page.Schedules[len(page.Schedules)-1].Name
+}
+
+// scheduleFlags are the flags of commands that ask a controller about schedules.
+type scheduleFlags struct {
+	server string
+	asJSON bool
+}
+
+func (f *scheduleFlags) add(cmd *cobra.Command) {
+	addServerFlag(cmd, &f.server)
+	cmd.Flags().BoolVar(&f.asJSON, "json", false, "print JSON")
+}
+
+// print prints a schedule as JSON or by a function.
+func (f *scheduleFlags) print(out io.Writer, schedule *wire.Schedule, printText schedulePrinter) error {
+	if f.asJSON {
+		return json.NewEncoder(out).Encode(schedule)
+	}
+	return printText(out, schedule)
+}
+
+func newScheduleListCommand() *cobra.Command {
+	var flags scheduleFlags
+	cmd := &cobra.Command{
+		Use: "list", Short: "List the schedules of a site", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error { return listSchedules(cmd.OutOrStdout(), &flags) },
+	}
+	flags.add(cmd)
+	return cmd
+}
+
+// listSchedules prints all schedules of a site, page by page.
+func listSchedules(out io.Writer, flags *scheduleFlags) error {
+	for after := ""; ; {
+		var page wire.Schedules
+		address := flags.server + wire.PathSchedules + "?After=" + url.QueryEscape(after)
+		if err := request(http.MethodGet, address, nil, &page); err != nil {
+			return err
 		}
-	})
-	one := func(method, verb string, runs bool) func(*cobra.Command, []string) error {
-		return func(cmd *cobra.Command, args []string) error {
-			var s wire.Schedule
-			if err := request(method, server+wire.PathSchedules+"/"+url.PathEscape(args[0])+verb, nil, &s); err != nil {
+		for i := range page.Schedules {
+			if err := flags.print(out, &page.Schedules[i], printScheduleState); err != nil {
 				return err
 			}
-			return printSchedule(cmd.OutOrStdout(), &s, asJSON, runs)
 		}
+		if !page.More || len(page.Schedules) == 0 {
+			return nil
+		}
+		after = page.Schedules[len(page.Schedules)-1].Name
 	}
-	add("show NAME", "Show a schedule", cobra.ExactArgs(1), one(http.MethodGet, "", false))
-	add("runs NAME", "Show a schedule's latest runs and misses", cobra.ExactArgs(1), one(http.MethodGet, "", true))
-	add("pause NAME", "Let a schedule's runs out until it is resumed", cobra.ExactArgs(1), one(http.MethodPost, "/"+wire.PauseAction, false))
-	add("resume NAME", "Let a schedule run again", cobra.ExactArgs(1), one(http.MethodPost, "/"+wire.ResumeAction, false))
-	return root
 }
 
-func nextCommand() *cobra.Command {
-	var name, from, until string
-	var asJSON bool
-	c := &cobra.Command{
-		Use: "next FILE", Short: "List the occurrences of a file's schedules", Args: cobra.ExactArgs(1),
+// newScheduleCommand returns a command that sends one request about one schedule and prints the
+// answer.
+func newScheduleCommand(use, short, method, action string, printText schedulePrinter) *cobra.Command {
+	var flags scheduleFlags
+	cmd := &cobra.Command{
+		Use: use, Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			cal, err := calendar.Load(args[0])
-			if err != nil {
+			var schedule wire.Schedule
+			address := flags.server + wire.PathSchedules + "/" + url.PathEscape(args[0]) + action
+			if err := request(method, address, nil, &schedule); err != nil {
 				return err
 			}
-			begin, end := time.Now(), time.Time{}
-			if from != "" {
-				if begin, err = time.Parse(time.RFC3339, from); err != nil {
-					return fmt.Errorf("--from %q is not RFC 3339, such as 2026-10-24T00:00:00Z", from)
-				}
-			}
-			if end = begin.AddDate(0, 0, 7); until != "" {
-				if end, err = time.Parse(time.RFC3339, until); err != nil {
-					return fmt.Errorf("--until %q is not RFC 3339, such as 2026-10-27T00:00:00Z", until)
-				}
-			}
-			schedules := cal.Schedules
-			if name != "" {
-				s := cal.Find(name)
-				if s == nil {
-					return fmt.Errorf("%s: there is no schedule %q", args[0], name)
-				}
-				schedules = []*calendar.Schedule{s}
-			}
-			return list(cmd.OutOrStdout(), schedules, begin, end, asJSON)
+			return flags.print(cmd.OutOrStdout(), &schedule, printText)
 		},
 	}
-	c.Flags().StringVar(&name, "schedule", "", "only this one")
-	c.Flags().StringVar(&from, "from", "", "from this instant on, RFC 3339 (default now)")
-	c.Flags().StringVar(&until, "until", "", "before this instant, RFC 3339 (default a week later)")
-	c.Flags().BoolVar(&asJSON, "json", false, "print a JSON object a line")
-	return c
+	flags.add(cmd)
+	return cmd
 }
 
-// list prints the occurrences of all schedules in the order of their instants.
-func list(w io.Writer, schedules []*calendar.Schedule, from, until time.Time, asJSON bool) error {
-	next := make([]calendar.Occurrence, len(schedules))
-	there := make([]bool, len(schedules))
-	advance := func(i int, after time.Time) {
-		next[i], there[i] = schedules[i].Next(after)
-		there[i] = there[i] && next[i].At.Before(until)
+// schedulePrinter prints a schedule for people.
+type schedulePrinter func(out io.Writer, schedule *wire.Schedule) error
+
+func printScheduleState(out io.Writer, schedule *wire.Schedule) error {
+	state := "active"
+	switch {
+	case schedule.Gone:
+		state = "removed"
+	case schedule.Paused:
+		state = "paused"
 	}
-	for i := range schedules {
-		advance(i, from.Add(-1))
+	next := "-"
+	if schedule.Next > 0 {
+		next = localTime(schedule, schedule.Next)
 	}
-	for {
-		first := -1
-		for i := range schedules {
-			if there[i] && (first < 0 || next[i].At.Before(next[first].At)) {
-				first = i
+	_, err := fmt.Fprintf(out, "%s  %s  next=%s ran=%d missed=%d skipped=%d\n",
+		schedule.Name, state, next, schedule.Ran, schedule.Missed, schedule.Skipped)
+	return err
+}
+
+func printScheduleRuns(out io.Writer, schedule *wire.Schedule) error {
+	for _, run := range schedule.Runs {
+		fmt.Fprintf(out, "%s  %s", localTime(schedule, run.At), run.Status)
+		for _, detail := range []string{run.Job, run.Reason} {
+			if detail != "" {
+				fmt.Fprintf(out, "  %s", detail)
 			}
 		}
-		if first < 0 {
-			return nil
-		}
-		o := occurrence{next[first].At.Format(time.RFC3339), schedules[first].Name, next[first].Skip}
-		if asJSON {
-			if err := json.NewEncoder(w).Encode(o); err != nil {
-				return err
-			}
-		} else if o.Skip != "" {
-			fmt.Fprintf(w, "%s  %s  not run: %s\n", o.At, o.Schedule, o.Skip)
-		} else {
-			fmt.Fprintf(w, "%s  %s\n", o.At, o.Schedule)
+		if _, err := fmt.Fprintln(out); err != nil {
+			return err
 		}
-		advance(first, next[first].At)
 	}
+	return nil
 }
 
-func printSchedule(w io.Writer, s *wire.Schedule, asJSON, runs bool) error {
-	if asJSON {
-		return json.NewEncoder(w).Encode(s)
-	}
-	loc, err := time.LoadLocation(s.Zone)
+// localTime formats microseconds since 1970 in the schedule's time zone, or in UTC if that is not
+// known here.
+func localTime(schedule *wire.Schedule, microseconds int64) string {
+	location, err := time.LoadLocation(schedule.Zone)
 	if err != nil {
-		loc = time.UTC
-	}
-	local := func(us int64) string { return time.UnixMicro(us).In(loc).Format(time.RFC3339) }
-	if runs {
-		for _, r := range s.Runs {
-			fmt.Fprintf(w, "%s  %s", local(r.At), r.Status)
-			for _, more := range []string{r.Job, r.Reason} {
-				if more != "" {
-					fmt.Fprintf(w, "  %s", more)
-				}
-			}
-			fmt.Fprintln(w)
-		}
-		return nil
-	}
-	state := "active"
-	switch {
-	case s.Gone:
-		state = "removed"
-	case s.Paused:
-		state = "paused"
+		location = time.UTC
 	}
-	next := "-"
-	if s.Next > 0 {
-		next = local(s.Next)
-	}
-	fmt.Fprintf(w, "%s  %s  next=%s ran=%d missed=%d skipped=%d\n", s.Name, state, next, s.Ran, s.Missed, s.Skipped)
-	return nil
+	return time.UnixMicro(microseconds).In(location).Format(time.RFC3339)
 }
--- a/cmd/dalefront/config_test.go
+++ b/cmd/dalefront/config_test.go
@@ -41,7 +41,7 @@
 	}
 	run := func(args ...string) (string, error) {
 		var out bytes.Buffer
-		root := command()
+		root := newRootCommand()
 		root.SetOut(&out)
 		root.SetArgs(append(append([]string{"config"}, args...), "--config", s.Settings(0)))
 		err := root.Execute()
@@ -87,7 +87,7 @@
 		t.Errorf("%q %v", out, err)
 	}
 	var coded *exitError
-	root := command()
+	root := newRootCommand()
 	root.SetArgs([]string{"config", "get"})
 	if err := root.Execute(); err == nil || errors.As(err, &coded) || !strings.Contains(err.Error(), "--config is missing") {
 		t.Errorf("without settings: %v", err)
--- a/cmd/dalefront/earlier_test.go
+++ b/cmd/dalefront/earlier_test.go
@@ -98,7 +98,7 @@
 	jobs := "http://" + s.Users + wire.PathJobs
 	status := func(id string) (st wire.JobStatus) {
 		t.Helper()
-		if err := patiently(func() error { return request(http.MethodGet, jobs+"/"+id, nil, &st) }); err != nil {
+		if err := retryWhileUnavailable(func() error { return request(http.MethodGet, jobs+"/"+id, nil, &st) }); err != nil {
 			t.Fatal(id, err)
 		}
 		return st
@@ -140,7 +140,7 @@
 		{[]string{"calendar", "runs", "minutely", "--server", "http://" + s.Users}, []string{"2026-12-02T10:32:00Z  submitted  j-1190951223463925265\n", "2026-12-02T10:33:00Z  submitted  j-1812279172124273867\n"}},
 	} {
 		var out bytes.Buffer
-		root := command()
+		root := newRootCommand()
 		root.SetOut(&out)
 		root.SetArgs(x.args)
 		if err := root.Execute(); err != nil {
@@ -153,7 +153,7 @@
 		}
 	}
 	var out bytes.Buffer
-	if err := ruled(&out, s.Fleet.Broken()); err != nil {
+	if err := reportViolations(&out, s.Fleet.Broken()); err != nil {
 		t.Error(err, out.String())
 	}
 }
@@ -167,7 +167,8 @@
 	golden.Text(t, "snapshot-show.golden", run(t, "revision 247 of 2026-12-02T10:33:29Z, 42 keys", "snapshot", "show", file))
 	place := newSite(t)
 	run(t, "keys written", "restore", file, "--config", place.config)
-	defer place.serve()()
+	stop := place.serve()
+	defer stop()
 	for id, want := range earlierAnswers {
 		place.until("an answer about "+id, func() bool {
 			code, st := place.ask(http.MethodGet, wire.PathJobs+"/"+id, nil)
--- a/cmd/dalefront/golden_test.go
+++ b/cmd/dalefront/golden_test.go
@@ -23,7 +23,7 @@
 	var out bytes.Buffer
 	var walk func(path []string, c *cobra.Command)
 	walk = func(path []string, c *cobra.Command) {
-		root := command() // the values of flags stay with a command
+		root := newRootCommand() // the values of flags stay with a command
 		fmt.Fprintf(&out, "$ dalefront %s\n", strings.Join(append(path, "--help"), " "))
 		root.SetOut(&out)
 		root.SetErr(&out)
@@ -36,7 +36,7 @@
 			walk(append(slices.Clone(path), sub.Name()), sub)
 		}
 	}
-	walk(nil, command())
+	walk(nil, newRootCommand())
 	golden.Text(t, "help.golden", out.String())
 }
 
@@ -79,7 +79,7 @@
 // added, or shown under a second name, is not in the file.
 func TestMetricsStayAsTheyAre(t *testing.T) {
 	t.Parallel()
-	s, err := emulator.Up(emulator.Options{Dir: t.TempDir(), InProcess: inThisProcess, Spec: emulator.Spec{Controllers: 2}})
+	s, err := emulator.Up(emulator.Options{Dir: t.TempDir(), InProcess: runInProcess, Spec: emulator.Spec{Controllers: 2}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 		t.Fatal(err)
 	}
 	jobs := "http://" + s.Users + wire.PathJobs
-	if err := patiently(func() error { return submitSmall(jobs, "j-1", 1, 0.5) }); err != nil {
+	if err := retryWhileUnavailable(func() error { return submitSmall(jobs, "j-1", 1, 0.5) }); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "a job is done", func() bool {
--- a/cmd/dalefront/handover.go
+++ b/cmd/dalefront/handover.go
@@ -12,39 +12,48 @@
 	"dalefront/internal/peer"
 )
 
-// handOverCommand changes the leader, from any machine that reaches the controllers.
-func handOverCommand(settings, operator *string) *cobra.Command {
+// defaultHandoverWait is how long another controller has to become leader.
+const defaultHandoverWait = 20 * time.Second
+
+// newHandoverCommand returns the command that transfers leadership, from any machine that reaches
+// the controllers.
+func newHandoverCommand(flags *globalFlags) *cobra.Command {
 	var wait time.Duration
 	cmd := &cobra.Command{
 		Use: "handover", Short: "Let another controller become leader; nothing that runs is stopped", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			if *settings == "" {
-				return fmt.Errorf("handover: --config is missing: the settings of any controller")
-			}
-			if wait <= 0 {
-				return fmt.Errorf("handover: --wait must be above 0")
-			}
-			s, err := config.Load(*settings, *operator)
-			if err != nil {
-				return err
-			}
-			addrs := []string{s.PeerAddr}
-			for _, m := range s.Members {
-				addrs = append(addrs, m.Addr)
-			}
-			ctx, cancel := context.WithTimeout(cmd.Context(), wait)
-			defer cancel()
-			c, err := peer.ChangeLeader(ctx, addrs)
-			if errors.Is(err, peer.ErrNoLeader) || errors.Is(err, peer.ErrNoNewLeader) {
-				return &exitError{exitLater, fmt.Errorf("handover: %w", err)}
-			}
-			if err != nil {
-				return fmt.Errorf("handover: %w", err)
-			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s handed the term over: %s acts as leader under token %d after %v\n", c.From, c.To, c.Token, c.Took.Round(time.Millisecond))
-			return nil
-		},
+		RunE: func(cmd *cobra.Command, _ []string) error { return handOver(cmd, flags, wait) },
 	}
-	cmd.Flags().DurationVar(&wait, "wait", 20*time.Second, "for another controller to act")
+	cmd.Flags().DurationVar(&wait, "wait", defaultHandoverWait, "for another controller to act")
 	return cmd
 }
+
+// handOver makes another controller leader and prints which.
+func handOver(cmd *cobra.Command, flags *globalFlags, wait time.Duration) error {
+	if flags.settings == "" {
+		return errors.New("handover: --config is missing: the settings of any controller")
+	}
+	if wait <= 0 {
+		return errors.New("handover: --wait must be above 0")
+	}
+	settings, err := config.Load(flags.settings, flags.operator)
+	if err != nil {
+		return err
+	}
+	addresses := []string{settings.PeerAddr}
+	for _, member := range settings.Members {
+		addresses = append(addresses, member.Addr)
+	}
+	ctx, cancel := context.WithTimeout(cmd.Context(), wait)
+	defer cancel()
+	change, err := peer.ChangeLeader(ctx, addresses)
+	if err != nil {
+		err = fmt.Errorf("handover: %w", err)
+		if errors.Is(err, peer.ErrNoLeader) || errors.Is(err, peer.ErrNoNewLeader) {
+			return &exitError{exitUnavailable, err}
+		}
+		return err
+	}
+	fmt.Fprintf(cmd.OutOrStdout(), "%s handed the term over: %s acts as leader under token %d after %v\n",
+		change.From, change.To, change.Token, change.Took.Round(time.Millisecond))
+	return nil
+}
--- a/cmd/dalefront/job.go
+++ b/cmd/dalefront/job.go
@@ -1,10 +1,7 @@
 package main
 
 import (
-	"bytes"
-	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -18,73 +15,73 @@
 	"dalefront/wire"
 )
 
-// Exit codes, beside 0 and, for a broken rule, 3. docs/operations.md lists them.
-const (
-	exitFailed  = 1
-	exitUsage   = 2
-	exitUnknown = 4 // no such job or schedule
-	exitLater   = 5 // nobody could answer; the same command may succeed later
-)
+// newJobCommands returns the commands of users.
+func newJobCommands() []*cobra.Command {
+	return []*cobra.Command{newSubmitCommand(), newStatusCommand(), newCancelCommand(), newJobsCommand()}
+}
 
-// exitError is an error with an exit code of its own.
-type exitError struct {
-	code int
-	err  error
+// newJobCommand returns a command that asks a controller about jobs.
+func newJobCommand(use, short string, args cobra.PositionalArgs, run func(client *jobClient, args []string) error) *cobra.Command {
+	client := &jobClient{}
+	cmd := &cobra.Command{Use: use, Short: short, Args: args, RunE: func(cmd *cobra.Command, args []string) error {
+		client.out = cmd.OutOrStdout()
+		return run(client, args)
+	}}
+	addServerFlag(cmd, &client.server)
+	cmd.Flags().BoolVar(&client.json, "json", false, "print a JSON object a line")
+	return cmd
 }
 
-func (e *exitError) Error() string { return e.err.Error() }
-func (e *exitError) Unwrap() error { return e.err }
-
-// jobCommands are those of users.
-func jobCommands() []*cobra.Command {
-	var out []*cobra.Command
-	add := func(use, short string, args cobra.PositionalArgs, run func(s *user, args []string) error) *cobra.Command {
-		s := &user{}
-		c := &cobra.Command{Use: use, Short: short, Args: args, RunE: func(cmd *cobra.Command, args []string) error {
-			s.out = cmd.OutOrStdout()
-			return run(s, args)
-		}}
-		c.Flags().StringVar(&s.server, "server", "http://127.0.0.1:8080", "address of a controller or of the load balancer")
-		c.Flags().BoolVar(&s.json, "json", false, "print a JSON object a line")
-		out = append(out, c)
-		return c
-	}
-	add("submit FILE", "Submit a job described in JSON (- reads standard input)", cobra.ExactArgs(1), func(s *user, args []string) error {
-		body, err := readJob(args[0])
-		if err != nil {
-			return fmt.Errorf("%s: %w", args[0], err)
-		}
-		_, err = s.ask(http.MethodPost, wire.PathJobs, body)
-		return err
-	})
-	var watch bool
-	status := add("status ID", "Show a job's state", cobra.ExactArgs(1), func(s *user, args []string) error {
-		path := wire.PathJobs + "/" + url.PathEscape(args[0])
-		if !watch {
-			_, err := s.ask(http.MethodGet, path, nil)
+func newSubmitCommand() *cobra.Command {
+	return newJobCommand("submit FILE", "Submit a job described in JSON (- reads standard input)", cobra.ExactArgs(1),
+		func(client *jobClient, args []string) error {
+			body, err := readJobFile(args[0])
+			if err != nil {
+				return fmt.Errorf("%s: %w", args[0], err)
+			}
+			_, err = client.call(http.MethodPost, wire.PathJobs, body)
 			return err
+		})
+}
+
+func newStatusCommand() *cobra.Command {
+	var watch bool
+	cmd := newJobCommand("status ID", "Show a job's state", cobra.ExactArgs(1), func(client *jobClient, args []string) error {
+		if watch {
+			return client.watch(jobPath(args[0]))
 		}
-		return s.watch(path)
+		_, err := client.call(http.MethodGet, jobPath(args[0]), nil)
+		return err
 	})
-	status.Flags().BoolVar(&watch, "watch", false, "show each change until the job is over")
-	add("cancel ID", "Cancel a job", cobra.ExactArgs(1), func(s *user, args []string) error {
-		_, err := s.ask(http.MethodPost, wire.PathJobs+"/"+url.PathEscape(args[0])+"/"+wire.CancelAction, nil)
+	cmd.Flags().BoolVar(&watch, "watch", false, "show each change until the job is over")
+	return cmd
+}
+
+func newCancelCommand() *cobra.Command {
+	return newJobCommand("cancel ID", "Cancel a job", cobra.ExactArgs(1), func(client *jobClient, args []string) error {
+		_, err := client.call(http.MethodPost, jobPath(args[0])+"/"+wire.CancelAction, nil)
 		return err
 	})
-	var f wire.JobFilter
-	jobs := add("jobs", "List the jobs that are not over", cobra.NoArgs, func(s *user, _ []string) error { return s.list(f) })
-	jobs.Flags().StringVar(&f.Class, "class", "", "only jobs of this class")
-	jobs.Flags().StringVar(&f.Team, "team", "", "only jobs of this team")
-	jobs.Flags().StringVar(&f.Status, "status", "", "only queued or running jobs")
-	return out
 }
 
-// user is where commands of users go, and how they print.
-type user struct {
-	out    io.Writer
-	server string
-	json   bool
-	shown  wire.JobStatus
+func newJobsCommand() *cobra.Command {
+	var filter wire.JobFilter
+	cmd := newJobCommand("jobs", "List the jobs that are not over", cobra.NoArgs,
+		func(client *jobClient, _ []string) error { return client.list(filter) })
+	cmd.Flags().StringVar(&filter.Class, "class", "", "only jobs of this class")
+	cmd.Flags().StringVar(&filter.Team, "team", "", "only jobs of this team")
+	cmd.Flags().StringVar(&filter.Status, "status", "", "only queued or running jobs")
+	return cmd
+}
+
+func jobPath(id string) string { return wire.PathJobs + "/" + url.PathEscape(id) }
+
+// jobClient asks a controller about jobs and prints the answers.
+type jobClient struct {
+	out     io.Writer
+	server  string
+	json    bool
+	printed wire.JobStatus // the latest; the same one is not printed again
 }
 
 // statusLine is a job's state in JSON.
@@ -95,129 +92,108 @@
 	Running int    `json:"running"`
 }
 
-func (s *user) ask(method, path string, body []byte) (wire.JobStatus, error) {
-	var st wire.JobStatus
-	if err := request(method, s.server+path, body, &st); err != nil {
-		return st, err
+// call asks about a job and prints its status if that has changed.
+func (c *jobClient) call(method, path string, body []byte) (wire.JobStatus, error) {
+	var status wire.JobStatus
+	if err := request(method, c.server+path, body, &status); err != nil {
+		return status, err
 	}
-	if st == s.shown {
-		return st, nil
+	if status == c.printed {
+		return status, nil
 	}
-	s.shown = st
-	if s.json {
-		return st, json.NewEncoder(s.out).Encode(statusLine(st))
+	c.printed = status
+	if c.json {
+		return status, json.NewEncoder(c.out).Encode(statusLine(status))
 	}
-	_, err := fmt.Fprintf(s.out, "%s %s done=%d running=%d\n", st.ID, st.Status, st.Done, st.Running)
-	return st, err
+	_, err := fmt.Fprintf(c.out, "%s %s done=%d running=%d\n", status.ID, status.Status, status.Done, status.Running)
+	return status, err
 }
 
-// watch asks every second and prints what has changed. What nobody can answer now is
-// asked again for a minute.
-func (s *user) watch(path string) error {
-	for failed := 0; ; {
-		st, err := s.ask(http.MethodGet, path, nil)
-		var coded *exitError
+const (
+	watchInterval    = time.Second
+	maxWatchFailures = 60 // in a row: a minute
+)
+
+// watch asks every second, until the job is over, and prints what has changed. What nobody can
+// answer now is asked again for a minute.
+func (c *jobClient) watch(path string) error {
+	for failures := 0; ; {
+		status, err := c.call(http.MethodGet, path, nil)
 		switch {
-		case err == nil && wire.Final(st.Status):
+		case err == nil && wire.Final(status.Status):
 			return nil
 		case err == nil:
-			failed = 0
-		case failed >= 60 || !errors.As(err, &coded) || coded.code != exitLater:
+			failures = 0
+		case failures >= maxWatchFailures || !isUnavailable(err):
 			return err
 		default:
-			failed++
+			failures++
 		}
-		time.Sleep(time.Second)
+		time.Sleep(watchInterval)
 	}
 }
 
-func (s *user) list(f wire.JobFilter) error {
-	q := url.Values{}
-	for name, v := range map[string]string{"Jobclass": f.Class, "Owner": f.Team, "Status": f.Status} {
-		if v != "" {
-			q.Set(name, v)
+// list prints all jobs that the filter matches, page by page.
+func (c *jobClient) list(filter wire.JobFilter) error {
+	query := url.Values{}
+	for name, value := range map[string]string{"Jobclass": filter.Class, "Owner": filter.Team, "Status": filter.Status} {
+		if value != "" {
+			query.Set(name, value)
 		}
 	}
-	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-	if !s.json {
-		fmt.Fprintln(w, "JOB\tCLASS\tTEAM\tPRIORITY\tSHAPE\tSTATUS\tDONE\tRUNNING\tTASKS\tAGE")
+	table := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
+	if !c.json {
+		fmt.Fprintln(table, "JOB\tCLASS\tTEAM\tPRIORITY\tSHAPE\tSTATUS\tDONE\tRUNNING\tTASKS\tAGE")
 	}
 	for {
 		var page wire.JobList
-		if err := request(http.MethodGet, s.server+wire.PathJobList+"?"+q.Encode(), nil, &page); err != nil {
+		if err := request(http.MethodGet, c.server+wire.PathJobList+"?"+query.Encode(), nil, &page); err != nil {
 			return err
 		}
 		for i := range page.Jobs {
-			j := &page.Jobs[i]
-			if s.json {
-				if err := json.NewEncoder(s.out).Encode(j); err != nil {
-					return err
-				}
-				continue
+			if err := c.printSummary(table, &page.Jobs[i]); err != nil {
+				return err
 			}
-			age := max(0, time.Since(time.UnixMicro(j.Submitted))).Round(time.Second)
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\n", j.ID, j.Class, j.Team, j.Priority, j.Shape, j.Status, j.Done, j.Running, j.Tasks, age)
 		}
 		if !page.More {
-			return w.Flush()
+			return table.Flush()
 		}
-		q.Set("After", page.After)
+		query.Set("After", page.After)
 	}
 }
 
-// readJob turns a job written in JSON, with the names of the wire, into a
-// submission.
-func readJob(file string) ([]byte, error) {
-	var b []byte
+// printSummary prints a job as a line of JSON or as a row of the table.
+func (c *jobClient) printSummary(table io.Writer, job *wire.JobSummary) error {
+	if c.json {
+		return json.NewEncoder(c.out).Encode(job)
+	}
+	age := max(0, time.Since(time.UnixMicro(job.Submitted))).Round(time.Second)
+	_, err := fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\n",
+		job.ID, job.Class, job.Team, job.Priority, job.Shape, job.Status, job.Done, job.Running, job.Tasks, age)
+	return err
+}
+
+// readJobFile reads a job written in JSON, with the names of the wire, as a submission. A file
+// called - is standard input.
+func readJobFile(file string) ([]byte, error) {
+	var text []byte
 	var err error
 	if file == "-" {
-		b, err = io.ReadAll(os.Stdin)
+		text, err = io.ReadAll(os.Stdin)
 	} else {
-		b, err = os.ReadFile(file)
+		text, err = os.ReadFile(file)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return parseJob(b)
+	return encodeJob(text)
 }
 
-func parseJob(b []byte) ([]byte, error) {
-	var m map[string]any
-	if err := json.Unmarshal(b, &m); err != nil {
+// encodeJob turns JSON into a submission. The controller checks its fields.
+func encodeJob(text []byte) ([]byte, error) {
+	var fields map[string]any
+	if err := json.Unmarshal(text, &fields); err != nil {
 		return nil, err
 	}
-	return wire.Marshal(m)
-}
-
-// request asks a controller and reads its answer; its error is one line that says what
-// to do next, with the exit code.
-func request(method, url string, body []byte, out any) error {
-	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
-	if err != nil {
-		return err
-	}
-	resp, err := http.DefaultClient.Do(req)
-	if err != nil {
-		return &exitError{exitLater, fmt.Errorf("%w: is a controller running there (--server)?", err)}
-	}
-	defer resp.Body.Close()
-	b, err := io.ReadAll(resp.Body)
-	if err != nil {
-		return &exitError{exitLater, err}
-	}
-	if resp.StatusCode < 300 {
-		return wire.Unmarshal(b, out)
-	}
-	var e wire.Error
-	_ = wire.Unmarshal(b, &e)
-	err = fmt.Errorf("%s: %s", resp.Status, e.Error)
-	switch resp.StatusCode {
-	case http.StatusNotFound:
-		return &exitError{exitUnknown, err}
-	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		return &exitError{exitLater, fmt.Errorf("%w; try again", err)}
-	}
-	return err
+	return wire.Marshal(fields)
 }
--- a/cmd/dalefront/job_test.go
+++ b/cmd/dalefront/job_test.go
@@ -17,7 +17,7 @@
 	server := "http://" + s.users
 	code := func(args ...string) int {
 		t.Helper()
-		c := command()
+		c := newRootCommand()
 		var out bytes.Buffer
 		c.SetOut(&out)
 		c.SetArgs(append(args, "--server", server))
@@ -69,8 +69,8 @@
 		want int
 		args []string
 	}{
-		{exitUnknown, []string{"status", "j-404"}},
-		{exitUnknown, []string{"cancel", "j-404"}},
+		{exitNotFound, []string{"status", "j-404"}},
+		{exitNotFound, []string{"cancel", "j-404"}},
 		{exitFailed, []string{"submit", bad}},
 		{exitFailed, []string{"jobs", "--status", "done"}},
 		{exitFailed, []string{"submit", filepath.Join(dir, "none")}},
@@ -80,11 +80,11 @@
 		}
 	}
 	s.svc.SetDown(true)
-	if got := code("status", "j-2"); got != exitLater {
-		t.Errorf("in an outage: code %d, want %d", got, exitLater)
+	if got := code("status", "j-2"); got != exitUnavailable {
+		t.Errorf("in an outage: code %d, want %d", got, exitUnavailable)
 	}
 	stop()
-	if got := code("status", "j-2"); got != exitLater {
-		t.Errorf("without a controller: code %d, want %d", got, exitLater)
+	if got := code("status", "j-2"); got != exitUnavailable {
+		t.Errorf("without a controller: code %d, want %d", got, exitUnavailable)
 	}
 }
--- a/cmd/dalefront/load.go
+++ b/cmd/dalefront/load.go
@@ -17,52 +17,70 @@
 	"dalefront/internal/experiment"
 )
 
-func loadCommand() *cobra.Command {
-	var dir, server string
-	c := &cobra.Command{Use: "load FILE", Short: "Run an experiment and compare its variants in simulated time, or load a live site", Args: cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			e, err := experiment.Load(args[0])
-			if err != nil {
-				return err
-			}
-			bar := progressbar.NewOptions(1, progressbar.OptionSetWriter(cmd.ErrOrStderr()), progressbar.OptionShowCount(),
-				progressbar.OptionSetWidth(40), progressbar.OptionThrottle(100*time.Millisecond))
-			show := func(finished, all int) {
-				bar.ChangeMax(all)
-				_ = bar.Set(finished) // only a picture
-			}
-			play := e.Play
-			if server != "" {
-				ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
-				defer stop()
-				play = func(done func(int, int)) (*experiment.Report, error) {
-					return e.Live(ctx, strings.TrimSuffix(server, "/"), done)
-				}
-			}
-			r, err := play(show)
-			fmt.Fprintln(cmd.ErrOrStderr())
-			if err != nil {
-				return err
-			}
-			if err := r.Table(cmd.OutOrStdout()); err != nil {
-				return err
-			}
-			if dir != "" {
-				if err := writeLoad(dir, e, r); err != nil {
-					return err
-				}
-			}
-			return ruled(cmd.OutOrStdout(), r.Broken())
-		}}
-	c.Flags().StringVar(&dir, "out", "", "directory for report.html, report.json and report.txt")
-	c.Flags().StringVar(&server, "server", "", "a live site's address for users: jobs are submitted there in real time")
-	return c
+// loadFlags are the flags of `load`.
+type loadFlags struct {
+	dir    string // for reports; empty: none are written
+	server string // a live site's address for users; empty: the experiment is simulated
 }
 
-func writeLoad(dir string, e *experiment.Experiment, r *experiment.Report) error {
+func newLoadCommand() *cobra.Command {
+	var flags loadFlags
+	cmd := &cobra.Command{
+		Use: "load FILE", Short: "Run an experiment and compare its variants in simulated time, or load a live site", Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error { return runLoad(cmd, args[0], &flags) },
+	}
+	cmd.Flags().StringVar(&flags.dir, "out", "", "directory for report.html, report.json and report.txt")
+	cmd.Flags().StringVar(&flags.server, "server", "", "a live site's address for users: jobs are submitted there in real time")
+	return cmd
+}
+
+// runLoad runs an experiment, prints its report and writes it into the directory.
+func runLoad(cmd *cobra.Command, path string, flags *loadFlags) error {
+	plan, err := experiment.Load(path)
+	if err != nil {
+		return err
+	}
+	report, err := playLoad(cmd, plan, flags.server)
+	fmt.Fprintln(cmd.ErrOrStderr()) // ends the line of the progress bar
+	if err != nil {
+		return err
+	}
+	if err := report.Table(cmd.OutOrStdout()); err != nil {
+		return err
+	}
+	if flags.dir != "" {
+		if err := writeLoad(flags.dir, plan, report); err != nil {
+			return err
+		}
+	}
+	return reportViolations(cmd.OutOrStdout(), report.Broken())
+}
+
+// playLoad runs an experiment in simulated time, or against a live site, and shows its progress.
+func playLoad(cmd *cobra.Command, plan *experiment.Experiment, server string) (*experiment.Report, error) {
+	showProgress := newProgressBar(cmd.ErrOrStderr())
+	if server == "" {
+		return plan.Play(showProgress)
+	}
+	ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	return plan.Live(ctx, strings.TrimSuffix(server, "/"), showProgress)
+}
+
+// newProgressBar returns a function that shows how much of all is finished.
+func newProgressBar(out io.Writer) func(finished, all int) {
+	bar := progressbar.NewOptions(1, progressbar.OptionSetWriter(out), progressbar.OptionShowCount(),
+		progressbar.OptionSetWidth(40), progressbar.OptionThrottle(100*time.Millisecond))
+	return func(finished, all int) {
+		bar.ChangeMax(all)
+		_ = bar.Set(finished) // that the bar can't be shown is no reason to end
+	}
+}
+
+func writeLoad(dir string, plan *experiment.Experiment, report *experiment.Report) error {
 	return errors.Join(
-		writeFile(dir, "report.html", func(out io.Writer) error { return r.HTML(e, out) }),
-		writeFile(dir, "report.json", func(out io.Writer) error { return json.NewEncoder(out).Encode(r) }),
-		writeFile(dir, "report.txt", r.Table),
+		writeFile(dir, "report.html", func(out io.Writer) error { return report.HTML(plan, out) }),
+		writeFile(dir, "report.json", func(out io.Writer) error { return json.NewEncoder(out).Encode(report) }),
+		writeFile(dir, "report.txt", report.Table),
 	)
 }
--- a/cmd/dalefront/main.go
+++ b/cmd/dalefront/main.go
@@ -5,28 +5,19 @@
 import "C" // the deployment links against the system's C library
 
 import (
-	"context"
 	"errors"
 	"fmt"
-	"log/slog"
 	"os"
-	"os/signal"
-	"runtime/debug"
-	"syscall"
 
 	"github.com/spf13/cobra"
-
-	"dalefront/internal/calendar"
-	"dalefront/internal/config"
-	"dalefront/internal/controller"
 )
 
 var version = "0.1.0"
 
 func main() {
-	root := command()
-	began := false // past the arguments
-	root.PersistentPreRun = func(*cobra.Command, []string) { began = true }
+	root := newRootCommand()
+	parsed := false // the arguments are valid, and the command has begun
+	root.PersistentPreRun = func(*cobra.Command, []string) { parsed = true }
 	err := root.Execute()
 	if err == nil {
 		return
@@ -36,15 +27,24 @@
 	switch {
 	case errors.As(err, &coded):
 		os.Exit(coded.code)
-	case !began:
+	case !parsed:
 		fmt.Fprintln(os.Stderr, "dalefront: see dalefront --help")
 		os.Exit(exitUsage)
 	}
 	os.Exit(exitFailed)
 }
 
-func command() *cobra.Command {
-	var settings, operator, format string
+// globalFlags are the flags of all commands.
+type globalFlags struct {
+	settings string // path of the platform's settings
+	operator string // path of the operator's settings; empty: none
+}
+
+// newRootCommand returns the whole command line. Each call has flags of its own, so that tests can
+// run commands side by side.
+func newRootCommand() *cobra.Command {
+	flags := &globalFlags{}
+	var logFormat string
 	root := &cobra.Command{
 		Use:           "dalefront",
 		Short:         "A cluster scheduler that evicts by checkpoint cost",
@@ -52,87 +52,32 @@
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if settings == "" {
+			if flags.settings == "" {
 				return cmd.Help()
 			}
-			return serve(settings, operator, format)
+			return serve(flags, logFormat)
 		},
 	}
-	root.PersistentFlags().StringVar(&settings, "config", "", "the platform's settings (TOML); serves when no command is given")
-	root.PersistentFlags().StringVar(&operator, "operator", os.Getenv("DALEFRONT_OPERATOR"), "the operator's settings (HCL)")
-	root.Flags().StringVar(&format, "log-format", "text", "text or json")
-	root.AddCommand(&cobra.Command{
-		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
-		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), version) },
-	})
-	root.AddCommand(&cobra.Command{
-		Use: "check", Short: "Check the settings", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			if settings == "" {
-				return fmt.Errorf("check: --config is missing")
-			}
-			s, err := config.Load(settings, operator)
-			if err != nil {
-				return err
-			}
-			if file := s.Operator.CalendarFile; file != "" {
-				if _, err := calendar.Load(file); err != nil {
-					return err
-				}
-			}
-			if s.Operator.CancelWaitS != nil {
-				fmt.Fprintf(cmd.ErrOrStderr(), "%s: warning: cancel_wait_s has no effect any more: a cancellation is confirmed once its tasks are gone\n", operator)
-			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: node %s, %d members, %d teams: good\n", settings, s.Label, len(s.Members), len(s.Deployment.Teams))
-			return nil
-		},
-	})
-	root.AddCommand(jobCommands()...)
-	root.AddCommand(handOverCommand(&settings, &operator), configCommand(&settings, &operator), calendarCommand(), snapshotCommand(&settings, &operator), restoreCommand(&settings, &operator), siteCommand(&operator), loadCommand())
+	root.PersistentFlags().StringVar(&flags.settings, "config", "", "the platform's settings (TOML); serves when no command is given")
+	root.PersistentFlags().StringVar(&flags.operator, "operator", os.Getenv("DALEFRONT_OPERATOR"), "the operator's settings (HCL)")
+	root.Flags().StringVar(&logFormat, "log-format", logFormatText, "text or json")
+	root.AddCommand(newVersionCommand(), newCheckCommand(flags))
+	root.AddCommand(newJobCommands()...)
+	root.AddCommand(
+		newHandoverCommand(flags),
+		newConfigCommand(flags),
+		newCalendarCommand(),
+		newSnapshotCommand(flags),
+		newRestoreCommand(flags),
+		newSiteCommand(flags),
+		newLoadCommand(),
+	)
 	return root
 }
 
-// serve runs a controller until it fails or was told to end.
-func serve(settings, operator, format string) error {
-	s, err := config.Load(settings, operator)
-	if err != nil {
-		return err
-	}
-	var level slog.Level
-	if err := level.UnmarshalText([]byte(os.Getenv("LOG_LEVEL"))); err != nil {
-		level = slog.LevelInfo
-	}
-	var handler slog.Handler
-	switch format {
-	case "text":
-		handler = slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})
-	case "json":
-		handler = slog.NewJSONHandler(os.Stderr, &slog.HandlerOptions{Level: level})
-	default:
-		return fmt.Errorf("--log-format: %q is neither text nor json", format)
-	}
-	log := slog.New(handler)
-	// Past the platform's limit the process is killed: the collector works
-	// harder well before. Below that it may be lazy: the processor is scarcer.
-	debug.SetGCPercent(400)
-	debug.SetMemoryLimit(int64(s.Deployment.Resources.RAMMB * 0.6 * (1 << 20)))
-	n, err := controller.New(s, log)
-	if err != nil {
-		return err
+func newVersionCommand() *cobra.Command {
+	return &cobra.Command{
+		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
+		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), version) },
 	}
-	told := make(chan os.Signal, 1)
-	signal.Notify(told, syscall.SIGTERM, os.Interrupt)
-	go func() {
-		<-told
-		signal.Stop(told) // the second one ends the process
-		n.Drain()
-	}()
-	hand := make(chan os.Signal, 1)
-	signal.Notify(hand, syscall.SIGUSR1)
-	go func() {
-		for range hand {
-			n.TransferLeadership()
-		}
-	}()
-	return n.Run(context.Background())
 }
--- a/cmd/dalefront/output_test.go
+++ b/cmd/dalefront/output_test.go
@@ -20,7 +20,7 @@
 	for _, args := range commands {
 		fmt.Fprintf(&out, "$ dalefront %s\n", replace.Replace(strings.Join(args, " ")))
 		var text bytes.Buffer
-		root := command()
+		root := newRootCommand()
 		root.SetOut(&text)
 		root.SetErr(&text)
 		root.SetArgs(args)
--- a/cmd/dalefront/scale.go
+++ b/cmd/dalefront/scale.go
@@ -1,12 +1,12 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
 	"os"
 	"os/signal"
-	"path/filepath"
 	"strings"
 	"syscall"
 
@@ -15,82 +15,96 @@
 	"dalefront/internal/scaletest"
 )
 
-// scaleCommand plays a scale run, and with --sweep one for each point of the file's sweeps.
-func scaleCommand(operator *string) *cobra.Command {
-	var dir string
-	var sweep bool
-	c := &cobra.Command{Use: "scale FILE", Short: "Run a site at a given size on this machine and measure what each role costs", Args: cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			spec, err := scaletest.Load(args[0])
-			if err != nil {
-				return err
-			}
-			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
-			defer stop()
-			opt := scaletest.Options{Operator: *operator, Progress: func(what string) { fmt.Fprintf(cmd.ErrOrStderr(), "\r\x1b[K%s", what) }}
-			report, err := scaletest.Run(ctx, spec, opt)
-			fmt.Fprintln(cmd.ErrOrStderr())
-			if report == nil {
-				return err
-			}
-			if werr := errors.Join(report.Text(cmd.OutOrStdout()), writeScale(dir, report)); werr != nil {
-				return werr
-			}
-			if err != nil {
-				return err
-			}
-			broken := report.Broken
-			if sweep {
-				var written error
-				opt.Swept = func(slopes *scaletest.SweepReport) { written = writeSweeps(dir, slopes) }
-				slopes, err := scaletest.RunSweeps(ctx, spec, opt, report)
-				fmt.Fprintln(cmd.ErrOrStderr())
-				if err := errors.Join(err, slopes.Text(cmd.OutOrStdout()), written); err != nil {
-					return err
-				}
-				broken = append(broken, slopes.Broken...)
-			}
-			return ruled(cmd.OutOrStdout(), broken)
-		}}
-	c.Flags().StringVar(&dir, "out", "", "directory for report.json and report.txt, and with --sweep sweep.json, sweep.txt and plots")
-	c.Flags().BoolVar(&sweep, "sweep", false, "then vary one count at a time, as the file's sweeps say, and fit what each unit costs")
-	return c
+// scaleFlags are the flags of `site scale`.
+type scaleFlags struct {
+	dir   string // for reports; empty: none are written
+	sweep bool
 }
 
-func writeScale(dir string, r *scaletest.Report) error {
+// newScaleCommand returns the command that plays a scale test, and with --sweep one for each point
+// of the file's sweeps.
+func newScaleCommand(global *globalFlags) *cobra.Command {
+	var flags scaleFlags
+	cmd := &cobra.Command{
+		Use: "scale FILE", Short: "Run a site at a given size on this machine and measure what each role costs", Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error { return runScale(cmd, args[0], global, &flags) },
+	}
+	cmd.Flags().StringVar(&flags.dir, "out", "", "directory for report.json and report.txt, and with --sweep sweep.json, sweep.txt and plots")
+	cmd.Flags().BoolVar(&flags.sweep, "sweep", false, "then vary one count at a time, as the file's sweeps say, and fit what each unit costs")
+	return cmd
+}
+
+// runScale plays the scale test of a file. A run that is not counted has a report too, which is
+// printed before the error is returned.
+func runScale(cmd *cobra.Command, path string, global *globalFlags, flags *scaleFlags) error {
+	spec, err := scaletest.Load(path)
+	if err != nil {
+		return err
+	}
+	ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	options := scaletest.Options{
+		Operator: global.operator,
+		Progress: func(what string) { fmt.Fprintf(cmd.ErrOrStderr(), "\r\x1b[K%s", what) },
+	}
+	report, err := scaletest.Run(ctx, spec, options)
+	fmt.Fprintln(cmd.ErrOrStderr()) // ends the line of the progress
+	if report == nil {
+		return err
+	}
+	if outputErr := errors.Join(report.Text(cmd.OutOrStdout()), writeScale(flags.dir, report)); outputErr != nil {
+		return outputErr
+	}
+	if err != nil {
+		return err
+	}
+	violations := report.Broken
+	if flags.sweep {
+		sweepViolations, err := runSweeps(ctx, cmd, spec, options, report, flags.dir)
+		if err != nil {
+			return err
+		}
+		violations = append(violations, sweepViolations...)
+	}
+	return reportViolations(cmd.OutOrStdout(), violations)
+}
+
+// runSweeps plays the sweeps of a scale test around its first report. What is known is written
+// after each point, since a sweep takes long.
+func runSweeps(ctx context.Context, cmd *cobra.Command, spec *scaletest.Spec, options scaletest.Options, first *scaletest.Report, dir string) (violations []string, err error) {
+	var writeErr error
+	options.Swept = func(sweep *scaletest.SweepReport) { writeErr = writeSweeps(dir, sweep) }
+	sweep, err := scaletest.RunSweeps(ctx, spec, options, first)
+	fmt.Fprintln(cmd.ErrOrStderr()) // ends the line of the progress
+	if err := errors.Join(err, sweep.Text(cmd.OutOrStdout()), writeErr); err != nil {
+		return nil, err
+	}
+	return sweep.Broken, nil
+}
+
+func writeScale(dir string, report *scaletest.Report) error {
 	if dir == "" {
 		return nil
 	}
-	return errors.Join(writeFile(dir, "report.json", r.JSON), writeFile(dir, "report.txt", r.Text))
+	return errors.Join(writeFile(dir, "report.json", report.JSON), writeFile(dir, "report.txt", report.Text))
 }
 
-func writeSweeps(dir string, r *scaletest.SweepReport) error {
+func writeSweeps(dir string, sweep *scaletest.SweepReport) error {
 	if dir == "" {
 		return nil
 	}
-	err := errors.Join(writeFile(dir, "sweep.json", r.JSON), writeFile(dir, "sweep.txt", r.Text))
-	for _, s := range r.Slopes {
-		svg, perr := r.Plot(s)
-		if perr != nil {
-			return errors.Join(err, perr)
+	err := errors.Join(writeFile(dir, "sweep.json", sweep.JSON), writeFile(dir, "sweep.txt", sweep.Text))
+	fileNames := strings.NewReplacer(" ", "-", "/", "-per-")
+	for _, slope := range sweep.Slopes {
+		svg, plotErr := sweep.Plot(slope)
+		if plotErr != nil {
+			return errors.Join(err, plotErr)
 		}
-		name := strings.NewReplacer(" ", "-", "/", "-per-").Replace(s.Count+"-"+s.Cost) + ".svg"
+		name := fileNames.Replace(slope.Count+"-"+slope.Cost) + ".svg"
 		err = errors.Join(err, writeFile(dir, name, func(out io.Writer) error {
-			_, werr := out.Write(svg)
-			return werr
+			_, writeErr := out.Write(svg)
+			return writeErr
 		}))
 	}
 	return err
 }
-
-// writeFile writes a file into a directory that is made if need be.
-func writeFile(dir, name string, write func(io.Writer) error) error {
-	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return err
-	}
-	out, err := os.Create(filepath.Join(dir, name))
-	if err != nil {
-		return err
-	}
-	return errors.Join(write(out), out.Close())
-}
--- a/cmd/dalefront/site_test.go
+++ b/cmd/dalefront/site_test.go
@@ -88,14 +88,14 @@
 	submit := func(id string, tasks int) error { return submitSmall(server+wire.PathJobs, id, tasks, 2) }
 	status := func(id string) (st wire.JobStatus) {
 		t.Helper()
-		if err := patiently(func() error { return request(http.MethodGet, server+wire.PathJobs+"/"+id, nil, &st) }); err != nil {
+		if err := retryWhileUnavailable(func() error { return request(http.MethodGet, server+wire.PathJobs+"/"+id, nil, &st) }); err != nil {
 			t.Fatal(id, err)
 		}
 		return st
 	}
 	until := func(what string, f func() bool) { t.Helper(); until(t, what, f) }
 	for i := range 3 {
-		if err := patiently(func() error { return submit(fmt.Sprintf("j-%d", i), 8) }); err != nil {
+		if err := retryWhileUnavailable(func() error { return submit(fmt.Sprintf("j-%d", i), 8) }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -118,7 +118,7 @@
 				}
 				// 503 is an answer, after which users try again.
 				var coded *exitError
-				if err := submit(fmt.Sprintf("j-%d%04d", client+1, k), 1); err != nil && !(errors.As(err, &coded) && coded.code == exitLater) {
+				if err := submit(fmt.Sprintf("j-%d%04d", client+1, k), 1); err != nil && !(errors.As(err, &coded) && coded.code == exitUnavailable) {
 					lost.Add(1)
 					t.Log(err)
 				}
@@ -148,7 +148,7 @@
 		until("a job is done", func() bool { return status(fmt.Sprintf("j-%d", i)).Status == wire.JobDone })
 	}
 	var out bytes.Buffer
-	if err := ruled(&out, s.Fleet.Broken()); err != nil {
+	if err := reportViolations(&out, s.Fleet.Broken()); err != nil {
 		t.Error(err, out.String())
 	}
 }
@@ -188,7 +188,7 @@
 		})
 	}
 	var out bytes.Buffer
-	if err := ruled(&out, s.Fleet.Broken()); err != nil {
+	if err := reportViolations(&out, s.Fleet.Broken()); err != nil {
 		t.Error(err, out.String())
 	}
 }
@@ -215,13 +215,13 @@
 	s, jobs := up()
 	submit := func(id string, seconds float64) {
 		t.Helper()
-		if err := patiently(func() error { return submitSmall(jobs, id, 2, seconds) }); err != nil {
+		if err := retryWhileUnavailable(func() error { return submitSmall(jobs, id, 2, seconds) }); err != nil {
 			t.Fatal(err)
 		}
 	}
 	status := func(id string) (st wire.JobStatus) {
 		t.Helper()
-		if err := patiently(func() error { return request(http.MethodGet, jobs+"/"+id, nil, &st) }); err != nil {
+		if err := retryWhileUnavailable(func() error { return request(http.MethodGet, jobs+"/"+id, nil, &st) }); err != nil {
 			t.Fatal(id, err)
 		}
 		return st
@@ -240,7 +240,7 @@
 	submit("j-2", 600)
 	submit("j-3", 4)
 	until("j-1", wire.JobDone)
-	if err := patiently(func() error {
+	if err := retryWhileUnavailable(func() error {
 		return request(http.MethodPost, jobs+"/j-2/"+wire.CancelAction, nil, new(wire.JobStatus))
 	}); err != nil {
 		t.Fatal(err)
@@ -261,7 +261,7 @@
 	}
 	until("j-3", wire.JobDone)
 	broken = append(broken, s.Fleet.Broken()...)
-	if err := errors.Join(s.Down(), ruled(io.Discard, broken)); err != nil {
+	if err := errors.Join(s.Down(), reportViolations(io.Discard, broken)); err != nil {
 		t.Error(err, broken)
 	}
 }
@@ -271,7 +271,7 @@
 // no rule breaks.
 func TestLoadLive(t *testing.T) {
 	t.Parallel()
-	s, err := emulator.Up(emulator.Options{Dir: t.TempDir(), InProcess: inThisProcess})
+	s, err := emulator.Up(emulator.Options{Dir: t.TempDir(), InProcess: runInProcess})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -317,7 +317,7 @@
 	if x.Unfinished != 0 || x.Submit.Accepted != 8 || len(x.Classes["c"].Responses) != 8 || len(x.Samples) == 0 {
 		t.Errorf("%d unfinished, submissions %+v", x.Unfinished, x.Submit)
 	}
-	if err := ruled(io.Discard, x.Broken); err != nil {
+	if err := reportViolations(io.Discard, x.Broken); err != nil {
 		t.Error(err, x.Broken)
 	}
 	if _, err := s.Fault("kill", "", time.Second); err == nil {
--- a/cmd/dalefront/snapshot.go
+++ b/cmd/dalefront/snapshot.go
@@ -17,197 +17,192 @@
 	"dalefront/internal/snapshot"
 )
 
-// copies is the part of the command line about snapshots. Where nothing else is
-// given, the directory and the key are those of the operator's settings.
-type copies struct {
-	settings, operator *string
-	dir, keyFile       string
-	share              float64
+// Shares of the state service's limits that commands use by default. Nothing else needs the
+// service while a snapshot is restored.
+const (
+	defaultTakeShare    = 0.1
+	defaultRestoreShare = 0.8
+)
+
+// snapshotFlags are the flags of commands about snapshots. Directory and key are those of the
+// operator's settings unless the flags give others.
+type snapshotFlags struct {
+	global  *globalFlags
+	dir     string
+	keyFile string
+	share   float64 // of the state service's limits, above 0 and at most 1
 }
 
-func snapshotCommand(settings, operator *string) *cobra.Command {
-	c := &copies{settings: settings, operator: operator}
+func newSnapshotCommand(global *globalFlags) *cobra.Command {
+	flags := &snapshotFlags{global: global}
 	root := &cobra.Command{Use: "snapshot", Short: "Consistent copies of the state: take, check, compare"}
-	add := func(use, short string, args cobra.PositionalArgs, run func(out io.Writer, key []byte, args []string) error) *cobra.Command {
-		cmd := &cobra.Command{Use: use, Short: short, Args: args, RunE: func(cmd *cobra.Command, args []string) error {
-			key, err := c.key()
-			if err != nil {
-				return err
-			}
-			return run(cmd.OutOrStdout(), key, args)
-		}}
-		root.AddCommand(cmd)
-		return cmd
-	}
-	root.PersistentFlags().StringVar(&c.dir, "dir", "", "directory of snapshots (default: snapshot_dir of the operator's settings)")
-	root.PersistentFlags().StringVar(&c.keyFile, "key-file", "", "file with the secret (default: snapshot_key_file of the operator's settings)")
-	take := add("take", "Write a copy of a site's state into the directory; needs --config", cobra.NoArgs, func(out io.Writer, key []byte, _ []string) error {
-		dir, err := c.where()
-		if err != nil {
-			return err
-		}
-		store, _, err := c.store()
-		if err != nil {
-			return err
-		}
-		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
-		defer stop()
-		snap, err := snapshot.Take(ctx, store, snapshot.All, controller.Ephemeral, func() int64 { return time.Now().UnixMicro() })
+	root.PersistentFlags().StringVar(&flags.dir, "dir", "", "directory of snapshots (default: snapshot_dir of the operator's settings)")
+	flags.addKeyFile(root.PersistentFlags().StringVar)
+	take := flags.command("take", "Write a copy of a site's state into the directory; needs --config", cobra.NoArgs, flags.take)
+	take.Flags().Float64Var(&flags.share, "share", defaultTakeShare, "share of the state service's limits to use")
+	root.AddCommand(
+		take,
+		flags.command("list", "List the snapshots of the directory, the newest first", cobra.NoArgs, flags.list),
+		flags.command("export FILE", "Copy the newest whole snapshot of the directory to a file", cobra.ExactArgs(1), flags.export),
+		flags.command("verify FILE", "Check that a file is whole", cobra.ExactArgs(1), verifySnapshot),
+		flags.command("show FILE", "Show what a file holds", cobra.ExactArgs(1), showSnapshot),
+		flags.command("diff A B", "List what leads from one file to another", cobra.ExactArgs(2), diffSnapshots),
+	)
+	return root
+}
+
+func (f *snapshotFlags) addKeyFile(stringVar func(p *string, name, value, usage string)) {
+	stringVar(&f.keyFile, "key-file", "", "file with the secret (default: snapshot_key_file of the operator's settings)")
+}
+
+// command returns a command that gets the key of snapshots; nil if there is none.
+func (f *snapshotFlags) command(use, short string, args cobra.PositionalArgs, run func(out io.Writer, key []byte, args []string) error) *cobra.Command {
+	return &cobra.Command{Use: use, Short: short, Args: args, RunE: func(cmd *cobra.Command, args []string) error {
+		key, err := f.key()
 		if err != nil {
 			return err
 		}
-		path, err := snap.Save(dir, key)
-		if err == nil {
-			fmt.Fprintf(out, "%s: %v\n", path, snap)
-		}
+		return run(cmd.OutOrStdout(), key, args)
+	}}
+}
+
+// take copies the state of a site into a file of the directory.
+func (f *snapshotFlags) take(out io.Writer, key []byte, _ []string) error {
+	dir, err := f.directory()
+	if err != nil {
 		return err
-	})
-	take.Flags().Float64Var(&c.share, "share", 0.1, "share of the state service's limits to use")
-	add("list", "List the snapshots of the directory, the newest first", cobra.NoArgs, func(out io.Writer, key []byte, _ []string) error {
-		_, files, err := c.list(key)
-		if err != nil {
-			return err
-		}
-		for _, f := range files {
-			if f.Err != nil {
-				fmt.Fprintln(out, f.Err)
-			} else {
-				fmt.Fprintf(out, "%s: %d bytes, %v\n", f.Path, f.Bytes, f.Snapshot)
-			}
-		}
-		return nil
-	})
-	add("export FILE", "Copy the newest whole snapshot of the directory to a file", cobra.ExactArgs(1), func(out io.Writer, key []byte, args []string) error {
-		dir, files, err := c.list(key)
-		if err != nil {
-			return err
-		}
-		for _, f := range files {
-			if f.Err == nil {
-				if err := f.Snapshot.Write(args[0], key); err != nil {
-					return err
-				}
-				fmt.Fprintf(out, "%s: %v\n", args[0], f.Snapshot)
-				return nil
-			}
-		}
-		return fmt.Errorf("%s: no whole snapshot", dir)
-	})
-	add("verify FILE", "Check that a file is whole", cobra.ExactArgs(1), func(out io.Writer, key []byte, args []string) error {
-		snap, err := snapshot.Read(args[0], key)
-		if err == nil {
-			fmt.Fprintf(out, "%s: %v: whole\n", args[0], snap)
-		}
+	}
+	store, _, err := f.store()
+	if err != nil {
 		return err
-	})
-	add("show FILE", "Show what a file holds", cobra.ExactArgs(1), func(out io.Writer, key []byte, args []string) error {
-		snap, err := snapshot.Read(args[0], key)
-		if err != nil {
-			return err
-		}
-		fmt.Fprintln(out, snap)
-		for _, n := range snap.Counts() {
-			fmt.Fprintf(out, "%-12s %9d keys %12d bytes  %s\n", n.Prefix, n.Keys, n.Bytes, controller.Describe(n.Prefix))
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
+	defer stop()
+	now := func() int64 { return time.Now().UnixMicro() }
+	taken, err := snapshot.Take(ctx, store, snapshot.All, controller.Ephemeral, now)
+	if err != nil {
+		return err
+	}
+	path, err := taken.Save(dir, key)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintf(out, "%s: %v\n", path, taken)
+	return nil
+}
+
+// list prints the snapshots of the directory, with what is wrong with those that can't be read.
+func (f *snapshotFlags) list(out io.Writer, key []byte, _ []string) error {
+	_, files, err := f.files(key)
+	if err != nil {
+		return err
+	}
+	for _, file := range files {
+		if file.Err != nil {
+			fmt.Fprintln(out, file.Err)
+		} else {
+			fmt.Fprintf(out, "%s: %d bytes, %v\n", file.Path, file.Bytes, file.Snapshot)
 		}
-		return nil
-	})
-	add("diff A B", "List what leads from one file to another", cobra.ExactArgs(2), func(out io.Writer, key []byte, args []string) error {
-		a, err := snapshot.Read(args[0], key)
-		if err != nil {
-			return err
+	}
+	return nil
+}
+
+// export copies the newest snapshot of the directory that is whole.
+func (f *snapshotFlags) export(out io.Writer, key []byte, args []string) error {
+	dir, files, err := f.files(key)
+	if err != nil {
+		return err
+	}
+	for _, file := range files {
+		if file.Err != nil {
+			continue
 		}
-		b, err := snapshot.Read(args[1], key)
-		if err != nil {
+		if err := file.Snapshot.Write(args[0], key); err != nil {
 			return err
 		}
-		for _, d := range snapshot.Diff(a, b) {
-			fmt.Fprintln(out, d.How, d.Key)
-		}
+		fmt.Fprintf(out, "%s: %v\n", args[0], file.Snapshot)
 		return nil
-	})
-	return root
+	}
+	return fmt.Errorf("%s: no whole snapshot", dir)
 }
 
-func restoreCommand(settings, operator *string) *cobra.Command {
-	c := &copies{settings: settings, operator: operator}
-	var o snapshot.Options
-	cmd := &cobra.Command{Use: "restore FILE", Short: "Write a snapshot into an empty state service; needs --config, and no controller running", Args: cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			key, err := c.key()
-			if err != nil {
-				return err
-			}
-			snap, err := snapshot.Read(args[0], key)
-			if err != nil {
-				return err
-			}
-			store, ops, err := c.store()
-			if err != nil {
-				return err
-			}
-			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
-			defer stop()
-			out := cmd.OutOrStdout()
-			o.Ops, o.RetryWait = ops, time.Second
-			last := time.Now()
-			o.Progress = func(d snapshot.Done) {
-				if time.Since(last) > 5*time.Second {
-					last = time.Now()
-					fmt.Fprintf(out, "%d of %d keys, revision %d\n", d.Written+d.Present, len(snap.Keys), d.Revision)
-				}
-			}
-			d, err := snapshot.Restore(ctx, store, snap, o)
-			fmt.Fprintf(out, "%d keys written, %d were there, revision %d after %d changes to raise it\n", d.Written, d.Present, d.Revision, d.Raised)
-			if err != nil && !errors.Is(err, snapshot.ErrNotEmpty) {
-				err = fmt.Errorf("not complete: %w; the same command goes on", err)
-			}
-			return err
-		}}
-	cmd.Flags().StringVar(&c.keyFile, "key-file", "", "file with the secret (default: snapshot_key_file of the operator's settings)")
-	cmd.Flags().Float64Var(&c.share, "share", 0.8, "share of the state service's limits to use")
-	cmd.Flags().BoolVar(&o.Merge, "merge", false, "write into a service that is not empty; nothing is overwritten")
-	cmd.Flags().Uint64Var(&o.Revision, "revision", 0, "raise the service's revision at least so far: the highest token that workers may have seen")
-	return cmd
+func verifySnapshot(out io.Writer, key []byte, args []string) error {
+	file, err := snapshot.Read(args[0], key)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintf(out, "%s: %v: whole\n", args[0], file)
+	return nil
+}
+
+func showSnapshot(out io.Writer, key []byte, args []string) error {
+	file, err := snapshot.Read(args[0], key)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintln(out, file)
+	for _, count := range file.Counts() {
+		fmt.Fprintf(out, "%-12s %9d keys %12d bytes  %s\n", count.Prefix, count.Keys, count.Bytes, controller.Describe(count.Prefix))
+	}
+	return nil
+}
+
+func diffSnapshots(out io.Writer, key []byte, args []string) error {
+	from, err := snapshot.Read(args[0], key)
+	if err != nil {
+		return err
+	}
+	to, err := snapshot.Read(args[1], key)
+	if err != nil {
+		return err
+	}
+	for _, difference := range snapshot.Diff(from, to) {
+		fmt.Fprintln(out, difference.How, difference.Key)
+	}
+	return nil
 }
 
-// load reads the settings as far as they are given.
-func (c *copies) load() (*config.Settings, error) {
-	if *c.settings == "" {
+// loadSettings reads the settings of the global flags.
+func (f *snapshotFlags) loadSettings() (*config.Settings, error) {
+	if f.global.settings == "" {
 		return nil, errors.New("--config is missing")
 	}
-	return config.Load(*c.settings, *c.operator)
+	return config.Load(f.global.settings, f.global.operator)
 }
 
-func (c *copies) where() (string, error) {
-	if c.dir != "" {
-		return c.dir, nil
+// directory is that of snapshots.
+func (f *snapshotFlags) directory() (string, error) {
+	if f.dir != "" {
+		return f.dir, nil
 	}
-	s, err := c.load()
+	settings, err := f.loadSettings()
 	if err != nil {
 		return "", fmt.Errorf("--dir or its setting: %w", err)
 	}
-	if s.Operator.SnapshotDir == "" {
+	if settings.Operator.SnapshotDir == "" {
 		return "", errors.New("--dir is missing, and snapshot_dir is not set")
 	}
-	return s.Operator.SnapshotDir, nil
+	return settings.Operator.SnapshotDir, nil
 }
 
-// list reads the snapshots of the directory, the newest first.
-func (c *copies) list(key []byte) (dir string, files []snapshot.File, err error) {
-	if dir, err = c.where(); err == nil {
-		files, err = snapshot.List(dir, key)
+// files reads the snapshots of the directory, the newest first.
+func (f *snapshotFlags) files(key []byte) (dir string, files []snapshot.File, err error) {
+	if dir, err = f.directory(); err != nil {
+		return "", nil, err
 	}
+	files, err = snapshot.List(dir, key)
 	return dir, files, err
 }
 
-func (c *copies) key() ([]byte, error) {
-	file := c.keyFile
-	if file == "" && *c.settings != "" {
-		s, err := c.load()
+// key is the secret that snapshots are signed with, or nil if none is set.
+func (f *snapshotFlags) key() ([]byte, error) {
+	file := f.keyFile
+	if file == "" && f.global.settings != "" {
+		settings, err := f.loadSettings()
 		if err != nil {
 			return nil, err
 		}
-		file = s.Operator.SnapshotKeyFile
+		file = settings.Operator.SnapshotKeyFile
 	}
 	if file == "" {
 		return nil, nil
@@ -215,14 +210,17 @@
 	return snapshot.KeyFile(file)
 }
 
-func (c *copies) store() (store *kvstore.Client, ops int, err error) {
-	s, err := c.load()
+// store returns a client of the state service that uses a share of its limits, and how many
+// changes a transaction may have.
+func (f *snapshotFlags) store() (store *kvstore.Client, maxChanges int, err error) {
+	settings, err := f.loadSettings()
 	if err != nil {
 		return nil, 0, err
 	}
-	if !(c.share > 0 && c.share <= 1) {
+	if !(f.share > 0 && f.share <= 1) {
 		return nil, 0, errors.New("--share: must be above 0 and at most 1")
 	}
-	d := &s.Deployment.State
-	return kvstore.New(s.Endpoints.State, d.RPS*c.share, d.WriteRPS*c.share, 1), d.TxnOps, nil
+	limits := &settings.Deployment.State
+	store = kvstore.New(settings.Endpoints.State, limits.RPS*f.share, limits.WriteRPS*f.share, 1)
+	return store, limits.TxnOps, nil
 }
--- a/cmd/dalefront/snapshot_test.go
+++ b/cmd/dalefront/snapshot_test.go
@@ -122,7 +122,7 @@
 func run(t *testing.T, want string, args ...string) string {
 	t.Helper()
 	var out bytes.Buffer
-	c := command()
+	c := newRootCommand()
 	c.SetOut(&out)
 	c.SetArgs(args)
 	err := c.Execute()
@@ -181,7 +181,8 @@
 	run(t, "keys written", "restore", file, "--config", b.config, "--key-file", key, "--revision", fmt.Sprint(before.Version+1000))
 	run(t, "revision", "snapshot", "take", "--config", b.config, "--share", "0.9", "--dir", dir, "--key-file", key)
 
-	defer b.serve()()
+	stopB := b.serve()
+	defer stopB()
 	for i := range jobs {
 		b.until("its answer", func() bool {
 			code, st := b.ask(http.MethodGet, fmt.Sprintf("%s/j-%04d", wire.PathJobs, i), nil)
--- a/cmd/dalefront/upgrade_test.go
+++ b/cmd/dalefront/upgrade_test.go
@@ -95,7 +95,7 @@
 	switch {
 	case err == nil:
 		l.accepted[id] = acceptedJob{tasks: job["Pieces"].(int)}
-	case !errors.As(err, &coded) || coded.code != exitLater:
+	case !errors.As(err, &coded) || coded.code != exitUnavailable:
 		l.unanswered = append(l.unanswered, fmt.Errorf("%s: %w", id, err))
 	}
 	return err == nil
@@ -177,7 +177,7 @@
 	}
 
 	load := &upgradeLoad{jobs: "http://" + s.Users + wire.PathJobs, accepted: map[string]acceptedJob{}}
-	if err := patiently(func() error { return submitSmall(load.jobs, longJob, longTasks, 60) }); err != nil {
+	if err := retryWhileUnavailable(func() error { return submitSmall(load.jobs, longJob, longTasks, 60) }); err != nil {
 		t.Fatal(err)
 	}
 	load.accepted[longJob] = acceptedJob{tasks: longTasks}
@@ -210,7 +210,7 @@
 	clients.Wait()
 	load.check(t, s, signal)
 	var out bytes.Buffer
-	if err := ruled(&out, s.Fleet.Broken()); err != nil {
+	if err := reportViolations(&out, s.Fleet.Broken()); err != nil {
 		t.Error(err, out.String())
 	}
 	summary := s.Fleet.Summary()
@@ -278,10 +278,10 @@
 	}
 	for _, args := range [][]string{{"apply", file}, {"status", "--wait", "60s"}} {
 		var out bytes.Buffer
-		root := command()
+		root := newRootCommand()
 		root.SetOut(&out)
 		root.SetArgs(append(append([]string{"config"}, args...), "--config", s.Settings(0)))
-		if err := patiently(root.Execute); err != nil {
+		if err := retryWhileUnavailable(root.Execute); err != nil {
 			t.Errorf("config %v: %v %s", args, err, out.String())
 		}
 	}
