--- a/cmd/dalefront/snapshot.go
+++ b/cmd/dalefront/snapshot.go
@@ -79,11 +79,11 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	now := func() int64 { return time.Now().UnixMicro() }
-	taken, err := snapshot.Take(ctx, store, snapshot.All, controller.Ephemeral, now)
+	taken, err := snapshot.Take(ctx, store, snapshot.AllKeys, controller.Ephemeral, now)
 	if err != nil {
 		return err
 	}
-	path, err := taken.Save(dir, key)
+	path, err := taken.SaveFile(dir, key)
 	if err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 		if file.Err != nil {
 			continue
 		}
-		if err := file.Snapshot.Write(args[0], key); err != nil {
+		if err := file.Snapshot.WriteFile(args[0], key); err != nil {
 			return err
 		}
 		fmt.Fprintf(out, "%s: %v\n", args[0], file.Snapshot)
@@ -127,7 +127,7 @@
 }
 
 func verifySnapshot(out io.Writer, key []byte, args []string) error {
-	file, err := snapshot.Read(args[0], key)
+	file, err := snapshot.ReadFile(args[0], key)
 	if err != nil {
 		return err
 	}
@@ -136,28 +136,28 @@
 }
 
 func showSnapshot(out io.Writer, key []byte, args []string) error {
-	file, err := snapshot.Read(args[0], key)
+	file, err := snapshot.ReadFile(args[0], key)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintln(out, file)
-	for _, count := range file.Counts() {
+	for _, count := range file.CountByKind() {
 		fmt.Fprintf(out, "%-12s %9d keys %12d bytes  %s\n", count.Prefix, count.Keys, count.Bytes, controller.Describe(count.Prefix))
 	}
 	return nil
 }
 
 func diffSnapshots(out io.Writer, key []byte, args []string) error {
-	from, err := snapshot.Read(args[0], key)
+	from, err := snapshot.ReadFile(args[0], key)
 	if err != nil {
 		return err
 	}
-	to, err := snapshot.Read(args[1], key)
+	to, err := snapshot.ReadFile(args[1], key)
 	if err != nil {
 		return err
 	}
 	for _, difference := range snapshot.Diff(from, to) {
-		fmt.Fprintln(out, difference.How, difference.Key)
+		fmt.Fprintln(out, difference.Kind, difference.Key)
 	}
 	return nil
 }
@@ -190,7 +190,7 @@
 	if dir, err = f.directory(); err != nil {
 		return "", nil, err
 	}
-	files, err = snapshot.List(dir, key)
+	files, err = snapshot.ListFiles(dir, key)
 	return dir, files, err
 }
 
@@ -207,7 +207,7 @@
 	if file == "" {
 		return nil, nil
 	}
-	return snapshot.KeyFile(file)
+	return snapshot.ReadKeyFile(file)
 }
 
 // store returns a client of the state service that uses a share of its limits, and how many
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -56,7 +56,7 @@
 		}
 		snap, err := snapshot.Take(r.ctx, client, copyPrefixes, noKeys, n.now)
 		if err == nil {
-			err = snap.Store(r.ctx, client, snapshot.StoreOptions{Term: r.termCondition(), Ops: 4, Value: 200})
+			err = snap.StoreCopy(r.ctx, client, snapshot.CopyOptions{Term: r.termCondition(), MaxMutations: 4, MaxValueBytes: 200})
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -69,8 +69,8 @@
 			t.Fatalf("seed %d: loaded %v", seed, copied)
 		}
 		for _, prefix := range copyPrefixes {
-			a, _, _ := r.list(copied, prefix)
-			b, _, err := r.list(nil, prefix)
+			a, _, _ := (&stateReader{leadership: r, copied: copied}).list(prefix)
+			b, _, err := (&stateReader{leadership: r}).list(prefix)
 			if err != nil || len(a) != len(b) || len(a) > 0 && !reflect.DeepEqual(a, b) {
 				t.Fatalf("seed %d, %s: %v; from the copy %v, read %v", seed, prefix, err, a, b)
 			}
@@ -79,7 +79,7 @@
 	}
 }
 
-// BenchmarkTakeover counts what a new leader asks of the state service, with and
+// BenchmarkTakeover counts what a new leader asks of the key-value store, with and
 // without a copy, for some numbers of live jobs and of jobs that are over.
 func BenchmarkTakeover(b *testing.B) {
 	for _, live := range []int{1000, 10_000} {
@@ -122,7 +122,7 @@
 	if copies {
 		snap, err := snapshot.Take(r.ctx, n.store, copyPrefixes, noKeys, n.now)
 		if err == nil {
-			err = snap.Store(r.ctx, n.store, snapshot.StoreOptions{Term: r.termCondition(), Ops: 4, Value: 16 << 10})
+			err = snap.StoreCopy(r.ctx, n.store, snapshot.CopyOptions{Term: r.termCondition(), MaxMutations: 4, MaxValueBytes: 16 << 10})
 		}
 		if err != nil {
 			b.Fatal(err)
