--- a/internal/sched/scaleout.go
+++ b/internal/sched/scaleout.go
@@ -438,7 +438,7 @@
 		if (spec.Zone != nil && *spec.Zone != zone) || (search.zone != "" && zone != search.zone) || !satisfiesZones(search.job, search.tasksByZone, zone) {
 			continue
 		}
-		if c.detector.IsCut(zone) || !c.mayScaleOutIn(machineType.Name, zone) {
+		if c.detector.IsPartitioned(zone) || !c.mayScaleOutIn(machineType.Name, zone) {
 			continue
 		}
 		for _, spot := range []bool{true, false} {
