--- a/cmd/dalefront/earlier_test.go
+++ b/cmd/dalefront/earlier_test.go
@@ -98,7 +98,7 @@
 	jobs := "http://" + s.Users + wire.PathJobs
 	status := func(id string) (st wire.JobStatus) {
 		t.Helper()
-		if err := patiently(func() error { return request(http.MethodGet, jobs+"/"+id, nil, &st) }); err != nil {
+		if err := retryWhileUnavailable(func() error { return request(http.MethodGet, jobs+"/"+id, nil, &st) }); err != nil {
 			t.Fatal(id, err)
 		}
 		return st
@@ -108,6 +108,7 @@
 			t.Errorf("%s is read as %+v, want %+v", id, got, want)
 		}
 	}
+	until(t, "a controller leads", func() bool { return s.Leader() >= 0 })
 	outputOfASite(t, s.Users, s.Settings(0))
 	// What was under way goes on: the array with the tasks that were done before, and the gang,
 	// until it is cancelled. The schedule's jobs stay: workers of such a site know only jobs
@@ -140,7 +141,7 @@
 		{[]string{"calendar", "runs", "minutely", "--server", "http://" + s.Users}, []string{"2026-12-02T10:32:00Z  submitted  j-1190951223463925265\n", "2026-12-02T10:33:00Z  submitted  j-1812279172124273867\n"}},
 	} {
 		var out bytes.Buffer
-		root := command()
+		root := newRootCommand()
 		root.SetOut(&out)
 		root.SetArgs(x.args)
 		if err := root.Execute(); err != nil {
@@ -153,7 +154,7 @@
 		}
 	}
 	var out bytes.Buffer
-	if err := ruled(&out, s.Fleet.Broken()); err != nil {
+	if err := reportViolations(&out, s.Fleet.Broken()); err != nil {
 		t.Error(err, out.String())
 	}
 }
@@ -167,7 +168,8 @@
 	golden.Text(t, "snapshot-show.golden", run(t, "revision 247 of 2026-12-02T10:33:29Z, 42 keys", "snapshot", "show", file))
 	place := newSite(t)
 	run(t, "keys written", "restore", file, "--config", place.config)
-	defer place.serve()()
+	stop := place.serve()
+	defer stop()
 	for id, want := range earlierAnswers {
 		place.until("an answer about "+id, func() bool {
 			code, st := place.ask(http.MethodGet, wire.PathJobs+"/"+id, nil)
--- a/internal/controller/workercontacts.go
+++ b/internal/controller/workercontacts.go
@@ -22,7 +22,7 @@
 const redirectPace = time.Second
 
 // workerContacts keeps when a worker last reported to this controller, and how many workers may be
-// redirected to another one: a share of those that report here. What each controller has heard is all
+// redirected to another one: a share of those that report here. What each controller has recorded is all
 // that is left of it when a leader ends. All methods may be called concurrently.
 type workerContacts struct {
 	lease time.Duration // of workers
@@ -138,7 +138,7 @@
 	for _, member := range c.settings.Members {
 		view := failuredomain.Controller{Zone: member.Zone}
 		if at := c.peerTable.lastSeen(member.Label); !at.IsZero() {
-			view.Heard = max(1, c.now()-config.Micros(time.Since(at)/time.Microsecond))
+			view.LastHeard = max(1, c.now()-config.Micros(time.Since(at)/time.Microsecond))
 		}
 		peers = append(peers, view)
 	}
--- a/internal/sched/heartbeat.go
+++ b/internal/sched/heartbeat.go
@@ -5,9 +5,9 @@
 	"dalefront/wire"
 )
 
-// maxAnswerOrders is how many orders an answer has at most before launches are added to it: it
+// maxAnswerCommands is how many orders an answer has at most before launches are added to it: it
 // keeps the answer within the protocol's limit for bodies.
-const maxAnswerOrders = 400
+const maxAnswerCommands = 400
 
 // Heartbeat takes a worker's heartbeat that this leader is entitled to answer with
 // 200, and returns the answer.
@@ -55,8 +55,8 @@
 
 // acceptHeartbeat takes what a heartbeat of this term says of the machine itself: it has its lease.
 func (c *Core) acceptHeartbeat(m *machine, r *wire.Heartbeat) {
-	if m.lastHeartbeat > 0 && !c.detector.IsCut(m.zone) && c.canSampleTimes() {
-		c.detector.Resumed(c.now, c.now-m.lastHeartbeat)
+	if m.lastHeartbeat > 0 && !c.detector.IsPartitioned(m.zone) && c.canSampleTimes() {
+		c.detector.RecordRecovery(c.now, c.now-m.lastHeartbeat)
 	}
 	m.addr, m.registered, m.leaseExpired = r.Addr, true, false
 	if r.Incarnation > m.incarnation {
@@ -135,7 +135,7 @@
 // are repeated until a heartbeat shows them, which the protocol allows.
 func (m *machine) appendLaunches(answer *wire.HeartbeatResponse) {
 	m.eachPlacement(func(p *placement) {
-		if p.durable && !p.observed && !p.stopping && !p.recovered && len(answer.Commands) < maxAnswerOrders {
+		if p.durable && !p.observed && !p.stopping && !p.recovered && len(answer.Commands) < maxAnswerCommands {
 			p.dispatched = true
 			answer.Commands = append(answer.Commands, p.launchCommand())
 		}
