--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -194,7 +194,7 @@
 
 // takeOver returns what the copy has of the stored state, brought up to the term that this
 // controller has just taken, or why the state has to be read instead.
-func (f *follower) takeOver(ctx context.Context, token uint64, held *lease) (*stored, error) {
+func (f *follower) takeOver(ctx context.Context, token uint64, held *lease) (*storedState, error) {
 	c := f.controller
 	f.mu.Lock()
 	stateCopy := f.copy
@@ -222,7 +222,7 @@
 		return nil, err
 	}
 	f.copy = nil // what was read belongs to the term now
-	return storedOf(stateCopy), nil
+	return stateOfCopy(stateCopy), nil
 }
 
 // unfit says whether this controller could not follow lately.
--- a/internal/controller/follower_test.go
+++ b/internal/controller/follower_test.go
@@ -93,7 +93,7 @@
 				f.write(wire.Mutation{Delete: es[r.IntN(len(es))].Key})
 			}
 		default:
-			f.write(wire.Mutation{Put: learnedKey, Value: sched.Statistics{At: f.now(), Write: 0.1 + r.Float64()}}, wire.Mutation{Put: scaleOutPrefix + fmt.Sprint(f.changes), Value: "x"})
+			f.write(wire.Mutation{Put: statisticsKey, Value: sched.Statistics{At: f.now(), Write: 0.1 + r.Float64()}}, wire.Mutation{Put: scaleOutPrefix + fmt.Sprint(f.changes), Value: "x"})
 		}
 		if r.IntN(12) == 0 { // a job that is over and gone
 			id := pick()
@@ -236,7 +236,7 @@
 			e := sched.LedgerEntry{Hosts: []sched.LedgerHost{{Host: fmt.Sprintf("n-%06d", i), Type: "s", Zone: "x", Incarnation: 1}}, Runs: []sched.LedgerRun{{Job: id, Attempt: 1, Tasks: []int32{1, 2, 3, 4}}}}
 			f.write(wire.Mutation{Put: jobKey(id), Value: jobRecord{Job: j, SubmittedAt: f.now()}}, wire.Mutation{Put: ledgerPrefix + id, Value: e})
 		}
-		run := func(name string, load func(l *leadership) *stored) {
+		run := func(name string, load func(l *leadership) *storedState) {
 			b.Run(fmt.Sprint(name, "/", jobs), func(b *testing.B) {
 				var took, most config.Micros
 				takeovers := 0
@@ -256,7 +256,7 @@
 				b.ReportMetric(float64(most)/1000, "ms-most")
 			})
 		}
-		run("cold", func(l *leadership) *stored {
+		run("cold", func(l *leadership) *storedState {
 			state, err := l.read()
 			if err != nil {
 				b.Fatal(err)
@@ -264,7 +264,7 @@
 			return state
 		})
 		stateCopy := f.follow(0)
-		run("warm", func(l *leadership) *stored {
+		run("warm", func(l *leadership) *storedState {
 			f.follower.copy = stateCopy
 			state, err := f.follower.takeOver(f.ctx, l.token, l.lease)
 			if err != nil {
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -62,8 +62,8 @@
 }
 
 // read reads what a takeover needs from the key-value store, and the configuration.
-func (l *leadership) read() (*stored, error) {
-	reader := &stateReader{leadership: l, copied: l.loadCopy(), state: newStored()}
+func (l *leadership) read() (*storedState, error) {
+	reader := &stateReader{leadership: l, copied: l.loadCopy(), state: newStoredState()}
 	configured := make(chan error, 1)
 	go func() { configured <- l.controller.config.refresh(l.ctx) }()
 	parts := []func() error{
@@ -91,7 +91,7 @@
 	leadership *leadership
 	copied     *snapshot.Snapshot // a stored copy that is up to date, nil for none
 	jobs       []wire.KeyValue    // records of jobs
-	state      *stored
+	state      *storedState
 }
 
 // list reads the keys with a prefix from the copy, or from the key-value store, as of the revision
@@ -143,7 +143,7 @@
 }
 
 func (r *stateReader) readStatistics() error {
-	entries, _, err := r.list(learnedKey)
+	entries, _, err := r.list(statisticsKey)
 	if err == nil && len(entries) > 0 {
 		r.state.setStatistics(entries[0].Value)
 	}
@@ -181,7 +181,7 @@
 }
 
 // build makes the core of the term from what is stored, however it came here.
-func (l *leadership) build(state *stored) (*sched.Core, error) {
+func (l *leadership) build(state *storedState) (*sched.Core, error) {
 	c := l.controller
 	now := c.now()
 	if err := c.config.adopt(state.config, state.revision); err != nil {
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -84,7 +84,7 @@
 			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: key, Value: random.IntN(100)})
 		}
 		if random.IntN(5) == 0 {
-			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: learnedKey, Value: random.IntN(100)})
+			txn.Mutations = append(txn.Mutations, wire.Mutation{Put: statisticsKey, Value: random.IntN(100)})
 		}
 	}
 	return txn
--- a/internal/controller/stored.go
+++ b/internal/controller/storedstate.go
@@ -10,8 +10,8 @@
 	"dalefront/wire"
 )
 
-// stored is what a takeover needs of the stored state, decoded.
-type stored struct {
+// storedState is what a takeover needs of the stored state, decoded.
+type storedState struct {
 	revision   uint64 // of the jobs: the watch of the queue goes on from it
 	jobs       []*jobRecord
 	chunks     []storedChunk
@@ -37,10 +37,10 @@
 	endRecord
 }
 
-func newStored() *stored { return &stored{ledger: map[string]sched.LedgerEntry{}} }
+func newStoredState() *storedState { return &storedState{ledger: map[string]sched.LedgerEntry{}} }
 
 // addChunk takes a key of progress. Keys of another form are left alone.
-func (s *stored) addChunk(key string, version uint64, text string) {
+func (s *storedState) addChunk(key string, version uint64, text string) {
 	job, number, _ := strings.Cut(strings.TrimPrefix(key, progressPrefix), "/")
 	if index, err := strconv.Atoi(number); err == nil {
 		s.chunks = append(s.chunks, storedChunk{key, job, index, text, version})
@@ -48,16 +48,16 @@
 }
 
 // setStatistics takes what the last leader has observed, if it can be read.
-func (s *stored) setStatistics(value []byte) {
+func (s *storedState) setStatistics(value []byte) {
 	var statistics sched.Statistics
 	if wire.Unmarshal(value, &statistics) == nil {
 		s.statistics = &statistics
 	}
 }
 
-// storedOf sorts what a copy has.
-func storedOf(c *standby.Copy) *stored {
-	s := newStored()
+// stateOfCopy sorts what a copy has.
+func stateOfCopy(c *standby.Copy) *storedState {
+	s := newStoredState()
 	s.revision = c.Revision()
 	for _, key := range c.Keys(jobPrefix) {
 		item, _ := c.Get(key)
@@ -75,7 +75,7 @@
 		item, _ := c.Get(key)
 		s.ledger[strings.TrimPrefix(key, ledgerPrefix)] = *item.Decoded.(*sched.LedgerEntry)
 	}
-	if item, ok := c.Get(learnedKey); ok {
+	if item, ok := c.Get(statisticsKey); ok {
 		s.setStatistics(item.Value)
 	}
 	s.scaleOuts = c.Keys(scaleOutPrefix)
