--- a/internal/sched/cloudcapacity.go
+++ b/internal/sched/cloudcapacity.go
@@ -31,6 +31,7 @@
 	pending        map[string]int         // machines asked for and not answered yet, by type
 }
 
+// newCloudCapacity returns that of a cloud that has refused nothing yet.
 func newCloudCapacity() cloudCapacity {
 	return cloudCapacity{exhaustedUntil: map[machineKind]Micros{}, pending: map[string]int{}}
 }
--- a/internal/sched/demand_test.go
+++ b/internal/sched/demand_test.go
@@ -1,21 +1,24 @@
 package sched
 
 import (
+	"fmt"
 	"testing"
 
 	"dalefront/internal/config"
 	"dalefront/wire"
 )
 
-// Room is kept ready only for work that can't wait for a boot: 134 of 358 graphics
+// Room is kept ready only for work that can't wait for a boot: 134 of 358 GPU
 // machines stood idle for tasks whose start was to be within 120 s, three boots.
 func TestSpareRoomForCloseObjectivesOnly(t *testing.T) {
 	for within, want := range map[float64]bool{20: true, 49: true, 51: false, 120: false} {
-		b := newBed(t, config.Team{Name: "a"})
-		b.settings.Deployment.Objectives = []config.Objective{{Kind: "wait", Class: "cj-1", WithinS: within}}
-		b.AddJob(spec("j-1", "a", wire.Normal, 30, 1), b.now, b.now) // type s boots in 20 s
-		if got := len(b.expectedDemand()) > 0; got != want {
-			t.Errorf("an objective of %.0f s: room is kept %v", within, got)
-		}
+		t.Run(fmt.Sprint(within, " s"), func(t *testing.T) {
+			b := newBed(t, config.Team{Name: "a"})
+			b.settings.Deployment.Objectives = []config.Objective{{Kind: "wait", Class: "cj-1", WithinS: within}}
+			b.AddJob(spec("j-1", "a", wire.Normal, 30, 1), b.now, b.now) // type s boots in 20 s
+			if got := len(b.expectedDemand()) > 0; got != want {
+				t.Errorf("an objective of %.0f s: room is kept %v", within, got)
+			}
+		})
 	}
 }
--- a/internal/sched/explain.go
+++ b/internal/sched/explain.go
@@ -114,6 +114,7 @@
 // usageTable collects usages by name.
 type usageTable map[string]*Usage
 
+// of returns the usage of a name, a new one if there is none yet.
 func (t usageTable) of(name string) *Usage {
 	if t[name] == nil {
 		t[name] = &Usage{Name: name}
--- a/internal/sched/fairness_test.go
+++ b/internal/sched/fairness_test.go
@@ -11,8 +11,9 @@
 
 // share plays machines for which two classes, each of a team of its own, ask for more than
 // there is: one with deadlines, which come first, the other without, or with gangs, for
-// which machines are kept. It returns what part of the jobs of each was done.
+// which machines are reserved. It returns what part of the jobs of each was done.
 func share(t *testing.T, seed uint64, watched bool, gang bool) (urgent, patient float64) {
+	t.Helper()
 	r := rand.New(rand.NewPCG(seed, 12))
 	b := newBed(t, config.Team{Name: "a"}, config.Team{Name: "b"})
 	const n = 24
@@ -41,7 +42,7 @@
 			}
 		}
 		if !watched {
-			b.fairnessUpdatedAt = b.now + 10*second // nobody looks who is behind
+			b.fairnessUpdatedAt = b.now + 10*second // nobody finds out who is underserved
 		}
 		b.schedule()
 		for i := range n {
@@ -69,14 +70,16 @@
 func TestUnderservedClassCatchesUp(t *testing.T) {
 	for _, gang := range []bool{false, true} {
 		for seed := uint64(1); seed <= 3; seed++ {
-			had, had2 := share(t, seed, false, gang)
-			first, second := share(t, seed, true, gang)
-			if max(had, had2) < 0.8 || min(had, had2) > 0.45 {
-				t.Errorf("gangs %v, seed %d: nobody would be left behind: %.2f, %.2f", gang, seed, had, had2)
-			}
-			if first < 0.5 || second < 0.5 {
-				t.Errorf("gangs %v, seed %d: %.2f and %.2f are served", gang, seed, first, second)
-			}
+			t.Run(fmt.Sprint("gangs ", gang, ", seed ", seed), func(t *testing.T) {
+				had, had2 := share(t, seed, false, gang)
+				first, second := share(t, seed, true, gang)
+				if max(had, had2) < 0.8 || min(had, had2) > 0.45 {
+					t.Errorf("gangs %v, seed %d: nobody would be underserved: %.2f, %.2f", gang, seed, had, had2)
+				}
+				if first < 0.5 || second < 0.5 {
+					t.Errorf("gangs %v, seed %d: %.2f and %.2f are served", gang, seed, first, second)
+				}
+			})
 		}
 	}
 }
@@ -85,6 +88,7 @@
 // sixth takes a third of the machines. It returns what part of the small and of the large
 // ones began within four minutes.
 func largest(t *testing.T, seed uint64, watched bool) (small, large float64) {
+	t.Helper()
 	r := rand.New(rand.NewPCG(seed, 13))
 	b := newBed(t, config.Team{Name: "a"})
 	const n = 24
--- a/internal/sched/fit.go
+++ b/internal/sched/fit.go
@@ -107,6 +107,7 @@
 // has none for any of them.
 type minimumRequest struct{ cpus, mem float64 }
 
+// emptyRequest is that of no job, which fits nowhere.
 func emptyRequest() minimumRequest { return minimumRequest{math.Inf(1), math.Inf(1)} }
 
 // add takes one more job into account.
--- a/internal/sched/gangclaim.go
+++ b/internal/sched/gangclaim.go
@@ -17,6 +17,7 @@
 	zone, types     string
 }
 
+// gangShape is the shape of the gang's tasks.
 func (j *job) gangShape() gangShape {
 	shape := gangShape{j.spec.CPUs, j.spec.GPUs, j.spec.MemoryGB, j.rank, j.spec.Spot, "", strings.Join(j.spec.Types, " ")}
 	if j.spec.Zone != nil {
--- a/internal/sched/gangoffer.go
+++ b/internal/sched/gangoffer.go
@@ -42,6 +42,7 @@
 	changes    int              // how many of the plan's changes are taken in
 }
 
+// newGangOffers returns offers that are yet to be found out, with so many of the plan's changes taken in.
 func (ps *pass) newGangOffers(kind offerKind, changes int) *gangOffers {
 	return &gangOffers{
 		kind: kind, pass: ps, byMachine: make([]gangOffer, len(ps.schedulable)), zones: ps.machinesByZone(kind.oneZone),
--- a/internal/sched/gangplacement_test.go
+++ b/internal/sched/gangplacement_test.go
@@ -62,8 +62,8 @@
 }
 
 // Teams don't go on stopping each other's work: a gang that is mostly within its
-// team's guarantee is not evicted, and a gang that would go beyond its own
-// guarantee evicts nobody of equal priority.
+// team's guarantee is not preempted, and a gang that would go beyond its own
+// guarantee preempts nobody of equal priority.
 func TestTeamsDoNotPreemptEachOther(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a", CPUs: 24}, config.Team{Name: "b", CPUs: 24})
 	hosts := []string{"n-1", "n-2", "n-3", "n-4"}
@@ -86,11 +86,11 @@
 		b.schedule()
 	}
 	if b.Stats.Preemptions != 0 {
-		t.Errorf("%d tasks evicted", b.Stats.Preemptions)
+		t.Errorf("%d tasks preempted", b.Stats.Preemptions)
 	}
 }
 
-// A gang that is chosen as the victim on several machines at once is told and
+// A gang that is chosen as the victim on several machines at once is stopped and
 // counted once.
 func TestGangIsPreemptedOnce(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a"})
@@ -110,45 +110,47 @@
 	}
 	b.schedule()
 	if b.Stats.Preemptions != 3 || b.jobs.find("j-1").preemptions != 1 {
-		t.Errorf("%d tasks evicted in %d evictions", b.Stats.Preemptions, b.jobs.find("j-1").preemptions)
+		t.Errorf("%d tasks preempted in %d preemptions", b.Stats.Preemptions, b.jobs.find("j-1").preemptions)
 	}
 }
 
-// A job within its team's guarantee, as the aim counts it, evicts work that
+// A job within its team's guarantee, as the objective counts it, preempts work that
 // another team runs beyond its own, whatever runs at the moment; a job that its
-// team's earlier jobs push beyond evicts nobody.
+// team's earlier jobs push beyond preempts nobody.
 func TestGuaranteeGoesByArrival(t *testing.T) {
 	for _, c := range []struct {
-		earlier int // CPUs of the claimant's team's earlier job, which waits too
-		evicts  bool
+		earlier  int // CPUs of the claimant's team's earlier job, which waits too
+		preempts bool
 	}{{0, true}, {24, false}} {
-		b := newBed(t, config.Team{Name: "a", CPUs: 24}, config.Team{Name: "b", CPUs: 8})
-		hosts := []string{"n-1", "n-2", "n-3", "n-4"}
-		for _, h := range hosts {
-			b.report(h, "s", "x", 1)
-		}
-		guest := spec("j-1", "b", wire.Normal, 4, 8)
-		guest.Shape = wire.Gang
-		b.AddJob(guest, b.now, b.now)
-		b.schedule()
-		if c.earlier > 0 {
-			zone := "nowhere" // it waits for ever and keeps its place in the guarantee
-			early := spec("j-2", "a", wire.Normal, c.earlier/8, 8)
-			early.Zone = &zone
-			b.AddJob(early, b.now, b.now)
-		}
-		b.now += second
-		b.AddJob(spec("j-3", "a", wire.Normal, 1, 8), b.now, b.now)
-		for i := 0; i < 4; i++ {
-			b.now += second
+		t.Run(fmt.Sprint(c.earlier, " CPUs of earlier jobs"), func(t *testing.T) {
+			b := newBed(t, config.Team{Name: "a", CPUs: 24}, config.Team{Name: "b", CPUs: 8})
+			hosts := []string{"n-1", "n-2", "n-3", "n-4"}
 			for _, h := range hosts {
-				b.report(h, "s", "x", 1, b.running(h)...)
+				b.report(h, "s", "x", 1)
 			}
+			guest := spec("j-1", "b", wire.Normal, 4, 8)
+			guest.Shape = wire.Gang
+			b.AddJob(guest, b.now, b.now)
 			b.schedule()
-		}
-		if got := b.Stats.Preemptions > 0; got != c.evicts {
-			t.Errorf("after %d CPUs of earlier jobs: evicted %v, want %v", c.earlier, got, c.evicts)
-		}
+			if c.earlier > 0 {
+				zone := "nowhere" // it waits for ever and keeps its place in the guarantee
+				early := spec("j-2", "a", wire.Normal, c.earlier/8, 8)
+				early.Zone = &zone
+				b.AddJob(early, b.now, b.now)
+			}
+			b.now += second
+			b.AddJob(spec("j-3", "a", wire.Normal, 1, 8), b.now, b.now)
+			for i := 0; i < 4; i++ {
+				b.now += second
+				for _, h := range hosts {
+					b.report(h, "s", "x", 1, b.running(h)...)
+				}
+				b.schedule()
+			}
+			if got := b.Stats.Preemptions > 0; got != c.preempts {
+				t.Errorf("after %d CPUs of earlier jobs: preempted %v, want %v", c.earlier, got, c.preempts)
+			}
+		})
 	}
 }
 
@@ -178,26 +180,28 @@
 // the machines cleared: a quarter of all launches were undone so.
 func TestLowerPrioritiesWaitForGang(t *testing.T) {
 	for _, size := range []int{3, 4} {
-		b := newBed(t, config.Team{Name: "a"})
-		busy := spec("j-0", "a", wire.Low, 1, 8)
-		b.report("n-1", "s", "x", 1)
-		b.AddJob(busy, b.now, b.now)
-		b.schedule() // on n-1, which the gang may have cleared
-		b.report("n-1", "s", "x", 1, b.running("n-1")...)
-		g := spec("j-1", "a", wire.Normal, size, 8)
-		g.Shape, g.OneZone = wire.Gang, true
-		b.AddJob(g, b.now, b.now)
-		b.AddJob(spec("j-2", "a", wire.Low, 40, 1), b.now, b.now)
-		b.report("n-2", "s", "x", 1)
-		b.report("n-3", "s", "x", 1)
-		b.schedule()
-		small := len(b.jobs.find("j-2").placements)
-		if size == 3 && small > 0 {
-			t.Errorf("%d small tasks on machines that the gang would have cleared", small)
-		}
-		if size == 4 && small == 0 {
-			t.Error("machines stand idle for a gang that could not start")
-		}
+		t.Run(fmt.Sprint(size, " tasks"), func(t *testing.T) {
+			b := newBed(t, config.Team{Name: "a"})
+			busy := spec("j-0", "a", wire.Low, 1, 8)
+			b.report("n-1", "s", "x", 1)
+			b.AddJob(busy, b.now, b.now)
+			b.schedule() // on n-1, which the gang may have cleared
+			b.report("n-1", "s", "x", 1, b.running("n-1")...)
+			g := spec("j-1", "a", wire.Normal, size, 8)
+			g.Shape, g.OneZone = wire.Gang, true
+			b.AddJob(g, b.now, b.now)
+			b.AddJob(spec("j-2", "a", wire.Low, 40, 1), b.now, b.now)
+			b.report("n-2", "s", "x", 1)
+			b.report("n-3", "s", "x", 1)
+			b.schedule()
+			small := len(b.jobs.find("j-2").placements)
+			if size == 3 && small > 0 {
+				t.Errorf("%d small tasks on machines that the gang would have cleared", small)
+			}
+			if size == 4 && small == 0 {
+				t.Error("machines stand idle for a gang that could not start")
+			}
+		})
 	}
 }
 
--- a/internal/sched/gangplanreference_test.go
+++ b/internal/sched/gangplanreference_test.go
@@ -75,7 +75,7 @@
 type referenceOption struct {
 	m       *machine
 	slots   int
-	after   Micros // until it has the room, if nothing is evicted
+	after   Micros // until it has the room, if nothing is preempted
 	victims []victim
 	cost    Micros
 }
@@ -174,7 +174,7 @@
 	if start > worthWaiting {
 		taken[in] = true
 	}
-	// Soft point: a guest's huge job would evict almost everything.
+	// Soft point: a guest's huge job would preempt almost everything.
 	if cleared > max(1, len(ps.schedulable)/2) {
 		return
 	}
--- a/internal/sched/gpus_test.go
+++ b/internal/sched/gpus_test.go
@@ -1,6 +1,7 @@
 package sched
 
 import (
+	"fmt"
 	"testing"
 
 	"dalefront/internal/config"
@@ -50,17 +51,19 @@
 // of GPU machines: small tasks with a loose objective had left half their GPUs idle.
 func TestLooserObjectiveLeavesGPUs(t *testing.T) {
 	for _, within := range []float64{60, 250} {
-		b := newBed(t, config.Team{Name: "a"})
-		b.settings.Deployment.Objectives = []config.Objective{{Kind: "wait", Class: "scan", WithinS: 120}, {Kind: "wait", Class: "cj-2", WithinS: within}}
-		b.report("n-1", "g", "x", 1)
-		scan := spec("j-1", "a", wire.Low, 3, 1)
-		scan.Class, scan.GPUs = "scan", 1
-		b.AddJob(scan, b.now, b.now)
-		b.AddJob(spec("j-2", "a", wire.Low, 8, 1), b.now, b.now)
-		ps := b.newPass()
-		ps.summarizeGPUs(b.queue())
-		if got, want := ps.keepsGPUMachine(b.jobs.find("j-2")), within < 120; got != want {
-			t.Errorf("an objective of %.0f s beside one of 120 s: GPU machines are kept for it %v, want %v", within, got, want)
-		}
+		t.Run(fmt.Sprint(within, " s"), func(t *testing.T) {
+			b := newBed(t, config.Team{Name: "a"})
+			b.settings.Deployment.Objectives = []config.Objective{{Kind: "wait", Class: "scan", WithinS: 120}, {Kind: "wait", Class: "cj-2", WithinS: within}}
+			b.report("n-1", "g", "x", 1)
+			scan := spec("j-1", "a", wire.Low, 3, 1)
+			scan.Class, scan.GPUs = "scan", 1
+			b.AddJob(scan, b.now, b.now)
+			b.AddJob(spec("j-2", "a", wire.Low, 8, 1), b.now, b.now)
+			ps := b.newPass()
+			ps.summarizeGPUs(b.queue())
+			if got, want := ps.keepsGPUMachine(b.jobs.find("j-2")), within < 120; got != want {
+				t.Errorf("an objective of %.0f s beside one of 120 s: GPU machines are kept for it %v, want %v", within, got, want)
+			}
+		})
 	}
 }
--- a/internal/sched/preemption_test.go
+++ b/internal/sched/preemption_test.go
@@ -35,12 +35,12 @@
 }
 
 // Preemption as the protocol allows it, and nothing beyond.
-func TestWhoMayEvict(t *testing.T) {
+func TestWhoMayPreempt(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		victim, by   string
 		victimTeam   string
-		evicts       bool
+		preempts     bool
 		guaranteed   float64
 		victimsShare float64
 	}{
@@ -60,8 +60,8 @@
 		b.now += 2 * second
 		b.report("n-1", "s", "x", 1, b.running("n-1")...)
 		b.schedule()
-		if got := b.Stats.Preemptions > 0; got != c.evicts {
-			t.Errorf("%s: evicted %v, want %v", c.name, got, c.evicts)
+		if got := b.Stats.Preemptions > 0; got != c.preempts {
+			t.Errorf("%s: preempted %v, want %v", c.name, got, c.preempts)
 		}
 	}
 }
--- a/internal/sched/servicereport.go
+++ b/internal/sched/servicereport.go
@@ -45,6 +45,7 @@
 	slices.SortStableFunc(shares, func(a, b ServiceShare) int { return cmp.Compare(b.Submitted, a.Submitted) })
 }
 
+// newServiceReport finds, for each share, how many of its jobs have not begun and the oldest of them.
 func (c *Core) newServiceReport() *serviceReport {
 	report := &serviceReport{core: c, waiting: map[*serviceShare]int{}, oldest: map[*serviceShare]*job{}}
 	for j := range c.jobs.all() {
--- a/internal/sched/victims_test.go
+++ b/internal/sched/victims_test.go
@@ -9,9 +9,9 @@
 	"dalefront/wire"
 )
 
-// The cost of evicting is that of the victims that would be picked, on every machine and for
+// The cost of preempting is that of the victims that would be picked, on every machine and for
 // every job: tasks of several priorities and sizes that save or not, have run for different
-// times, were evicted before, are leaving, and gangs among them.
+// times, were preempted before, are leaving, and gangs among them.
 func TestPreemptionCostIsThatOfTheVictims(t *testing.T) {
 	compared, fits, several := 0, 0, 0
 	for seed := uint64(1); seed <= 6; seed++ {
@@ -82,7 +82,7 @@
 		b.now += c.ran
 		a := b.report("n-1", "s", "x", 1, b.running("n-1")...)
 		if len(ops(a, wire.Stop)) > 0 {
-			t.Fatal("evicted before any pass")
+			t.Fatal("preempted before any pass")
 		}
 		b.schedule()
 		a = b.report("n-1", "s", "x", 1, b.running("n-1")...)
@@ -119,6 +119,6 @@
 		b.JobEnded("j-9"+string(rune('0'+i)), wire.JobCancelled, b.now)
 	}
 	if n := b.jobs.find("j-1").preemptions; n == 0 || n > maxPreemptionsPerTask {
-		t.Errorf("evicted %d times, want 1 to %d", n, maxPreemptionsPerTask)
+		t.Errorf("preempted %d times, want 1 to %d", n, maxPreemptionsPerTask)
 	}
 }
