--- a/internal/sched/batch.go
+++ b/internal/sched/batch.go
@@ -151,7 +151,7 @@
 	b.reserveMachine(m)
 	b.placements = append(b.placements, placements...)
 	if m.reservedFor == j {
-		m.reservedFor = nil
+		m.endReservation()
 	}
 }
 
--- a/internal/sched/commit.go
+++ b/internal/sched/commit.go
@@ -83,7 +83,7 @@
 // part of it is to be stored first, which the next Schedule returns.
 func (c *Core) CommitStored(commit *Commit, now Micros) {
 	c.now = now
-	c.outbox.passNeeded = true
+	c.outbox.requestPass()
 	stored := c.ledger.commitStored(commit, c.machines.isReturned)
 	if commit.next == nil {
 		for _, p := range commit.placements {
@@ -113,7 +113,7 @@
 // earlier parts was not launched either, so all its placements are released.
 func (c *Core) CommitRejected(commit *Commit, now Micros) {
 	c.now = now
-	c.outbox.passNeeded = true
+	c.outbox.requestPass()
 	c.ledger.commitRejected(commit)
 	for _, p := range commit.placements {
 		c.release(p)
--- a/internal/sched/configure.go
+++ b/internal/sched/configure.go
@@ -57,7 +57,7 @@
 	c.now = now
 	c.configure(settings, cordons, version)
 	c.teams.configure(settings.Deployment.Teams)
-	c.outbox.passNeeded = true
+	c.outbox.requestPass()
 }
 
 // cordonOf is the first cordon that applies to a machine now, nil for none.
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -113,7 +113,8 @@
 // the workers' silence: what was measured against the clock goes on from where it
 // was, and what took the gap to be noticed teaches nothing about run times.
 func (c *Core) ResumeAfterStall(gap, now Micros) {
-	c.now, c.resumedAt, c.outbox.passNeeded = now, now, true
+	c.now, c.resumedAt = now, now
+	c.outbox.requestPass()
 	for _, m := range c.machines.all() {
 		m.shiftHeartbeat(gap, now)
 		m.idleSince = min(now, m.idleSince+gap)
--- a/internal/sched/gangplan.go
+++ b/internal/sched/gangplan.go
@@ -99,7 +99,7 @@
 func (gp *gangPlan) makeRoom(gang *job) {
 	for _, i := range gp.reserved[gang] {
 		if machine := gp.pass.schedulable[i]; machine.reservedFor == gang && machine.reservationStart > 0 {
-			machine.reservedFor = nil // chosen anew
+			machine.endReservation() // chosen anew
 		}
 	}
 	best := gp.cheapestZone(gang)
@@ -130,8 +130,7 @@
 	if m.reservedFor == gang && m.reservationStart == 0 && now < m.reservedUntil {
 		return // cleared for it
 	}
-	m.reservedFor, m.reservationStart, m.reservationCheckedAt = gang, now+max(start, 1), now
-	m.reservedUntil = now + start + reservationSlack
+	m.reserveLater(gang, now, now+max(start, 1), now+start+reservationSlack)
 }
 
 // zonePlan is how a gang can start in a zone.
--- a/internal/sched/heartbeat.go
+++ b/internal/sched/heartbeat.go
@@ -80,7 +80,7 @@
 	if m.placementCount == 0 {
 		m.idleSince, m.gpusIdleSince = c.now, c.now
 	}
-	c.outbox.passNeeded = true
+	c.outbox.requestPass()
 }
 
 // startIncarnation takes a later incarnation of a machine's worker: it killed and forgot all tasks of the
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -49,6 +49,9 @@
 	slices.SortFunc(jobs, func(a, b *job) int { return cmp.Compare(a.id, b.id) })
 }
 
+// countPlaced adds to the count of placements of a rank.
+func (t *jobTable) countPlaced(rank, n int) { t.placementsByRank[rank] += n }
+
 // placedBelow counts the placements of jobs of a lower rank.
 func (t *jobTable) placedBelow(rank int) (n int) {
 	for _, placed := range t.placementsByRank[:rank] {
@@ -65,3 +68,6 @@
 	at, _ := slices.BinarySearchFunc(dirty, t.lastProgress+"\x00", func(j *job, id string) int { return cmp.Compare(j.id, id) })
 	return slices.Concat(dirty[at:], dirty[:at])
 }
+
+// handedOut notes of which job progress is handed out to be stored.
+func (t *jobTable) handedOut(j *job) { t.lastProgress = j.id }
--- a/internal/sched/ledger.go
+++ b/internal/sched/ledger.go
@@ -78,6 +78,9 @@
 	transferring bool                    // the commit under way records its live placements in a new entry
 }
 
+// addHost notes that the stored entry names a machine.
+func (e *ledgerEntry) addHost(host string) { e.hosts[host] = struct{}{} }
+
 // record notes that the stored entry covers the placement.
 func (e *ledgerEntry) record(p *placement) {
 	p.entry = e
@@ -178,7 +181,7 @@
 		entry := l.add(named.Name)
 		stored = append(stored, entry)
 		for _, h := range named.Hosts {
-			entry.hosts[h.Host] = struct{}{}
+			entry.addHost(h.Host)
 			if isReturned(h.Host) {
 				l.namingReturned[named.Name] = struct{}{}
 			}
--- a/internal/sched/lifecycle.go
+++ b/internal/sched/lifecycle.go
@@ -25,7 +25,7 @@
 	c.jobs.add(j)
 	j.isLarge = j.class.recentSizes.addIsLarge(j.spec.Tasks)
 	j.eachService(func(s *serviceShare) { s.submitted++ })
-	c.outbox.passNeeded = true
+	c.outbox.requestPass()
 	cl.sampleJob = j
 	if now-j.arrival < arrivalDecayTime {
 		cl.recordArrival(now, float64(spec.Tasks))
--- a/internal/sched/machine.go
+++ b/internal/sched/machine.go
@@ -105,10 +105,25 @@
 	reservationStart     Micros // when that job is expected to use it, 0 at once
 }
 
+// reserveNow keeps the machine for a job that uses it as soon as what is on it has stopped.
+func (r *reservation) reserveNow(j *job, until Micros) {
+	r.reservedFor, r.reservationStart, r.reservedUntil = j, 0, until
+}
+
+// reserveLater keeps the machine for a job that is expected to use it at a time. Tasks that end
+// before that may use it meanwhile.
+func (r *reservation) reserveLater(j *job, now, start, until Micros) {
+	r.reservedFor, r.reservationStart, r.reservedUntil = j, start, until
+	r.reservationCheckedAt = now
+}
+
+// endReservation lets all jobs use the machine.
+func (r *reservation) endReservation() { r.reservedFor = nil }
+
 // dropStale ends a reservation that has run out or that its job has no use for any more.
 func (r *reservation) dropStale(now Micros) {
 	if r.reservedFor != nil && (now >= r.reservedUntil || r.reservedFor.pendingCount() == 0) {
-		r.reservedFor = nil
+		r.endReservation()
 	}
 }
 
--- a/internal/sched/outbox.go
+++ b/internal/sched/outbox.go
@@ -31,6 +31,9 @@
 	o.commands = append(o.commands, DirectCommand{m.addr, batch})
 }
 
+// requestPass notes that a pass may use what has happened.
+func (o *outbox) requestPass() { o.passNeeded = true }
+
 // take returns what a queue holds and empties it.
 func take[T any](queue *[]T) []T {
 	all := *queue
@@ -38,6 +41,13 @@
 	return all
 }
 
+// takePassNeeded says whether a pass was requested since the last call.
+func (o *outbox) takePassNeeded() bool {
+	needed := o.passNeeded
+	o.passNeeded = false
+	return needed
+}
+
 // TakeEnds returns the jobs whose last task has completed since the last call; the
 // caller stores their end and calls JobEnded with whatever end is stored.
 func (c *Core) TakeEnds() []string { return take(&c.outbox.ends) }
@@ -58,7 +68,5 @@
 // TakePassNeeded says whether something happened since the last call that a pass may
 // make use of.
 func (c *Core) TakePassNeeded() bool {
-	needed := c.outbox.passNeeded
-	c.outbox.passNeeded = false
-	return needed
+	return c.outbox.takePassNeeded()
 }
--- a/internal/sched/placement.go
+++ b/internal/sched/placement.go
@@ -86,7 +86,7 @@
 	m.addPlacement(p)
 	j.team.addUse(j.taskResources())
 	j.addPlacement(p)
-	c.jobs.placementsByRank[j.rank]++
+	c.jobs.countPlaced(j.rank, 1)
 	return p
 }
 
@@ -114,8 +114,8 @@
 		return
 	}
 	j, m := p.job, p.machine
-	c.outbox.passNeeded = true
-	c.jobs.placementsByRank[j.rank]--
+	c.outbox.requestPass()
+	c.jobs.countPlaced(j.rank, -1)
 	c.ledger.removePlacement(p)
 	m.removePlacement(p)
 	if p.durable {
--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -142,6 +142,5 @@
 			c.stopPlacement(placement, victim.checkpoint)
 		}
 	}
-	machine.reservedFor, machine.reservationStart = job, 0
-	machine.reservedUntil = c.now + queue + clearedReservation
+	machine.reserveNow(job, c.now+queue+clearedReservation)
 }
--- a/internal/sched/progress.go
+++ b/internal/sched/progress.go
@@ -151,7 +151,7 @@
 func (c *Core) ProgressToStore(limit int) []ProgressChunk {
 	var out []ProgressChunk
 	for _, j := range c.jobs.nextDirty() {
-		c.jobs.lastProgress = j.id
+		c.jobs.handedOut(j)
 		for _, chunk := range slices.Sorted(maps.Keys(j.dirtyChunks)) {
 			if len(out) == limit {
 				return out
--- a/internal/sched/recovery.go
+++ b/internal/sched/recovery.go
@@ -40,7 +40,7 @@
 		m = c.newMachine(host.Host, host.Addr, host.Type, host.Zone, host.Spot)
 		m.incarnation, m.registered = incarnations[host.Host], true
 	}
-	entry.hosts[host.Host] = struct{}{}
+	entry.addHost(host.Host)
 	j := c.jobs.find(run.Job)
 	// A job's record is deleted only after all its placements were
 	// proven gone, so a task of an unknown job is not on the machine.
