--- a/internal/sched/batch.go
+++ b/internal/sched/batch.go
@@ -150,7 +150,7 @@
 	b.reserveJob(j)
 	b.reserveMachine(m)
 	b.placements = append(b.placements, placements...)
-	if m.reservedFor == j {
+	if m.isReservedFor(j) {
 		m.endReservation()
 	}
 }
