--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -174,6 +174,3 @@
 		},
 	}
 }
-
-// seconds converts a number of seconds.
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -274,11 +274,3 @@
 		sleepContext(ctx, probeAfter/2)
 	}
 }
-
-// sleepContext waits for so long, or until the context ends.
-func sleepContext(ctx context.Context, d time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(d):
-	}
-}
--- a/internal/controller/lookup_test.go
+++ b/internal/controller/lookup_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -11,6 +12,7 @@
 	"sync/atomic"
 	"testing"
 
+	"dalefront/internal/config"
 	"dalefront/wire"
 )
 
@@ -71,3 +73,40 @@
 		t.Errorf("%d users cost %d reads, %d answers were wrong", users, got, wrong.Load())
 	}
 }
+
+// Lookups beyond those that may wait are refused at once, and one that waits ends with its context.
+func TestLookupQueueIsBounded(t *testing.T) {
+	batcher := newLookupBatcher(&config.Settings{}, nil, nil, newStatusCache(), nil) // which nobody runs
+	ended, end := context.WithCancel(context.Background())
+	end()
+	for range maxLookups {
+		if result := batcher.lookUp(ended, "j-1", true); !errors.Is(result.err, context.Canceled) {
+			t.Fatalf("got %v, want %v", result.err, context.Canceled)
+		}
+	}
+	if result := batcher.lookUp(context.Background(), "j-1", true); !errors.Is(result.err, errLookupQueueFull) {
+		t.Errorf("got %v, want %v", result.err, errLookupQueueFull)
+	}
+}
+
+// A batch takes no more conditions than a transaction may have.
+func TestBatchFitsTransaction(t *testing.T) {
+	const operations = 3
+	settings := &config.Settings{}
+	settings.Deployment.State.TxnOps = operations
+	batcher := newLookupBatcher(settings, nil, nil, newStatusCache(), nil)
+	for i := range 20 {
+		batcher.queue <- lookup{id: fmt.Sprint("j-", i), accepted: i%2 == 0}
+	}
+	for taken := 0; taken < 20; {
+		batch := batcher.nextBatch(t.Context())
+		conditions := 0
+		for _, l := range batch {
+			conditions += l.conditions()
+		}
+		if len(batch) == 0 || conditions > conditionsPerOperation*operations {
+			t.Fatalf("%d lookups with %d conditions, want at most %d", len(batch), conditions, conditionsPerOperation*operations)
+		}
+		taken += len(batch)
+	}
+}
