--- a/internal/sched/admit.go
+++ b/internal/sched/admit.go
@@ -55,26 +55,26 @@
 }
 
 // Admit says why a well-formed job can never run, or returns nil.
-func Admit(settings *config.Settings, machineTypes wire.Catalog, j *wire.Job) error {
+func Admit(settings *config.Settings, machineTypes wire.Catalog, job *wire.Job) error {
 	teams := settings.Deployment.Teams
-	at := slices.IndexFunc(teams, func(t config.Team) bool { return t.Name == j.Team })
+	at := slices.IndexFunc(teams, func(t config.Team) bool { return t.Name == job.Team })
 	if at < 0 {
-		return &UnknownTeamError{j.Team}
+		return &UnknownTeamError{job.Team}
 	}
-	zones := fittingZones(j, machineTypes.Types)
+	zones := fittingZones(job, machineTypes.Types)
 	if zones == 0 {
 		return ErrNoMachineType
 	}
 	together := 1.0 // tasks that must run at the same time: an array may run in parts
-	if j.Shape != wire.Array {
-		together = float64(j.Tasks)
-		if j.Spread && j.Tasks > 1 && (j.OneZone || zones == 1) {
+	if job.Shape != wire.Array {
+		together = float64(job.Tasks)
+		if job.Spread && job.Tasks > 1 && (job.OneZone || zones == 1) {
 			return ErrSpreadInOneZone
 		}
 	}
 	q := quota{Team: teams[at]}
-	if !q.withinLimit(together*j.CPUs, together*j.GPUs) {
-		return &OverLimitError{j.Team}
+	if !q.withinLimit(together*job.CPUs, together*job.GPUs) {
+		return &OverLimitError{job.Team}
 	}
 	return nil
 }
--- a/internal/sched/batch.go
+++ b/internal/sched/batch.go
@@ -181,16 +181,16 @@
 func (b *batch) takeOver(entry *ledgerEntry) bool {
 	bytes, largest := b.bytes, b.largestLaunch
 	b.bytes += b.transferBytes(entry)
-	for p := range entry.live {
-		b.largestLaunch = max(b.largestLaunch, launchBytes(p.machine))
+	for placement := range entry.live {
+		b.largestLaunch = max(b.largestLaunch, launchBytes(placement.machine))
 	}
 	if b.bytes > b.limits.total || !b.mayDrop() {
 		b.bytes, b.largestLaunch = bytes, largest
 		return false
 	}
-	for p := range entry.live {
-		b.reserveMachine(p.machine)
-		b.moved = append(b.moved, p)
+	for placement := range entry.live {
+		b.reserveMachine(placement.machine)
+		b.moved = append(b.moved, placement)
 	}
 	return true
 }
@@ -204,12 +204,12 @@
 	}
 	bytes := 0
 	machines, runs := map[*machine]bool{}, map[runKey]bool{}
-	for p := range entry.live {
-		if !machines[p.machine] {
-			machines[p.machine] = true
-			bytes += b.hostCost(p.machine)
+	for placement := range entry.live {
+		if !machines[placement.machine] {
+			machines[placement.machine] = true
+			bytes += b.hostCost(placement.machine)
 		}
-		if key := (runKey{p.machine, p.job, p.attempt}); !runs[key] {
+		if key := (runKey{placement.machine, placement.job, placement.attempt}); !runs[key] {
 			runs[key] = true
 			bytes += runBytes
 		}
@@ -226,16 +226,16 @@
 			cmp.Compare(a.attempt, b.attempt))
 	})
 	first, size := 0, 0
-	for i, p := range placements {
+	for i, placement := range placements {
 		bytes := taskBytes
-		if i == first || p.machine != placements[i-1].machine {
-			bytes += hostBytes(p.machine) + runBytes
-		} else if p.job != placements[i-1].job || p.attempt != placements[i-1].attempt {
+		if i == first || placement.machine != placements[i-1].machine {
+			bytes += hostBytes(placement.machine) + runBytes
+		} else if placement.job != placements[i-1].job || placement.attempt != placements[i-1].attempt {
 			bytes += runBytes
 		}
 		if size+bytes > maxBytes && i > first {
 			parts = append(parts, placements[first:i])
-			first, size, bytes = i, 0, launchBytes(p.machine)
+			first, size, bytes = i, 0, launchBytes(placement.machine)
 		}
 		size += bytes
 	}
--- a/internal/sched/bootestimate.go
+++ b/internal/sched/bootestimate.go
@@ -95,16 +95,16 @@
 		return 0
 	}
 	sum, last, left := 0.0, age, from
-	for _, x := range s {
-		if x.age <= age {
+	for _, step := range s {
+		if step.age <= age {
 			continue
 		}
-		to := min(x.age, age+horizon)
+		to := min(step.age, age+horizon)
 		sum += (to - last) * (1 - left/from)
-		if last = to; x.age >= age+horizon {
+		if last = to; step.age >= age+horizon {
 			return sum
 		}
-		left = x.left
+		left = step.left
 	}
 	return sum + (age+horizon-last)*(1-left/from)
 }
@@ -114,11 +114,11 @@
 func (c *Core) bootCurves() map[string]survivalCurve {
 	ages := map[string][]float64{}
 	late := map[string]bool{}
-	for _, m := range c.machines.all() {
-		if m.booting && !m.registered && !m.failed && m.machineType.BootS > 0 {
-			age := m.bootAge(c.now)
-			ages[m.machineType.Name] = append(ages[m.machineType.Name], age)
-			late[m.machineType.Name] = late[m.machineType.Name] || age > usualBootLimit
+	for _, machine := range c.machines.all() {
+		if machine.booting && !machine.registered && !machine.failed && machine.machineType.BootS > 0 {
+			age := machine.bootAge(c.now)
+			ages[machine.machineType.Name] = append(ages[machine.machineType.Name], age)
+			late[machine.machineType.Name] = late[machine.machineType.Name] || age > usualBootLimit
 		}
 	}
 	out := map[string]survivalCurve{}
@@ -138,12 +138,12 @@
 		up          bool
 	}
 	all := make([]seen, 0, len(usualBoots)+len(outcomes)+len(booting))
-	for _, o := range usualBoots {
-		all = append(all, seen{o.age, bootPriorWeight / float64(len(usualBoots)), o.up})
+	for _, outcome := range usualBoots {
+		all = append(all, seen{outcome.age, bootPriorWeight / float64(len(usualBoots)), outcome.up})
 	}
-	for _, o := range outcomes {
-		if w := math.Exp(-float64(now-o.at) / float64(bootDecayTime)); w > 0.01 {
-			all = append(all, seen{o.age, w, o.up})
+	for _, outcome := range outcomes {
+		if weight := math.Exp(-float64(now-outcome.at) / float64(bootDecayTime)); weight > 0.01 {
+			all = append(all, seen{outcome.age, weight, outcome.up})
 		}
 	}
 	for _, age := range booting {
@@ -151,17 +151,17 @@
 	}
 	slices.SortFunc(all, func(a, b seen) int { return cmp.Compare(a.age, b.age) })
 	risk := 0.0
-	for _, o := range all {
-		risk += o.weight
+	for _, outcome := range all {
+		risk += outcome.weight
 	}
 	var s survivalCurve
 	left := 1.0
-	for _, o := range all {
-		if o.up && risk > 1e-9 {
-			left *= max(0, 1-o.weight/risk)
-			s = append(s, struct{ age, left float64 }{o.age, left})
+	for _, outcome := range all {
+		if outcome.up && risk > 1e-9 {
+			left *= max(0, 1-outcome.weight/risk)
+			s = append(s, struct{ age, left float64 }{outcome.age, left})
 		}
-		risk -= o.weight
+		risk -= outcome.weight
 	}
 	return s
 }
--- a/internal/sched/class.go
+++ b/internal/sched/class.go
@@ -128,17 +128,17 @@
 // newClass returns a class with the objectives that the settings give it.
 func newClass(name string, objectives []config.Objective, now Micros) *class {
 	cl := &class{name: name, runTimeRatio: 1, decayedAt: now}
-	for _, o := range objectives {
-		if o.Class != name {
+	for _, objective := range objectives {
+		if objective.Class != name {
 			continue
 		}
-		switch o.Kind {
+		switch objective.Kind {
 		case "wait":
-			cl.waitObjectives = append(cl.waitObjectives, config.Micro(o.WithinS))
+			cl.waitObjectives = append(cl.waitObjectives, config.Micro(objective.WithinS))
 		case "finished":
-			cl.completionObjectives = append(cl.completionObjectives, config.Micro(o.WithinS))
+			cl.completionObjectives = append(cl.completionObjectives, config.Micro(objective.WithinS))
 		case "deadline":
-			cl.deadlineFactors = append(cl.deadlineFactors, max(1, o.Times))
+			cl.deadlineFactors = append(cl.deadlineFactors, max(1, objective.Times))
 		}
 	}
 	if len(cl.deadlineFactors) == 0 {
--- a/internal/sched/commit.go
+++ b/internal/sched/commit.go
@@ -42,26 +42,26 @@
 		return nil
 	}
 	var jobs []string
-	for j := range b.jobs {
-		jobs = append(jobs, j.id)
+	for job := range b.jobs {
+		jobs = append(jobs, job.id)
 	}
 	slices.Sort(jobs)
 	slices.Sort(b.drop)
 	first := &Commit{moved: b.moved, Drop: b.drop}
 	parts := splitIntoEntries(slices.Concat(b.placements, b.moved), b.limits.value)
-	for cm := first; ; cm = cm.next {
-		cm.placements, cm.Jobs, cm.Generation = b.placements, jobs, generation
-		cm.parts = parts
+	for commit := first; ; commit = commit.next {
+		commit.placements, commit.Jobs, commit.Generation = b.placements, jobs, generation
+		commit.parts = parts
 		if b.large {
-			cm.parts = parts[:min(b.limits.entries, len(parts))]
+			commit.parts = parts[:min(b.limits.entries, len(parts))]
 		}
-		for _, part := range cm.parts {
-			cm.Entries = append(cm.Entries, NamedLedgerEntry{sequence.nextEntryName(), newLedgerEntry(part)})
+		for _, part := range commit.parts {
+			commit.Entries = append(commit.Entries, NamedLedgerEntry{sequence.nextEntryName(), newLedgerEntry(part)})
 		}
-		if parts = parts[len(cm.parts):]; len(parts) == 0 {
+		if parts = parts[len(commit.parts):]; len(parts) == 0 {
 			return first
 		}
-		cm.next = &Commit{}
+		commit.next = &Commit{}
 	}
 }
 
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -1,6 +1,3 @@
-// Package sched is the scheduler's core. It is pure: events and the time go
-// in, effects come out; it does no I/O and reads no clock. One goroutine, the
-// leader's owner, drives it.
 package sched
 
 import (
--- a/internal/sched/debugdump.go
+++ b/internal/sched/debugdump.go
@@ -13,31 +13,31 @@
 func (c *Core) Dump() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "token %d, write %g\n", c.Token(), c.bandwidth.write)
-	for _, j := range c.jobs.sorted(func(*job) bool { return true }) {
+	for _, job := range c.jobs.sorted(func(*job) bool { return true }) {
 		fmt.Fprintf(&b, "job %s %+v arrived %d due %d done %d %v stored %v dirty %v retry %v cursor %d attempt %d started %v broken %v finishing %v ended %q\n",
-			j.id, specText(j), j.arrival, j.dueAt, j.completedCount, j.completed, j.durable, slices.Sorted(maps.Keys(j.dirtyChunks)), j.retryQueue, j.nextUntried, j.gangAttempt, j.gangStarted, j.gangBroken, j.completing, j.finalStatus)
-		for _, p := range j.sortedPlacements() {
+			job.id, specText(job), job.arrival, job.dueAt, job.completedCount, job.completed, job.durable, slices.Sorted(maps.Keys(job.dirtyChunks)), job.retryQueue, job.nextUntried, job.gangAttempt, job.gangStarted, job.gangBroken, job.completing, job.finalStatus)
+		for _, placement := range job.sortedPlacements() {
 			entry := ""
-			if p.entry != nil {
-				entry = p.entry.name
+			if placement.entry != nil {
+				entry = placement.entry.name
 			}
 			fmt.Fprintf(&b, "  task %d attempt %d on %s session %d entry %s stored %v loaded %v seen %v sent %v state %q stop %v %v\n",
-				p.taskIndex, p.attempt, p.machine.host, p.incarnation, entry, p.durable, p.recovered, p.observed, p.dispatched, p.state, p.stopping, p.checkpointing)
+				placement.taskIndex, placement.attempt, placement.machine.host, placement.incarnation, entry, placement.durable, placement.recovered, placement.observed, placement.dispatched, placement.state, placement.stopping, placement.checkpointing)
 		}
 	}
-	for _, m := range c.machines.all() {
+	for _, machine := range c.machines.all() {
 		fmt.Fprintf(&b, "machine %s %s %s %s spot %v session %d seq %d up %v confirmed %v returning %v lost %v failed %v uses %g %g %g %d\n",
-			m.host, m.addr, m.machineType.Name, m.zone, m.spot, m.incarnation, m.sequence, m.registered, m.confirmed, m.scalingIn, m.leaseExpired, m.failed, m.usedCPUs, m.usedGPUs, m.usedMemoryGB, m.placementCount)
+			machine.host, machine.addr, machine.machineType.Name, machine.zone, machine.spot, machine.incarnation, machine.sequence, machine.registered, machine.confirmed, machine.scalingIn, machine.leaseExpired, machine.failed, machine.usedCPUs, machine.usedGPUs, machine.usedMemoryGB, machine.placementCount)
 	}
-	for _, n := range slices.Sorted(maps.Keys(c.ledger.entries)) {
-		e := c.ledger.entries[n]
-		fmt.Fprintf(&b, "entry %s live %d hosts %v listed %v\n", n, len(e.live), slices.Sorted(maps.Keys(e.hosts)), e.queued)
+	for _, name := range slices.Sorted(maps.Keys(c.ledger.entries)) {
+		entry := c.ledger.entries[name]
+		fmt.Fprintf(&b, "entry %s live %d hosts %v listed %v\n", name, len(entry.live), slices.Sorted(maps.Keys(entry.hosts)), entry.queued)
 	}
-	for _, t := range c.teams.sorted() {
-		fmt.Fprintf(&b, "team %s uses %g %g leaving %g %g\n", t.Name, t.usedCPUs, t.usedGPUs, t.releasingCPUs, t.releasingGPUs)
+	for _, team := range c.teams.sorted() {
+		fmt.Fprintf(&b, "team %s uses %g %g leaving %g %g\n", team.Name, team.usedCPUs, team.usedGPUs, team.releasingCPUs, team.releasingGPUs)
 	}
-	for _, cl := range c.classes.sorted() {
-		fmt.Fprintf(&b, "class %s ratio %g size %g\n", cl.name, cl.runTimeRatio, cl.meanTasks)
+	for _, class := range c.classes.sorted() {
+		fmt.Fprintf(&b, "class %s ratio %g size %g\n", class.name, class.runTimeRatio, class.meanTasks)
 	}
 	fmt.Fprintf(&b, "ends %v forget %v\n", c.outbox.ends, c.outbox.forgotten)
 	return b.String()
--- a/internal/sched/heartbeat.go
+++ b/internal/sched/heartbeat.go
@@ -17,59 +17,59 @@
 // heartbeat. So when the newest heartbeat of a worker that has seen this term's token
 // arrives, no answer to it is outstanding, answers of older leaders will be
 // dropped, and the machine holds exactly the tasks listed.
-func (c *Core) Heartbeat(r *wire.Heartbeat, now Micros) wire.HeartbeatResponse {
+func (c *Core) Heartbeat(heartbeat *wire.Heartbeat, now Micros) wire.HeartbeatResponse {
 	c.now = now
 	answer := wire.HeartbeatResponse{FencingToken: c.Token(), Commands: []wire.Command{}}
-	if c.machines.isReturned(r.Host) {
+	if c.machines.isReturned(heartbeat.Host) {
 		return answer // sent before the machine was returned
 	}
-	m := c.machines.find(r.Host)
-	if m == nil {
+	machine := c.machines.find(heartbeat.Host)
+	if machine == nil {
 		// An unexpected machine, or one that the list does not show yet: adopt it.
-		m = c.newMachine(r.Host, r.Addr, r.Type, r.Zone, r.Spot)
+		machine = c.newMachine(heartbeat.Host, heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
 	}
-	if !m.isNewer(r) && !m.isFirst(r) {
+	if !machine.isNewer(heartbeat) && !machine.isFirst(heartbeat) {
 		return answer // late: its task list is older than what is known
 	}
-	if !m.registered {
-		c.recordBootOutcome(m, true)
+	if !machine.registered {
+		c.recordBootOutcome(machine, true)
 	}
-	if r.FencingToken != c.Token() {
+	if heartbeat.FencingToken != c.Token() {
 		// The worker has not seen this term's token. Its list may predate a
 		// launch by an older leader, so it proves nothing; but the answer
 		// hands out the token, and the worker sends another heartbeat at once.
-		m.registered = true
-		m.addr = r.Addr
-		if !m.confirmed {
-			m.lastHeartbeat = now
+		machine.registered = true
+		machine.addr = heartbeat.Addr
+		if !machine.confirmed {
+			machine.lastHeartbeat = now
 		}
 		return answer
 	}
-	c.acceptHeartbeat(m, r)
-	c.reconcileTasks(m, r, &answer)
-	if !m.scalingIn { // its tasks are about to go: nothing is launched, stops still make sense
-		m.appendLaunches(&answer)
+	c.acceptHeartbeat(machine, heartbeat)
+	c.reconcileTasks(machine, heartbeat, &answer)
+	if !machine.scalingIn { // its tasks are about to go: nothing is launched, stops still make sense
+		machine.appendLaunches(&answer)
 	}
 	return answer
 }
 
 // acceptHeartbeat takes what a heartbeat of this term says of the machine itself: it has its lease.
-func (c *Core) acceptHeartbeat(m *machine, r *wire.Heartbeat) {
-	if m.lastHeartbeat > 0 && !c.detector.IsPartitioned(m.zone) && c.canSampleTimes() {
-		c.detector.RecordRecovery(c.now, c.now-m.lastHeartbeat)
+func (c *Core) acceptHeartbeat(machine *machine, heartbeat *wire.Heartbeat) {
+	if machine.lastHeartbeat > 0 && !c.detector.IsPartitioned(machine.zone) && c.canSampleTimes() {
+		c.detector.RecordRecovery(c.now, c.now-machine.lastHeartbeat)
 	}
-	m.addr, m.registered, m.leaseExpired = r.Addr, true, false
-	if r.Incarnation > m.incarnation {
-		c.startIncarnation(m)
+	machine.addr, machine.registered, machine.leaseExpired = heartbeat.Addr, true, false
+	if heartbeat.Incarnation > machine.incarnation {
+		c.startIncarnation(machine)
 	}
-	if !m.confirmed {
-		c.confirm(m)
+	if !machine.confirmed {
+		c.confirm(machine)
 	}
-	m.accept(r)
-	m.lastHeartbeat = c.now
-	m.reclaimAt = 0
-	if r.PreemptionNoticeS != nil {
-		m.reclaimAt = c.now + config.Micro(*r.PreemptionNoticeS)
+	machine.accept(heartbeat)
+	machine.lastHeartbeat = c.now
+	machine.reclaimAt = 0
+	if heartbeat.PreemptionNoticeS != nil {
+		machine.reclaimAt = c.now + config.Micro(*heartbeat.PreemptionNoticeS)
 	}
 }
 
@@ -99,36 +99,36 @@
 // task which was seen on the machine and is listed no more, or as exited, is gone for good,
 // as launches are repeated only until their task is seen; and that nothing of an earlier incarnation
 // is left. It renews no lease, and the machine is as silent as it was.
-func (c *Core) CommandAnswered(r *wire.Heartbeat, now Micros) {
-	m := c.machines.find(r.Host)
-	if m == nil || r.FencingToken != c.Token() || !m.isNewer(r) {
+func (c *Core) CommandAnswered(heartbeat *wire.Heartbeat, now Micros) {
+	machine := c.machines.find(heartbeat.Host)
+	if machine == nil || heartbeat.FencingToken != c.Token() || !machine.isNewer(heartbeat) {
 		return
 	}
 	c.now = now
-	if r.Incarnation > m.incarnation {
-		c.startIncarnation(m)
+	if heartbeat.Incarnation > machine.incarnation {
+		c.startIncarnation(machine)
 	}
-	m.accept(r)
+	machine.accept(heartbeat)
 	present := map[*placement]bool{}
-	for i := range r.Tasks {
-		status := &r.Tasks[i]
-		j, task, known := c.findTask(status.Task)
+	for i := range heartbeat.Tasks {
+		status := &heartbeat.Tasks[i]
+		job, task, known := c.findTask(status.Task)
 		if !known {
 			continue
 		}
-		p := m.findPlacement(taskKey{j, task}, status.Attempt)
+		placement := machine.findPlacement(taskKey{job, task}, status.Attempt)
 		if status.State == wire.TaskExited {
-			c.handleExit(m, j, task, status, p)
-		} else if p != nil {
-			present[p] = true
+			c.handleExit(machine, job, task, status, placement)
+		} else if placement != nil {
+			present[placement] = true
 		}
 	}
-	m.eachPlacement(func(p *placement) {
-		if p.durable && p.observed && !present[p] {
-			c.release(p)
+	machine.eachPlacement(func(placement *placement) {
+		if placement.durable && placement.observed && !present[placement] {
+			c.release(placement)
 		}
 	})
-	c.startQueuedCheckpoint(m)
+	c.startQueuedCheckpoint(machine)
 }
 
 // appendLaunches adds the stored launches that the machine does not hold yet. They
--- a/internal/sched/ledger.go
+++ b/internal/sched/ledger.go
@@ -48,22 +48,22 @@
 	var entry LedgerEntry
 	hostIndex := map[string]int{}
 	runIndex := map[runKey]int{}
-	for _, p := range placements {
-		m := p.machine
-		host, ok := hostIndex[m.host]
+	for _, placement := range placements {
+		machine := placement.machine
+		host, ok := hostIndex[machine.host]
 		if !ok {
 			host = len(entry.Hosts)
-			hostIndex[m.host] = host
-			entry.Hosts = append(entry.Hosts, LedgerHost{m.host, m.addr, m.machineType.Name, m.zone, m.spot, p.incarnation})
+			hostIndex[machine.host] = host
+			entry.Hosts = append(entry.Hosts, LedgerHost{machine.host, machine.addr, machine.machineType.Name, machine.zone, machine.spot, placement.incarnation})
 		}
-		key := runKey{m.host, p.job.id, p.attempt}
+		key := runKey{machine.host, placement.job.id, placement.attempt}
 		run, ok := runIndex[key]
 		if !ok {
 			run = len(entry.Runs)
 			runIndex[key] = run
-			entry.Runs = append(entry.Runs, LedgerRun{Host: host, Job: p.job.id, Attempt: p.attempt})
+			entry.Runs = append(entry.Runs, LedgerRun{Host: host, Job: placement.job.id, Attempt: placement.attempt})
 		}
-		entry.Runs[run].Tasks = append(entry.Runs[run].Tasks, p.taskIndex)
+		entry.Runs[run].Tasks = append(entry.Runs[run].Tasks, placement.taskIndex)
 	}
 	return entry
 }
@@ -180,15 +180,15 @@
 	for i, named := range commit.Entries {
 		entry := l.add(named.Name)
 		stored = append(stored, entry)
-		for _, h := range named.Hosts {
-			entry.addHost(h.Host)
-			if isReturned(h.Host) {
+		for _, host := range named.Hosts {
+			entry.addHost(host.Host)
+			if isReturned(host.Host) {
 				l.namingReturned[named.Name] = struct{}{}
 			}
 		}
-		for _, p := range commit.parts[i] {
-			if p.isHeld() {
-				entry.record(p)
+		for _, placement := range commit.parts[i] {
+			if placement.isHeld() {
+				entry.record(placement)
 			}
 		}
 	}
@@ -211,9 +211,9 @@
 		}
 		entry.transferring = false
 	}
-	for _, p := range commit.moved {
-		if p.entry == nil {
-			l.addUnrecorded(p)
+	for _, placement := range commit.moved {
+		if placement.entry == nil {
+			l.addUnrecorded(placement)
 		}
 	}
 }
@@ -275,22 +275,22 @@
 
 // transfer lets the batch delete entries and record their live placements in its own, as far as it
 // has room.
-func (l *ledger) transfer(b *batch, names []string) {
+func (l *ledger) transfer(batch *batch, names []string) {
 	for _, name := range names {
 		entry := l.entries[name]
 		if entry == nil || entry.deleting || len(entry.live) == 0 {
 			delete(l.namingReturned, name)
 			continue
 		}
-		if len(b.drop) >= b.dropLimit() {
+		if len(batch.drop) >= batch.dropLimit() {
 			return
 		}
-		if !b.takeOver(entry) {
+		if !batch.takeOver(entry) {
 			continue
 		}
 		delete(l.namingReturned, name)
 		entry.deleting, entry.transferring = true, true
-		b.drop = append(b.drop, name)
+		batch.drop = append(batch.drop, name)
 	}
 }
 
--- a/internal/sched/lifecycle.go
+++ b/internal/sched/lifecycle.go
@@ -15,21 +15,21 @@
 	if c.jobs.find(spec.ID) != nil {
 		return
 	}
-	tm := c.teams.findOrAdd(spec.Team)
-	cl := c.classOf(spec.Class)
-	j := &job{
-		id: spec.ID, spec: spec, rank: c.rank(spec.Priority), arrival: min(arrival, now), team: tm, class: cl,
+	team := c.teams.findOrAdd(spec.Team)
+	class := c.classOf(spec.Class)
+	job := &job{
+		id: spec.ID, spec: spec, rank: c.rank(spec.Priority), arrival: min(arrival, now), team: team, class: class,
 		progress: newProgress(spec.Tasks), placements: map[*placement]struct{}{}, placementsByTask: map[int32]int{}, waitingSince: now,
 	}
-	j.dueAt = j.arrival + j.completionTarget()
-	c.jobs.add(j)
-	j.isLarge = j.class.recentSizes.addIsLarge(j.spec.Tasks)
-	j.eachService(func(s *serviceShare) { s.submitted++ })
+	job.dueAt = job.arrival + job.completionTarget()
+	c.jobs.add(job)
+	job.isLarge = job.class.recentSizes.addIsLarge(job.spec.Tasks)
+	job.eachService(func(s *serviceShare) { s.submitted++ })
 	c.outbox.requestPass()
-	cl.sampleJob = j
-	if now-j.arrival < arrivalDecayTime {
-		cl.recordArrival(now, float64(spec.Tasks))
-		cl.lastArrival = max(cl.lastArrival, j.arrival)
+	class.sampleJob = job
+	if now-job.arrival < arrivalDecayTime {
+		class.recordArrival(now, float64(spec.Tasks))
+		class.lastArrival = max(class.lastArrival, job.arrival)
 	}
 }
 
@@ -47,20 +47,20 @@
 // JobEnded takes a stored end: done or cancelled, final from then on.
 func (c *Core) JobEnded(id, status string, now Micros) {
 	c.now = now
-	j := c.jobs.find(id)
-	if j == nil || j.finalStatus != "" {
+	job := c.jobs.find(id)
+	if job == nil || job.finalStatus != "" {
 		return
 	}
-	j.finalStatus = status
-	c.recordEnd(j, status == wire.JobDone)
-	c.log("job over", "job", id, "class", j.spec.Class, "team", j.spec.Team, "status", status, "tasks", j.spec.Tasks,
-		"age_us", now-j.arrival, "guaranteed", j.initiallyWithinGuarantee, "placed_us", max(0, j.fullyPlacedAt-j.arrival), "first_start_us", max(0, j.firstStartedAt-j.arrival), "late_us", max(0, now-j.dueAt),
-		"estimate_us", j.expectedRunTime(), "evictions", j.preemptions)
-	j.discardUnstored()
-	for _, p := range j.sortedPlacements() {
-		c.stopPlacement(p, false)
+	job.finalStatus = status
+	c.recordEnd(job, status == wire.JobDone)
+	c.log("job over", "job", id, "class", job.spec.Class, "team", job.spec.Team, "status", status, "tasks", job.spec.Tasks,
+		"age_us", now-job.arrival, "guaranteed", job.initiallyWithinGuarantee, "placed_us", max(0, job.fullyPlacedAt-job.arrival), "first_start_us", max(0, job.firstStartedAt-job.arrival), "late_us", max(0, now-job.dueAt),
+		"estimate_us", job.expectedRunTime(), "evictions", job.preemptions)
+	job.discardUnstored()
+	for _, placement := range job.sortedPlacements() {
+		c.stopPlacement(placement, false)
 	}
-	c.forgetIfGone(j)
+	c.forgetIfGone(job)
 }
 
 // forgetIfGone drops an ended job once nothing of it can be on any machine. Its
@@ -88,12 +88,12 @@
 
 // Counts returns a job's display counts and whether the core knows the job.
 func (c *Core) Counts(id string) (status string, done, running int, ok bool) {
-	j := c.jobs.find(id)
-	if j == nil {
+	job := c.jobs.find(id)
+	if job == nil {
 		return "", 0, 0, false
 	}
-	for p := range j.placements {
-		if p.state == wire.TaskRunning || p.state == wire.TaskSaving {
+	for placement := range job.placements {
+		if placement.state == wire.TaskRunning || placement.state == wire.TaskSaving {
 			running++
 		}
 	}
@@ -101,5 +101,5 @@
 	if running > 0 {
 		status = wire.JobRunning
 	}
-	return status, j.completedCount, running, true
+	return status, job.completedCount, running, true
 }
--- a/internal/sched/placement.go
+++ b/internal/sched/placement.go
@@ -109,21 +109,21 @@
 //
 // Time proves nothing: a machine that is silent beyond its lease may have had it renewed by another
 // controller, and may go on working.
-func (c *Core) release(p *placement) {
-	if !p.isHeld() {
+func (c *Core) release(placement *placement) {
+	if !placement.isHeld() {
 		return
 	}
-	j, m := p.job, p.machine
+	job, machine := placement.job, placement.machine
 	c.outbox.requestPass()
-	c.jobs.countPlaced(j.rank, -1)
-	c.ledger.removePlacement(p)
-	m.removePlacement(p)
-	if p.durable {
-		m.recordVacated(c.now, c.lastPass.keepsGPUMachine(j))
+	c.jobs.countPlaced(job.rank, -1)
+	c.ledger.removePlacement(placement)
+	machine.removePlacement(placement)
+	if placement.durable {
+		machine.recordVacated(c.now, c.lastPass.keepsGPUMachine(job))
 	}
-	j.team.removeUse(j.taskResources(), p.stopping)
-	j.removePlacement(p, c.now)
-	c.forgetIfGone(j)
+	job.team.removeUse(job.taskResources(), placement.stopping)
+	job.removePlacement(placement, c.now)
+	c.forgetIfGone(job)
 }
 
 // addPlacement counts a placement's room as taken.
@@ -140,25 +140,25 @@
 
 // removePlacement gives a placement's room back. It makes new lists, so that eachPlacement may
 // go on with the old one.
-func (u *machineUsage) removePlacement(p *placement) {
-	if i := slices.Index(u.placements, p); i >= 0 {
+func (u *machineUsage) removePlacement(placement *placement) {
+	if i := slices.Index(u.placements, placement); i >= 0 {
 		u.placements = slices.Concat(u.placements[:i], u.placements[i+1:])
 	}
-	attempts := u.tasks[p.taskKey]
-	if i := slices.Index(attempts, p); i >= 0 {
+	attempts := u.tasks[placement.taskKey]
+	if i := slices.Index(attempts, placement); i >= 0 {
 		attempts = slices.Concat(attempts[:i], attempts[i+1:])
 	}
 	if len(attempts) == 0 {
-		delete(u.tasks, p.taskKey)
+		delete(u.tasks, placement.taskKey)
 	} else {
-		u.tasks[p.taskKey] = attempts
+		u.tasks[placement.taskKey] = attempts
 	}
-	use := p.job.taskResources()
+	use := placement.job.taskResources()
 	u.placementCount--
 	u.usedCPUs -= use.cpus
 	u.usedGPUs -= use.gpus
 	u.usedMemoryGB -= use.mem
-	u.usedByRank[p.job.rank].subtract(use)
+	u.usedByRank[placement.job.rank].subtract(use)
 	if u.placementCount == 0 { // no rounding errors pile up
 		u.usedCPUs, u.usedGPUs, u.usedMemoryGB, u.usedByRank = 0, 0, 0, [numRanks]resourceUse{}
 	}
@@ -204,22 +204,22 @@
 
 // removePlacement takes a released placement off the job. Its task waits again unless it has
 // completed or is placed elsewhere. A running gang that lost a task falls back to its checkpoint.
-func (j *job) removePlacement(p *placement, now Micros) {
-	delete(j.placements, p)
-	if j.placementsByTask[p.taskIndex]--; j.placementsByTask[p.taskIndex] <= 0 {
-		delete(j.placementsByTask, p.taskIndex)
-		if !j.isOver() && !j.isCompleted(p.taskIndex) {
-			j.requeue(p.taskIndex, now)
+func (j *job) removePlacement(placement *placement, now Micros) {
+	delete(j.placements, placement)
+	if j.placementsByTask[placement.taskIndex]--; j.placementsByTask[placement.taskIndex] <= 0 {
+		delete(j.placementsByTask, placement.taskIndex)
+		if !j.isOver() && !j.isCompleted(placement.taskIndex) {
+			j.requeue(placement.taskIndex, now)
 		}
 	}
-	if len(j.placements) == 0 && p.runningSince > 0 {
+	if len(j.placements) == 0 && placement.runningSince > 0 {
 		j.lastVacatedAt = now
 	}
 	if !j.isGang() {
 		return
 	}
-	if !j.isOver() && (j.gangStarted || p.state == wire.TaskExited) {
-		j.markBroken(p.attempt)
+	if !j.isOver() && (j.gangStarted || placement.state == wire.TaskExited) {
+		j.markBroken(placement.attempt)
 	}
 	if len(j.placements) == 0 {
 		j.endAttempt()
--- a/internal/sched/quarantine.go
+++ b/internal/sched/quarantine.go
@@ -81,30 +81,30 @@
 }
 
 // recordFailure takes a task that failed.
-func (c *Core) recordFailure(p *placement) {
-	j, m := p.job, p.machine
-	wasSuspect := j.isSuspect()
+func (c *Core) recordFailure(placement *placement) {
+	job, machine := placement.job, placement.machine
+	wasSuspect := job.isSuspect()
 	ran := Micros(0)
-	if p.runningSince > 0 {
-		ran = c.now - p.runningSince
+	if placement.runningSince > 0 {
+		ran = c.now - placement.runningSince
 	}
-	j.addFailedRun(m.host, ran)
-	doesWellElsewhere := j.completedCount > 0
-	if doesWellElsewhere || len(j.failedHosts) > 1 {
-		if j.nextRound(c.now) {
-			c.log("job fails", "job", j.id, "class", j.spec.Class, "team", j.spec.Team, "machines", len(j.failedHosts), "times", j.failureRounds,
-				"suspect", j.isSuspect(), "pause_us", j.backoffUntil-c.now)
+	job.addFailedRun(machine.host, ran)
+	doesWellElsewhere := job.completedCount > 0
+	if doesWellElsewhere || len(job.failedHosts) > 1 {
+		if job.nextRound(c.now) {
+			c.log("job fails", "job", job.id, "class", job.spec.Class, "team", job.spec.Team, "machines", len(job.failedHosts), "times", job.failureRounds,
+				"suspect", job.isSuspect(), "pause_us", job.backoffUntil-c.now)
 		}
 		if doesWellElsewhere {
-			j.backoffUntil = min(j.backoffUntil, c.now+machineFailurePause) // only some of its machines are bad
+			job.backoffUntil = min(job.backoffUntil, c.now+machineFailurePause) // only some of its machines are bad
 		}
 	}
 	if wasSuspect {
 		return
 	}
-	m.failedJobs[j] = true
-	if doesWellElsewhere || len(j.failedHosts) == 1 {
-		m.avoidUntil = c.now + machineFailurePause
+	machine.failedJobs[job] = true
+	if doesWellElsewhere || len(job.failedHosts) == 1 {
+		machine.avoidUntil = c.now + machineFailurePause
 	}
 }
 
--- a/internal/sched/reconcile.go
+++ b/internal/sched/reconcile.go
@@ -28,26 +28,26 @@
 func (c *Core) reconcile() {
 	pushes := c.pushLimit()
 	expiry, silence := c.leaseExpiry(), c.detector.SilenceThreshold()
-	for _, m := range c.machines.all() {
-		if pushes > 0 && c.needsToken(m) {
+	for _, machine := range c.machines.all() {
+		if pushes > 0 && c.needsToken(machine) {
 			pushes--
-			c.pushToken(m)
+			c.pushToken(machine)
 		}
-		m.dropStale(c.now)
-		quiet := c.now - m.lastHeartbeat
-		if m.confirmed && !m.leaseExpired && quiet > expiry {
-			c.expireLease(m)
+		machine.dropStale(c.now)
+		quiet := c.now - machine.lastHeartbeat
+		if machine.confirmed && !machine.leaseExpired && quiet > expiry {
+			c.expireLease(machine)
 		}
-		if m.placementCount > 0 && quiet > silence {
-			c.releaseUndispatched(m)
+		if machine.placementCount > 0 && quiet > silence {
+			c.releaseUndispatched(machine)
 		}
-		if m.reclaimAt > 0 && m.confirmed {
-			c.drainReclaimed(m)
+		if machine.reclaimAt > 0 && machine.confirmed {
+			c.drainReclaimed(machine)
 		}
-		if m.cordon = c.cordonOf(m); m.cordon != nil && m.cordon.Drain && m.confirmed {
-			c.drainCordoned(m)
+		if machine.cordon = c.cordonOf(machine); machine.cordon != nil && machine.cordon.Drain && machine.confirmed {
+			c.drainCordoned(machine)
 		}
-		c.updateQuarantine(m)
+		c.updateQuarantine(machine)
 	}
 	c.stopBrokenGangs()
 }
--- a/internal/sched/recovery.go
+++ b/internal/sched/recovery.go
@@ -35,28 +35,28 @@
 
 // recoverRun takes the tasks of a job that a stored entry places on a machine.
 func (c *Core) recoverRun(entry *ledgerEntry, host *LedgerHost, run *LedgerRun, incarnations map[string]uint64) {
-	m := c.machines.find(host.Host)
-	if m == nil {
-		m = c.newMachine(host.Host, host.Addr, host.Type, host.Zone, host.Spot)
-		m.incarnation, m.registered = incarnations[host.Host], true
+	machine := c.machines.find(host.Host)
+	if machine == nil {
+		machine = c.newMachine(host.Host, host.Addr, host.Type, host.Zone, host.Spot)
+		machine.incarnation, machine.registered = incarnations[host.Host], true
 	}
 	entry.addHost(host.Host)
-	j := c.jobs.find(run.Job)
+	job := c.jobs.find(run.Job)
 	// A job's record is deleted only after all its placements were
 	// proven gone, so a task of an unknown job is not on the machine.
 	// Neither is one of an earlier incarnation than the ledger has seen.
-	if j == nil || host.Incarnation < m.incarnation {
+	if job == nil || host.Incarnation < machine.incarnation {
 		return
 	}
 	for _, task := range run.Tasks {
-		if int(task) >= j.spec.Tasks || task < 0 || m.findPlacement(taskKey{j, task}, run.Attempt) != nil {
+		if int(task) >= job.spec.Tasks || task < 0 || machine.findPlacement(taskKey{job, task}, run.Attempt) != nil {
 			continue
 		}
-		p := c.addPlacement(j, task, m, run.Attempt)
-		p.durable, p.recovered = true, true
-		entry.record(p)
+		placement := c.addPlacement(job, task, machine, run.Attempt)
+		placement.durable, placement.recovered = true, true
+		entry.record(placement)
 	}
-	if j.isGang() {
-		j.recoverAttempt(run.Attempt)
+	if job.isGang() {
+		job.recoverAttempt(run.Attempt)
 	}
 }
--- a/internal/sched/replacement.go
+++ b/internal/sched/replacement.go
@@ -137,8 +137,8 @@
 // saves, and from what a replacement takes. Returning is the only way to free what
 // may still be on the machine; it is never free of cost, since a machine that is only
 // cut off goes on working.
-func (c *Core) shouldReplace(m *machine, costs *rescheduleCosts) (why string, replace bool) {
-	finding := c.detector.diagnose(c.now, m)
+func (c *Core) shouldReplace(machine *machine, costs *rescheduleCosts) (why string, replace bool) {
+	finding := c.detector.diagnose(c.now, machine)
 	switch {
 	case finding.Verdict == failuredomain.ObserverIsolated:
 		return "", false
@@ -147,7 +147,7 @@
 	case *c.settings.Operator.HeartbeatPatience == 0:
 		return "no patience is set", true
 	}
-	weighing := replacementWeighing{core: c, machine: m, costs: costs, finding: &finding, wait: expectedSilence(&finding) / *c.settings.Operator.HeartbeatPatience}
+	weighing := replacementWeighing{core: c, machine: machine, costs: costs, finding: &finding, wait: expectedSilence(&finding) / *c.settings.Operator.HeartbeatPatience}
 	if weighing.gain() <= 0 {
 		return "", false
 	}
@@ -176,9 +176,9 @@
 // gain is how much time of tasks, in microseconds of the whole machine, returning it now is expected to save.
 func (w *replacementWeighing) gain() float64 {
 	gain, idle := 0.0, 1.0
-	w.machine.eachPlacement(func(p *placement) {
-		part := w.part(p.job)
-		taskGain, needed := w.gainFor(p, part)
+	w.machine.eachPlacement(func(placement *placement) {
+		part := w.part(placement.job)
+		taskGain, needed := w.gainFor(placement, part)
 		gain += taskGain
 		if needed {
 			idle -= part
@@ -206,21 +206,21 @@
 
 // gainFor is what a task that may be on the machine, and takes a part of it, gains if the machine is returned now.
 // needed says whether anybody waits for the task or for the word that it is gone; what others take counts as idle.
-func (w *replacementWeighing) gainFor(p *placement, part float64) (gain float64, needed bool) {
-	j := p.job
+func (w *replacementWeighing) gainFor(placement *placement, part float64) (gain float64, needed bool) {
+	job := placement.job
 	switch {
-	case j.finalStatus == wire.JobCancelled:
+	case job.finalStatus == wire.JobCancelled:
 		return part * w.wait, true // its user waits for the word that it is gone
-	case j.isOver() || j.isCompleted(p.taskIndex):
+	case job.isOver() || job.isCompleted(placement.taskIndex):
 		return 0, false // it is room, which also counts against its team's limit
-	case j.isGang() && (j.gangBroken || p.stopping):
-		return part * w.wait * float64(j.spec.Tasks), true // its whole gang waits for this attempt to be gone
+	case job.isGang() && (job.gangBroken || placement.stopping):
+		return part * w.wait * float64(job.spec.Tasks), true // its whole gang waits for this attempt to be gone
 	}
-	delay := float64(w.costs.delay(j, w.machine, w.finding))
-	if p.stopping || !w.finding.LeasesRenewed {
+	delay := float64(w.costs.delay(job, w.machine, w.finding))
+	if placement.stopping || !w.finding.LeasesRenewed {
 		return part * (w.wait - delay), true // it runs no more: it only has to start again
 	}
-	left, lost, unended := w.core.workAtRisk(p, w.finding.SilentSince)
+	left, lost, unended := w.core.workAtRisk(placement, w.finding.SilentSince)
 	return part * (unended*(max(w.wait, left)-(delay+left+lost)) + (1-unended)*(w.wait-delay)), true
 }
 
@@ -228,23 +228,23 @@
 // would have to repeat if its machine were returned now, both in microseconds, and how likely it has not
 // ended yet, which nobody can see: run times are taken to vary as much as they are
 // long. One that has ended has lost nothing, as its result is kept.
-func (c *Core) workAtRisk(p *placement, since Micros) (left, lost, unended float64) {
-	estimate := float64(p.job.expectedRunTime())
+func (c *Core) workAtRisk(placement *placement, since Micros) (left, lost, unended float64) {
+	estimate := float64(placement.job.expectedRunTime())
 	if estimate == 0 {
 		return math.MaxInt32 * float64(second), 0, 1 // a replica runs until it is stopped
 	}
 	ran := estimate / 2 // at the beginning of the silence; it ran before this term
 	switch {
-	case p.runningSince > 0:
-		ran = float64(since - p.runningSince)
-	case !p.recovered:
+	case placement.runningSince > 0:
+		ran = float64(since - placement.runningSince)
+	case !placement.recovered:
 		ran = 0
 	}
 	left = max(estimate-ran, estimate/4) // later than expected is likely to be a while later still
 	silent := float64(c.now - since)
 	unended = math.Exp(-silent / left)
 	lost = max(0, ran) + silent
-	if interval := p.job.spec.CheckpointIntervalS; interval > 0 {
+	if interval := placement.job.spec.CheckpointIntervalS; interval > 0 {
 		lost = min(lost, interval*float64(second))
 	}
 	return left, lost, unended
--- a/internal/sched/statistics.go
+++ b/internal/sched/statistics.go
@@ -86,13 +86,13 @@
 	slices.SortStableFunc(byEnded, func(a, b TeamStatistics) int { return cmp.Compare(b.Ended, a.Ended) })
 	left := l.room(limit)
 	kept := map[string]bool{}
-	for i, t := range byEnded {
-		if left -= teamStatisticsBytes + len(t.Name); left < 0 && i >= maxStatisticsEntries {
+	for i, team := range byEnded {
+		if left -= teamStatisticsBytes + len(team.Name); left < 0 && i >= maxStatisticsEntries {
 			break
 		}
-		kept[t.Name] = true
+		kept[team.Name] = true
 	}
-	l.Teams = slices.DeleteFunc(l.Teams, func(t TeamStatistics) bool { return !kept[t.Name] })
+	l.Teams = slices.DeleteFunc(l.Teams, func(team TeamStatistics) bool { return !kept[team.Name] })
 }
 
 // storedDoneThreshold is the decayed count of ended jobs below which nothing is stored of a team.
@@ -145,23 +145,23 @@
 
 // RestoreStatistics takes what the last leader observed, after the jobs. Times of day of
 // different nodes differ a little, which does not matter here.
-func (c *Core) RestoreStatistics(l Statistics) {
-	if l.Write > 0 {
-		c.bandwidth.write = l.Write
+func (c *Core) RestoreStatistics(learned Statistics) {
+	if learned.Write > 0 {
+		c.bandwidth.write = learned.Write
 	}
-	c.detector.Restore(l.Silence)
-	at := min(l.At, c.now)
-	for i := range l.Classes {
-		c.restoreClass(&l.Classes[i], at)
+	c.detector.Restore(learned.Silence)
+	at := min(learned.At, c.now)
+	for i := range learned.Classes {
+		c.restoreClass(&learned.Classes[i], at)
 	}
-	for _, suspect := range l.Suspect {
-		if j := c.jobs.find(suspect.ID); j != nil && j.completedCount == 0 && suspect.isValid() {
-			j.restore(suspect.Hosts, suspect.Times, c.now)
+	for _, suspect := range learned.Suspect {
+		if job := c.jobs.find(suspect.ID); job != nil && job.completedCount == 0 && suspect.isValid() {
+			job.restore(suspect.Hosts, suspect.Times, c.now)
 		}
 	}
-	for _, x := range l.Teams {
-		if t := c.teams.find(x.Name); t != nil {
-			t.service.restore(x.Ended, at, c.now)
+	for _, x := range learned.Teams {
+		if team := c.teams.find(x.Name); team != nil {
+			team.service.restore(x.Ended, at, c.now)
 		}
 	}
 }
--- a/internal/sched/taskreports.go
+++ b/internal/sched/taskreports.go
@@ -17,36 +17,36 @@
 
 // reconcileTasks brings the placements of a machine in line with its worker's exact list of tasks,
 // and answers with what is to be done about them.
-func (c *Core) reconcileTasks(m *machine, r *wire.Heartbeat, answer *wire.HeartbeatResponse) {
-	present := make(map[*placement]bool, len(r.Tasks))
-	m.savingCount = 0
-	clear(m.fetchingImages)
-	for i := range r.Tasks {
-		status := &r.Tasks[i]
-		j, task, known := c.findTask(status.Task)
+func (c *Core) reconcileTasks(machine *machine, heartbeat *wire.Heartbeat, answer *wire.HeartbeatResponse) {
+	present := make(map[*placement]bool, len(heartbeat.Tasks))
+	machine.savingCount = 0
+	clear(machine.fetchingImages)
+	for i := range heartbeat.Tasks {
+		status := &heartbeat.Tasks[i]
+		job, task, known := c.findTask(status.Task)
 		if !known {
 			answer.Commands = append(answer.Commands, removalCommand(status))
 			continue
 		}
-		p := m.findPlacement(taskKey{j, task}, status.Attempt)
+		placement := machine.findPlacement(taskKey{job, task}, status.Attempt)
 		if status.State == wire.TaskExited {
-			c.handleExit(m, j, task, status, p)
-			if j.mayClear(task, status) {
+			c.handleExit(machine, job, task, status, placement)
+			if job.mayClear(task, status) {
 				answer.Commands = append(answer.Commands, clearCommand(status))
 			}
 			continue
 		}
-		if p == nil {
-			p = c.adoptTask(m, j, task, status.Attempt)
+		if placement == nil {
+			placement = c.adoptTask(machine, job, task, status.Attempt)
 		}
-		present[p] = true
-		c.handlePresent(p, status)
-		if p.repeatsStop() {
-			answer.Commands = append(answer.Commands, p.stopCommand())
+		present[placement] = true
+		c.handlePresent(placement, status)
+		if placement.repeatsStop() {
+			answer.Commands = append(answer.Commands, placement.stopCommand())
 		}
 	}
-	c.releaseAbsent(m, present)
-	c.startQueuedCheckpoint(m)
+	c.releaseAbsent(machine, present)
+	c.startQueuedCheckpoint(machine)
 }
 
 // findTask finds a task by its name, if its job is known.
@@ -76,25 +76,25 @@
 }
 
 // handlePresent takes what a worker says of a task that is on its machine.
-func (c *Core) handlePresent(p *placement, status *wire.TaskStatus) {
-	j, m := p.job, p.machine
-	p.observed = true
-	p.state = status.State
-	if status.State == wire.TaskRunning && p.runningSince == 0 {
-		p.runningSince = c.now
-		c.recordStart(j)
-		if j.isGang() {
-			j.markRunning(p.attempt)
+func (c *Core) handlePresent(placement *placement, status *wire.TaskStatus) {
+	job, machine := placement.job, placement.machine
+	placement.observed = true
+	placement.state = status.State
+	if status.State == wire.TaskRunning && placement.runningSince == 0 {
+		placement.runningSince = c.now
+		c.recordStart(job)
+		if job.isGang() {
+			job.markRunning(placement.attempt)
 		}
 	}
 	switch status.State {
 	case wire.TaskFetching:
-		m.fetchingImages[j.spec.Image] = p.placedAt
+		machine.fetchingImages[job.spec.Image] = placement.placedAt
 		return // its image is not there yet
 	case wire.TaskSaving:
-		m.savingCount++
+		machine.savingCount++
 	}
-	m.markCached(j.spec.Image, c.now)
+	machine.markCached(job.spec.Image, c.now)
 }
 
 // repeatsStop says whether each answer has the command to stop the task: until the worker obeys.
@@ -139,32 +139,32 @@
 	return wire.Command{Op: wire.Stop, Task: status.Task, Attempt: status.Attempt, GraceS: &noGrace}
 }
 
-// handleExit takes a task that has exited. p is its placement, nil if that was released before: the worker
+// handleExit takes a task that has exited. placement is nil if it was released before: the worker
 // lists the task until the clear has arrived.
-func (c *Core) handleExit(m *machine, j *job, task int32, status *wire.TaskStatus, p *placement) {
+func (c *Core) handleExit(machine *machine, job *job, task int32, status *wire.TaskStatus, placement *placement) {
 	if status.Cause == wire.CauseDone {
-		c.handleDone(m, j, task, p)
+		c.handleDone(machine, job, task, placement)
 	}
-	if p == nil {
+	if placement == nil {
 		return
 	}
-	p.state = wire.TaskExited
+	placement.state = wire.TaskExited
 	switch status.Cause {
 	case wire.CauseStopped:
-		c.recordCheckpoint(p, status)
+		c.recordCheckpoint(placement, status)
 	case wire.CauseError:
 		c.Stats.Errors++
-		c.recordFailure(p)
+		c.recordFailure(placement)
 	case wire.CauseNoRoom, wire.CauseImageInUse:
-		m.avoidUntil = c.now + refusalPause
+		machine.avoidUntil = c.now + refusalPause
 	case wire.CauseUnknown:
-		j.backoffUntil = c.now + refusalPause
+		job.backoffUntil = c.now + refusalPause
 	case wire.CauseGangIncomplete, wire.CauseGangMemberLost:
-		if j.isGang() {
-			j.markBroken(p.attempt)
+		if job.isGang() {
+			job.markBroken(placement.attempt)
 		}
 	}
-	c.release(p)
+	c.release(placement)
 }
 
 // handleDone takes a task that is done. Its machine works.
