--- a/internal/sched/failures.go
+++ b/internal/sched/failures.go
@@ -76,7 +76,7 @@
 	m.verdict = verdict
 }
 
-// SilentMachines counts the machines by what the last survey said of them, and the zones that
+// SilentMachines counts the machines by what the last round of DetectFailures said of them, and the zones that
 // it found to be cut off.
 func (c *Core) SilentMachines() (machines map[string]int, zones int) {
 	machines = map[string]int{}
--- a/internal/sched/ledger.go
+++ b/internal/sched/ledger.go
@@ -92,7 +92,8 @@
 // Invariants:
 //   - Every placement that may be on a machine is in the live set of the entry that
 //     placement.entry names, or in unrecorded, or in the commit under way.
-//   - A placement leaves its entry in removePlacement alone, which only Core.release calls.
+//   - A placement leaves its entry in removePlacement, which only Core.release calls, or when a stored
+//     commit records it in another one.
 //   - An entry is deleted only once its live set is empty, or in the commit that records what is
 //     left of it elsewhere: at no moment does the stored ledger miss a task that may be running.
 //   - At most one commit is in flight.
