--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -46,12 +46,12 @@
 )
 
 // process is one holder of the term.
-func process(m *memory, lim Limits) (*Reader, *Compactor) {
+func process(m *fakeStore, lim Limits) (*Reader, *Compactor) {
 	m.put("term", "x")
 	term := wire.Condition{Key: "term", Version: m.keys["term"].Version}
 	r := NewReader(m)
-	lim.After = testAfter
-	return r, NewCompactor(r, Source{
+	lim.MinAge = testAfter
+	return r, NewCompactor(r, EndSource{
 		EndPrefix: "e/", JobPrefix: "j/",
 		Decode: func(id string, v []byte) (End, error) {
 			var s storedEnd
@@ -90,7 +90,7 @@
 	return out
 }
 
-func store(m *memory, recs map[string]Record) {
+func store(m *fakeStore, recs map[string]Record) {
 	for id, rec := range recs {
 		m.put("e/"+id, storedEnd{rec.Status, testNow - 2*testAfter, rec.Done})
 	}
@@ -98,22 +98,22 @@
 
 // answers checks, from the keys alone, that each job has its answer in its end's key
 // or in the archive, that both are the same, and that every leaf is named.
-func answers(m *memory, recs map[string]Record) error {
+func answers(m *fakeStore, recs map[string]Record) error {
 	r := NewReader(m)
 	was, rev := m.requests, m.bytes
 	defer func() { m.requests, m.bytes = was, rev }()
 	named := map[string]bool{}
 	leaves := map[string]*leaf{}
-	for s := range shards {
+	for s := range shardCount {
 		e, ok := m.keys[manifestKey(s)]
 		if !ok {
 			continue
 		}
-		if err := r.take(s, e); err != nil {
+		if err := r.addManifest(s, e); err != nil {
 			return err
 		}
 		v := r.view(s)
-		for _, ref := range v.m.leaves {
+		for _, ref := range v.manifest.leaves {
 			key := leafKey(s, ref.name)
 			named[key] = true
 			var text string
@@ -138,9 +138,9 @@
 			return fmt.Errorf("%s became %s: %v", id, n.id(), err)
 		}
 		found := false
-		if v := r.view(n.shard()); v.m != nil && v.m.filter.mayHave(n) {
-			a, ok := leaves[leafKey(n.shard(), v.m.leaves[v.m.leafOf(n)].name)].find(n)
-			if found = ok; ok && (a != answer{rec.Status, rec.Done}) {
+		if v := r.view(n.shard()); v.manifest != nil && v.manifest.filter.mayContain(n) {
+			a, ok := leaves[leafKey(n.shard(), v.manifest.leaves[v.manifest.leafOf(n)].name)].find(n)
+			if found = ok; ok && (a != result{rec.Status, rec.Done}) {
 				return fmt.Errorf("%s: archived as %v, was %v", id, a, rec)
 			}
 		}
@@ -157,12 +157,12 @@
 }
 
 // finish steps until all is moved, taking the term anew whenever the process dies.
-func finish(t *testing.T, m *memory, lim Limits) Counts {
+func finish(t *testing.T, m *fakeStore, lim Limits) Counts {
 	t.Helper()
 	var sum Counts
 	for range 100 {
 		r, c := process(m, lim)
-		if err := r.Warm(background); err != nil {
+		if err := r.LoadManifests(background); err != nil {
 			t.Fatal(err)
 		}
 		for range 100_000 {
@@ -191,11 +191,11 @@
 // refused at every write: all answers stay what they were at each moment, and in the
 // end the same is archived as without.
 func TestEveryWrite(t *testing.T) {
-	lim := Limits{Ops: 6, Value: 700, Batch: 10}
+	lim := Limits{MaxMutations: 6, MaxValueBytes: 700, MaxBatch: 10}
 	rnd := rand.New(rand.NewPCG(15, 1))
 	recs := someRecords(rnd, 200)
-	run := func(write int, o outcome) (*memory, Counts) {
-		m := newMemory(lim.Ops, lim.Value)
+	run := func(write int, o outcome) (*fakeStore, Counts) {
+		m := newFakeStore(lim.MaxMutations, lim.MaxValueBytes)
 		store(m, recs)
 		m.next = func(w int) outcome {
 			if w == write {
@@ -245,8 +245,8 @@
 func TestManyFaults(t *testing.T) {
 	for seed := range uint64(20) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
-		lim := Limits{Ops: 4 + rnd.IntN(20), Value: 600 + rnd.IntN(3000), Batch: 10 + rnd.IntN(100)}
-		m := newMemory(lim.Ops, lim.Value)
+		lim := Limits{MaxMutations: 4 + rnd.IntN(20), MaxValueBytes: 600 + rnd.IntN(3000), MaxBatch: 10 + rnd.IntN(100)}
+		m := newFakeStore(lim.MaxMutations, lim.MaxValueBytes)
 		recs := someRecords(rnd, 1500)
 		faults := 40
 		m.next = func(int) outcome {
@@ -274,8 +274,8 @@
 // "not there" under a condition that still holds.
 func TestOldManifest(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 3))
-	lim := Limits{Ops: 8, Value: 900, Batch: 50}
-	m := newMemory(lim.Ops, lim.Value)
+	lim := Limits{MaxMutations: 8, MaxValueBytes: 900, MaxBatch: 50}
+	m := newFakeStore(lim.MaxMutations, lim.MaxValueBytes)
 	recs := someRecords(rnd, 800)
 	old := NewReader(m)
 	_, c := process(m, lim)
@@ -296,17 +296,17 @@
 				continue
 			}
 			_, there := m.keys["e/"+id]
-			a, err := old.Look(background, id)
+			a, err := old.Lookup(background, id)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if a.Found && a.Record != rec {
 				t.Fatalf("%s: %v, was %v", id, a.Record, rec)
 			}
-			if !a.Found && !there && m.keys[a.Cond.Key].Version == a.Cond.Version {
+			if !a.Found && !there && m.keys[a.Condition.Key].Version == a.Condition.Version {
 				t.Fatalf("%s: said to have no answer as of the latest manifest", id)
 			}
-			if a, err = old.LookFresh(background, id); err != nil || !a.Found && !there {
+			if a, err = old.LookupFresh(background, id); err != nil || !a.Found && !there {
 				t.Fatalf("%s: not found by a fresh look: %v", id, err)
 			}
 		}
@@ -314,32 +314,32 @@
 }
 
 // Only the holder of the term moves ends.
-func TestDeposed(t *testing.T) {
-	m := newMemory(8, 900)
+func TestTermLost(t *testing.T) {
+	m := newFakeStore(8, 900)
 	recs := someRecords(rand.New(rand.NewPCG(4, 4)), 400)
 	store(m, recs)
-	_, old := process(m, Limits{Ops: 8, Value: 900})
+	_, old := process(m, Limits{MaxMutations: 8, MaxValueBytes: 900})
 	for range 20 {
 		if _, _, err := old.Step(background); err != nil {
 			t.Fatal(err)
 		}
 	}
-	process(m, Limits{Ops: 8, Value: 900})
-	before := m.rev
+	process(m, Limits{MaxMutations: 8, MaxValueBytes: 900})
+	before := m.revision
 	var err error
 	for range 10 {
 		if _, _, err = old.Step(background); err != nil {
 			break
 		}
 	}
-	if !errors.Is(err, ErrDeposed) || m.rev != before {
-		t.Errorf("got %v and %d changes, want %v", err, m.rev-before, ErrDeposed)
+	if !errors.Is(err, ErrTermLost) || m.revision != before {
+		t.Errorf("got %v and %d changes, want %v", err, m.revision-before, ErrTermLost)
 	}
 }
 
 // Young ends, and those whose job's record is still there, stay where they are.
 func TestNotDue(t *testing.T) {
-	m := newMemory(8, 900)
+	m := newFakeStore(8, 900)
 	for i := range 100 {
 		at := int64(testNow - 2*testAfter)
 		if i%2 == 0 {
@@ -349,7 +349,7 @@
 		}
 		m.put(fmt.Sprintf("e/j-%03d", i), storedEnd{wire.JobDone, at, 1})
 	}
-	if did := finish(t, m, Limits{Ops: 8, Value: 900}); did.Moved != 0 {
+	if did := finish(t, m, Limits{MaxMutations: 8, MaxValueBytes: 900}); did.Moved != 0 {
 		t.Errorf("%d ends were moved", did.Moved)
 	}
 }
@@ -360,23 +360,23 @@
 		ids := rapid.SliceOfN(rapid.StringMatching(`j-[0-9]{1,32}`), 1, 300).Draw(t, "ids")
 		l := &leaf{}
 		m := &manifest{next: 7}
-		var numbers []number
+		var numbers []jobNumber
 		for _, id := range ids {
 			n, err := parseID(id)
 			if err != nil || n.id() != id {
 				t.Fatalf("%s became %s: %v", id, n.id(), err)
 			}
-			l.insert(n, answer{wire.JobDone, rapid.IntRange(0, 100_000).Draw(t, "done")})
+			l.insert(n, result{wire.JobDone, rapid.IntRange(0, 100_000).Draw(t, "done")})
 			numbers = append(numbers, n)
 		}
 		back, err := decodeLeaf(l.encode())
-		if err != nil || !slices.Equal(back.numbers, l.numbers) || !slices.Equal(back.answers, l.answers) {
+		if err != nil || !slices.Equal(back.numbers, l.numbers) || !slices.Equal(back.results, l.results) {
 			t.Fatalf("%v: %v became %v", err, l, back)
 		}
 		m.leaves = []leafRef{{3, len(l.numbers), l.numbers[0]}}
 		for _, f := range []func() filter{
 			func() filter { return newBloom(numbers, 4000) },
-			func() filter { f, _ := new(filter).with(numbers, len(numbers), 1<<20); return f },
+			func() filter { f, _ := new(filter).withAdded(numbers, len(numbers), 1<<20); return f },
 		} {
 			m.filter = f()
 			got, err := decodeManifest(m.encode())
@@ -387,7 +387,7 @@
 				if m.filter.bloom == nil && m.filter.exact == nil {
 					continue // the exact one was too long
 				}
-				if !got.filter.mayHave(n) {
+				if !got.filter.mayContain(n) {
 					t.Fatalf("the filter has lost %s", n.id())
 				}
 			}
@@ -396,12 +396,12 @@
 }
 
 // Every changed byte of a value is noticed.
-func TestFlips(t *testing.T) {
+func TestChangedBytes(t *testing.T) {
 	l := &leaf{}
 	for i := range 50 {
-		l.insert(number{width: 6, value: uint64(i * i)}, answer{wire.JobDone, i % 3})
+		l.insert(jobNumber{digits: 6, value: uint64(i * i)}, result{wire.JobDone, i % 3})
 	}
-	f, _ := new(filter).with(l.numbers, 50, 1<<20)
+	f, _ := new(filter).withAdded(l.numbers, 50, 1<<20)
 	m := &manifest{next: 2, leaves: []leafRef{{1, 50, l.numbers[0]}}, filter: f}
 	for kind, text := range []string{l.encode(), m.encode()} {
 		for i := range text {
@@ -427,8 +427,8 @@
 	}
 }
 
-func TestNewer(t *testing.T) {
-	text := seal(kindLeaf, nil)
+func TestNewerVersion(t *testing.T) {
+	text := encodeValue(kindLeaf, nil)
 	b, _ := encoding.DecodeString(text)
 	b[1] = formatVersion + 1
 	b = b[:len(b)-8]
@@ -442,10 +442,10 @@
 // error or a value that can be written again.
 func FuzzDecode(f *testing.F) {
 	l := &leaf{}
-	l.insert(number{width: 3, value: 5}, answer{wire.JobDone, 1})
+	l.insert(jobNumber{digits: 3, value: 5}, result{wire.JobDone, 1})
 	for _, text := range []string{l.encode(), (&manifest{leaves: []leafRef{{0, 1, l.numbers[0]}}, filter: newBloom(l.numbers, 100)}).encode()} {
 		b, _ := encoding.DecodeString(text)
-		body, err := unseal(b[0], text)
+		body, err := decodeValue(b[0], text)
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -455,13 +455,13 @@
 		if len(body) > 1<<16 {
 			return
 		}
-		if l, err := decodeLeaf(seal(kindLeaf, body)); err == nil && len(l.numbers) > 0 {
+		if l, err := decodeLeaf(encodeValue(kindLeaf, body)); err == nil && len(l.numbers) > 0 {
 			if _, err := decodeLeaf(l.encode()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if m, err := decodeManifest(seal(kindManifest, body)); err == nil {
-			m.filter.mayHave(number{width: 3, value: 7})
+		if m, err := decodeManifest(encodeValue(kindManifest, body)); err == nil {
+			m.filter.mayContain(jobNumber{digits: 3, value: 7})
 		}
 	})
 }
--- a/internal/archive/golden_test.go
+++ b/internal/archive/golden_test.go
@@ -16,12 +16,12 @@
 )
 
 // archivedBefore are records and their keys as the earlier version has archived them.
-func archivedBefore(t *testing.T) (*memory, map[string]Record) {
+func archivedBefore(t *testing.T) (*fakeStore, map[string]Record) {
 	t.Helper()
-	m := newMemory(6, 700)
+	m := newFakeStore(6, 700)
 	recs := someRecords(rand.New(rand.NewPCG(15, 38)), 200)
 	store(m, recs)
-	finish(t, m, Limits{Ops: 6, Value: 700, Batch: 10})
+	finish(t, m, Limits{MaxMutations: 6, MaxValueBytes: 700, MaxBatch: 10})
 	return m, recs
 }
 
@@ -36,7 +36,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l.insert(n, answer{[]string{wire.JobDone, wire.JobCancelled}[i%2], i % 5})
+			l.insert(n, result{[]string{wire.JobDone, wire.JobCancelled}[i%2], i % 5})
 		}
 	}
 	m := manifest{next: 9, leaves: []leafRef{{8, len(l.numbers), l.numbers[0]}}, filter: newBloom(l.numbers, 400)}
@@ -65,7 +65,7 @@
 		if strings.HasPrefix(key, ManifestPrefix) {
 			kind = kindManifest
 		}
-		b, err := unseal(kind, text)
+		b, err := decodeValue(kind, text)
 		if err != nil {
 			t.Fatal(key, err)
 		}
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	from := newMemory(6, 700)
+	from := newFakeStore(6, 700)
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		key, text, _ := strings.Cut(lines.Text(), " ")
 		from.put(key, text)
@@ -96,21 +96,21 @@
 		t.Fatalf("only %d records are archived", len(recs))
 	}
 	r := NewReader(from)
-	if err := r.Warm(background); err != nil {
+	if err := r.LoadManifests(background); err != nil {
 		t.Fatal(err)
 	}
 	for id, rec := range recs {
-		if a, err := r.Look(background, id); err != nil || !a.Found || a.Record != rec {
+		if a, err := r.Lookup(background, id); err != nil || !a.Found || a.Record != rec {
 			t.Errorf("%s is read as %+v, %v; want %+v", id, a, err, rec)
 		}
 	}
-	if a, err := r.Look(background, "j-77777777777777"); err != nil || a.Found {
+	if a, err := r.Lookup(background, "j-77777777777777"); err != nil || a.Found {
 		t.Errorf("a job that never was is read as %+v, %v", a, err)
 	}
 }
 
 // readMixed reads the two values of mixed, and takes them out of the keys.
-func readMixed(t *testing.T, m *memory) {
+func readMixed(t *testing.T, m *fakeStore) {
 	t.Helper()
 	text := func(key string) (text string) {
 		t.Helper()
@@ -129,10 +129,10 @@
 		t.Fatal(err)
 	}
 	for i, n := range l.numbers {
-		if want := (answer{[]string{wire.JobDone, wire.JobCancelled}[i%60%2], i % 60 % 5}); l.answers[i] != want {
-			t.Errorf("%s is read as %v, want %v", n.id(), l.answers[i], want)
+		if want := (result{[]string{wire.JobDone, wire.JobCancelled}[i%60%2], i % 60 % 5}); l.results[i] != want {
+			t.Errorf("%s is read as %v, want %v", n.id(), l.results[i], want)
 		}
-		if !bloomed.filter.mayHave(n) {
+		if !bloomed.filter.mayContain(n) {
 			t.Errorf("the filter has lost %s", n.id())
 		}
 	}
@@ -140,7 +140,7 @@
 
 // Where the archive is, and in which shard a job is found.
 func TestKeysStayAsTheyAre(t *testing.T) {
-	out := []string{fmt.Sprint("shards ", shards), manifestKey(10), leafKey(10, 3)}
+	out := []string{fmt.Sprint("shards ", shardCount), manifestKey(10), leafKey(10, 3)}
 	for _, id := range []string{"j-1", "j-01", "j-1000001", "j-9999999999999999999", "j-12345678901234567890123456789012"} {
 		n, err := parseID(id)
 		if err != nil {
--- a/internal/archive/id.go
+++ b/internal/archive/id.go
@@ -1,10 +1,10 @@
-// Package archive keeps the final answers of old jobs in few keys of the state
-// service. docs/snapshots.md says how, and why no answer can change on the way.
+// Package archive keeps the final results of old jobs in few keys of the state
+// service. docs/snapshots.md says how, and why no result can change on the way.
 //
-// Ids are spread over a fixed number of shards. A shard is one manifest, which names
-// its leaves and carries a filter over its ids; a leaf holds the answers of a range
+// Jobs are spread over a fixed number of shards. A shard is one manifest, which names
+// its leaves and carries a filter over its jobs; a leaf holds the results of a range
 // of ids. A leaf is never changed: a new one takes its place when the manifest is
-// switched, in one transaction conditional on the manifest's version. Whatever
+// replaced, in one transaction conditional on the manifest's version. Whatever
 // depends on a job never having ended is conditional on that version too.
 package archive
 
@@ -20,96 +20,109 @@
 	"dalefront/wire"
 )
 
-// Record is the final answer about a job.
+// Record is the final result of a job.
 type Record struct {
 	ID     string
 	Status string // wire.JobDone or wire.JobCancelled
 	Done   int    // tasks
 }
 
-// answer is what of a record is not the id.
-type answer struct {
+// result is a record without its id.
+type result struct {
 	status string
-	done   int
+	done   int // tasks
 }
 
-// number is a job id taken apart: how many digits it has and, up to maxWidth of
-// them, their value. Longer ones are kept as text. Ids of different widths differ
-// although their values may be the same.
-type number struct {
-	width int
-	value uint64
-	text  string // digits, beyond maxWidth only
-}
+const (
+	idPrefix    = "j-"
+	maxIDDigits = 32 // of a job's id, the protocol's limit
+	maxDigits   = 19 // the most decimal digits that always fit into 64 bits
+)
 
-// maxWidth is the most decimal digits that always fit into 64 bits.
-const maxWidth = 19
+// jobNumber is a job id taken apart: how many digits it has and, up to maxDigits of
+// them, their value. Longer ones are kept as text. Ids with different numbers of digits
+// differ although their values may be the same.
+type jobNumber struct {
+	digits int
+	value  uint64
+	text   string // of more than maxDigits digits only
+}
 
-func parseID(id string) (number, error) {
+func parseID(id string) (jobNumber, error) {
 	if !wire.ValidID(id) {
-		return number{}, fmt.Errorf("%q is not a job id", id)
+		return jobNumber{}, &InvalidIDError{id}
 	}
-	digits := strings.TrimPrefix(id, "j-")
-	if len(digits) > maxWidth {
-		return number{width: len(digits), text: digits}, nil
+	digits := strings.TrimPrefix(id, idPrefix)
+	if len(digits) > maxDigits {
+		return jobNumber{digits: len(digits), text: digits}, nil
 	}
-	v, err := strconv.ParseUint(digits, 10, 64)
-	return number{width: len(digits), value: v}, err
+	value, err := strconv.ParseUint(digits, 10, 64)
+	return jobNumber{digits: len(digits), value: value}, err
 }
 
-func (n number) id() string {
-	if n.width > maxWidth {
-		return "j-" + n.text
+func (n jobNumber) id() string {
+	if n.digits > maxDigits {
+		return idPrefix + n.text
 	}
-	return fmt.Sprintf("j-%0*d", n.width, n.value)
+	return fmt.Sprintf("%s%0*d", idPrefix, n.digits, n.value)
 }
 
-// valid says whether a number is that of some job id.
-func (n number) valid() bool {
-	if n.width > maxWidth {
-		return n.value == 0 && wire.ValidID("j-"+n.text) && len(n.text) == n.width
+// valid reports whether a number is that of some job id.
+func (n jobNumber) valid() bool {
+	switch {
+	case n.digits > maxDigits:
+		return n.value == 0 && len(n.text) == n.digits && wire.ValidID(idPrefix+n.text)
+	case n.digits < 1 || n.text != "":
+		return false
+	case n.digits == maxDigits:
+		return n.value < 1e19
 	}
-	return n.width >= 1 && n.text == "" && (n.width == maxWidth && n.value < 1e19 || n.width < maxWidth && n.value < powers[n.width])
+	return n.value < powersOfTen[n.digits]
 }
 
-// powers of ten, each one more than the largest value of so many digits.
-var powers = func() (p [maxWidth]uint64) {
-	v := uint64(1)
-	for i := range p {
-		p[i] = v
-		v *= 10
+// powersOfTen are, by the number of digits, one more than the largest value.
+var powersOfTen = func() (powers [maxDigits]uint64) {
+	power := uint64(1)
+	for i := range powers {
+		powers[i] = power
+		power *= 10
 	}
-	return p
+	return powers
 }()
 
-// compare orders numbers as leaves do.
-func compare(a, b number) int {
-	return cmp.Or(cmp.Compare(a.width, b.width), cmp.Compare(a.value, b.value), strings.Compare(a.text, b.text))
+// compareNumbers orders numbers as leaves do.
+func compareNumbers(a, b jobNumber) int {
+	return cmp.Or(cmp.Compare(a.digits, b.digits), cmp.Compare(a.value, b.value), strings.Compare(a.text, b.text))
 }
 
-// mark is the number as filters see it: of a long one only a hash, which the text in
-// the leaf verifies.
-func (n number) mark() uint64 {
-	if n.width > maxWidth {
+// filterKey returns the number as filters have it: of a long one only a hash, so that the
+// text in the leaf decides.
+func (n jobNumber) filterKey() uint64 {
+	if n.digits > maxDigits {
 		return xxhash.Sum64String(n.text)
 	}
 	return n.value
 }
 
-// shards is how many manifests there are. It is part of the stored format.
-const shards = 256
-
-// shard tells which shard a number belongs to. Neighbours stay together in blocks,
-// so that dense ids make dense bitmaps; blocks are spread.
-func (n number) shard() int {
-	var b [9]byte
-	b[0] = byte(n.width)
-	v := n.value >> 16
-	if n.width > maxWidth {
-		v = n.mark()
+const (
+	// shardCount is how many manifests there are. It is part of the stored format.
+	shardCount = 256
+	// shardBlockBits is the binary logarithm of the number of neighbouring ids that are in
+	// the same shard. It is part of the stored format.
+	shardBlockBits = 16
+)
+
+// shard returns the shard of a number. Neighbours stay together in blocks, so that dense
+// ids make dense bitmaps; blocks are spread.
+func (n jobNumber) shard() int {
+	block := n.value >> shardBlockBits
+	if n.digits > maxDigits {
+		block = n.filterKey()
 	}
-	binary.LittleEndian.PutUint64(b[1:], v)
-	return int(xxhash.Sum64(b[:]) % shards)
+	var hashed [9]byte
+	hashed[0] = byte(n.digits)
+	binary.LittleEndian.PutUint64(hashed[1:], block)
+	return int(xxhash.Sum64(hashed[:]) % shardCount)
 }
 
 // Keys of the state service.
@@ -122,12 +135,12 @@
 
 func leafKey(shard int, name uint64) string { return fmt.Sprintf("%s%02x/%d", leafPrefix, shard, name) }
 
-// shardOf returns the shard whose manifest is stored under a key.
-func shardOf(key string) (int, bool) {
+// shardOfKey returns the shard whose manifest is stored under a key.
+func shardOfKey(key string) (shard int, ok bool) {
 	text, ok := strings.CutPrefix(key, ManifestPrefix)
 	if !ok || len(text) != 2 {
 		return 0, false
 	}
-	v, err := strconv.ParseUint(text, 16, 8)
-	return int(v), err == nil
+	value, err := strconv.ParseUint(text, 16, 8)
+	return int(value), err == nil
 }
--- a/internal/archive/reader.go
+++ b/internal/archive/reader.go
@@ -9,41 +9,44 @@
 	"dalefront/wire"
 )
 
-// Reader looks answers up. It keeps the manifests that it has seen, and no leaves.
+const (
+	// manifestPageSize is how many manifests are read at once, the protocol's limit.
+	manifestPageSize = 1000
+	// maxLookupRetries is how often a lookup reads a newer manifest because its leaf is gone.
+	maxLookupRetries = 4
+)
+
+// Reader looks up results. It caches the manifests that it has read, and no leaves.
 // A manifest that is not the latest only costs a refused transaction: what is read
-// from it is either a final answer or a "no" that holds as of its version. It is safe
+// from it is either a final result or a "no" that holds as of its version. It is safe
 // for use by several goroutines.
 type Reader struct {
 	store kvstore.Store
 
 	mu     sync.Mutex
-	shards [shards]view
+	shards [shardCount]shardView
 }
 
-// view is a shard at some version; without a manifest, at version 0, it is empty.
-type view struct {
-	version uint64
-	m       *manifest
+// shardView is a shard at some version; without a manifest, at version 0, it is empty.
+type shardView struct {
+	version  uint64
+	manifest *manifest
 }
 
-// NewReader returns a reader that assumes an empty archive until it is told
-// otherwise.
+// NewReader returns a reader that assumes an empty archive until it has read manifests.
 func NewReader(store kvstore.Store) *Reader { return &Reader{store: store} }
 
-// manifestPage is how many manifests are read at once, the protocol's limit.
-const manifestPage = 1000
-
-// Warm reads all manifests, page by page. It is not needed for right answers: it saves
-// the first questions in each shard a refused transaction.
-func (r *Reader) Warm(ctx context.Context) error {
+// LoadManifests reads all manifests, page by page. Results are right without it: it saves
+// the first lookups in each shard a refused transaction.
+func (r *Reader) LoadManifests(ctx context.Context) error {
 	for after := ""; ; {
-		page, err := r.store.Page(ctx, ManifestPrefix, after, manifestPage)
+		page, err := r.store.Page(ctx, ManifestPrefix, after, manifestPageSize)
 		if err != nil {
 			return err
 		}
-		for _, e := range page.Items {
-			if shard, ok := shardOf(e.Key); ok {
-				if err := r.take(shard, e); err != nil {
+		for _, entry := range page.Items {
+			if shard, ok := shardOfKey(entry.Key); ok {
+				if err := r.addManifest(shard, entry); err != nil {
 					return err
 				}
 			}
@@ -55,29 +58,29 @@
 	}
 }
 
-func (r *Reader) take(shard int, e wire.KeyValue) error {
+func (r *Reader) addManifest(shard int, entry wire.KeyValue) error {
 	var text string
-	if err := wire.Unmarshal(e.Value, &text); err != nil {
-		return fmt.Errorf("%s: %w", e.Key, ErrDamaged)
+	if err := wire.Unmarshal(entry.Value, &text); err != nil {
+		return fmt.Errorf("%s: %w", entry.Key, ErrDamaged)
 	}
-	m, err := decodeManifest(text)
+	decoded, err := decodeManifest(text)
 	if err != nil {
-		return fmt.Errorf("%s: %w", e.Key, err)
+		return fmt.Errorf("%s: %w", entry.Key, err)
 	}
-	r.set(shard, view{e.Version, m})
+	r.setNewer(shard, shardView{entry.Version, decoded})
 	return nil
 }
 
-// set keeps the newer of what is there and what was read.
-func (r *Reader) set(shard int, v view) {
+// setNewer keeps the newer of what is cached and what was read.
+func (r *Reader) setNewer(shard int, view shardView) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if v.version > r.shards[shard].version {
-		r.shards[shard] = v
+	if view.version > r.shards[shard].version {
+		r.shards[shard] = view
 	}
 }
 
-func (r *Reader) view(shard int) view {
+func (r *Reader) view(shard int) shardView {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.shards[shard]
@@ -85,18 +88,18 @@
 
 // refresh reads a shard's manifest. Manifests are never deleted.
 func (r *Reader) refresh(ctx context.Context, shard int) error {
-	e, found, err := r.store.Get(ctx, manifestKey(shard))
+	entry, found, err := r.store.Get(ctx, manifestKey(shard))
 	if err != nil || !found {
 		return err
 	}
-	return r.take(shard, e)
+	return r.addManifest(shard, entry)
 }
 
-// Refresh reads the manifests again whose conditions failed, and says whether there
+// Refresh reads the manifests again whose conditions failed, and reports whether there
 // were any among the keys.
-func (r *Reader) Refresh(ctx context.Context, failed []string) (found bool, err error) {
-	for _, k := range failed {
-		if shard, ok := shardOf(k); ok {
+func (r *Reader) Refresh(ctx context.Context, failedKeys []string) (found bool, err error) {
+	for _, key := range failedKeys {
+		if shard, ok := shardOfKey(key); ok {
 			found = true
 			if err := r.refresh(ctx, shard); err != nil {
 				return found, err
@@ -106,42 +109,43 @@
 	return found, nil
 }
 
-// Answer is what the archive says about a job. Without a record it rests on Cond: as
-// long as the condition holds the job has no answer in the archive.
+// Answer is what the archive says about a job. If it is not found that rests on Condition:
+// as long as the condition holds the job has no result in the archive.
 type Answer struct {
-	Found  bool
-	Record Record
-	Cond   wire.Condition
+	Found     bool
+	Record    Record
+	Condition wire.Condition
 }
 
-// Look asks about a job: without a request unless its answer is there, or, seldom,
-// unless the filter takes it for another one. An error means that nothing is known.
-func (r *Reader) Look(ctx context.Context, id string) (Answer, error) {
+// Lookup looks up a job. It sends no request unless the result is there or, seldom, the
+// filter has a false positive. An error means that nothing is known; it wraps ErrDamaged,
+// ErrNewer or an error of the store, or is an *InvalidIDError.
+func (r *Reader) Lookup(ctx context.Context, id string) (Answer, error) {
 	n, err := parseID(id)
 	if err != nil {
 		return Answer{}, err
 	}
 	shard := n.shard()
 	// A leaf that is gone was replaced, and the manifest that named it too.
-	for tries := 0; ; tries++ {
-		v := r.view(shard)
-		a := Answer{Cond: wire.Condition{Key: manifestKey(shard), Version: v.version}}
-		if v.m == nil || !v.m.filter.mayHave(n) {
-			return a, nil
+	for retries := 0; ; retries++ {
+		view := r.view(shard)
+		answer := Answer{Condition: wire.Condition{Key: manifestKey(shard), Version: view.version}}
+		if view.manifest == nil || !view.manifest.filter.mayContain(n) {
+			return answer, nil
 		}
-		key := leafKey(shard, v.m.leaves[v.m.leafOf(n)].name)
-		l, found, err := r.leaf(ctx, key)
+		key := leafKey(shard, view.manifest.leaves[view.manifest.leafOf(n)].name)
+		l, exists, err := r.readLeaf(ctx, key)
 		if err != nil {
 			return Answer{}, err
 		}
-		if found {
-			if ans, ok := l.find(n); ok {
-				a.Found, a.Record = true, Record{id, ans.status, ans.done}
+		if exists {
+			if found, ok := l.find(n); ok {
+				answer.Found, answer.Record = true, Record{id, found.status, found.done}
 			}
-			return a, nil
+			return answer, nil
 		}
-		if tries == 4 {
-			return Answer{}, fmt.Errorf("%s: %w: missing", key, ErrDamaged)
+		if retries == maxLookupRetries {
+			return Answer{}, fmt.Errorf("%s: %w", key, errMissingLeaf)
 		}
 		if err := r.refresh(ctx, shard); err != nil {
 			return Answer{}, err
@@ -149,8 +153,8 @@
 	}
 }
 
-// LookFresh asks about a job as of a moment after the call.
-func (r *Reader) LookFresh(ctx context.Context, id string) (Answer, error) {
+// LookupFresh looks up a job as of a moment after the call.
+func (r *Reader) LookupFresh(ctx context.Context, id string) (Answer, error) {
 	n, err := parseID(id)
 	if err != nil {
 		return Answer{}, err
@@ -158,12 +162,12 @@
 	if err := r.refresh(ctx, n.shard()); err != nil {
 		return Answer{}, err
 	}
-	return r.Look(ctx, id)
+	return r.Lookup(ctx, id)
 }
 
-// Guard returns the condition under which no job of the same shard has an answer in
-// the archive that this reader does not know of.
-func (r *Reader) Guard(id string) wire.Condition {
+// AbsenceCondition returns the condition under which no job of the same shard has a result
+// in the archive that this reader does not know of.
+func (r *Reader) AbsenceCondition(id string) wire.Condition {
 	n, err := parseID(id)
 	if err != nil {
 		return wire.Condition{Key: manifestKey(0)} // never reached: ids are checked on arrival
@@ -172,30 +176,31 @@
 	return wire.Condition{Key: manifestKey(shard), Version: r.view(shard).version}
 }
 
-func (r *Reader) leaf(ctx context.Context, key string) (*leaf, bool, error) {
-	e, found, err := r.store.Get(ctx, key)
+// readLeaf reads a leaf; found is false if it does not exist.
+func (r *Reader) readLeaf(ctx context.Context, key string) (l *leaf, found bool, err error) {
+	entry, found, err := r.store.Get(ctx, key)
 	if err != nil || !found {
 		return nil, found, err
 	}
 	var text string
-	if err := wire.Unmarshal(e.Value, &text); err != nil {
+	if err := wire.Unmarshal(entry.Value, &text); err != nil {
 		return nil, false, fmt.Errorf("%s: %w", key, ErrDamaged)
 	}
-	l, err := decodeLeaf(text)
+	l, err = decodeLeaf(text)
 	if err != nil {
 		return nil, false, fmt.Errorf("%s: %w", key, err)
 	}
 	return l, true, nil
 }
 
-// Size is what the manifests known here say: jobs, leaves and manifests.
+// Size returns the numbers of jobs, leaves and manifests according to the cached manifests.
 func (r *Reader) Size() (jobs, leaves, manifests int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, v := range r.shards {
-		if v.m != nil {
-			jobs += v.m.count()
-			leaves += len(v.m.leaves)
+	for _, view := range r.shards {
+		if view.manifest != nil {
+			jobs += view.manifest.count()
+			leaves += len(view.manifest.leaves)
 			manifests++
 		}
 	}
--- a/internal/archive/size_test.go
+++ b/internal/archive/size_test.go
@@ -26,8 +26,8 @@
 
 func measure(b *testing.B, jobs int, scattered bool) {
 	rnd := rand.New(rand.NewPCG(1, 1))
-	lim := Limits{Ops: 12, Value: 16 << 10}
-	m := newMemory(lim.Ops, lim.Value)
+	lim := Limits{MaxMutations: 12, MaxValueBytes: 16 << 10}
+	m := newFakeStore(lim.MaxMutations, lim.MaxValueBytes)
 	// Ids as users choose them: in no order, here from ten digits or as many as it takes.
 	id := func(i int) string { return fmt.Sprintf("j-%07d", i) }
 	if scattered {
@@ -69,7 +69,7 @@
 	runtime.ReadMemStats(&before)
 	m.requests, m.bytes = 0, 0
 	fresh := NewReader(m)
-	if err := fresh.Warm(background); err != nil {
+	if err := fresh.LoadManifests(background); err != nil {
 		b.Fatal(err)
 	}
 	runtime.GC()
@@ -82,7 +82,7 @@
 	m.requests = 0
 	for range polls {
 		one := id(rnd.IntN(jobs))
-		if a, err := fresh.Look(background, one); err != nil || !a.Found && m.keys["e/"+one].Version == 0 {
+		if a, err := fresh.Lookup(background, one); err != nil || !a.Found && m.keys["e/"+one].Version == 0 {
 			b.Fatal(one, err)
 		}
 	}
@@ -93,7 +93,7 @@
 		if scattered {
 			one = fmt.Sprintf("j-%019d", rnd.Uint64()%1e19)
 		}
-		if a, err := fresh.Look(background, one); err != nil || a.Found {
+		if a, err := fresh.Lookup(background, one); err != nil || a.Found {
 			b.Fatal(one, err)
 		}
 	}
--- a/internal/archive/store_test.go
+++ b/internal/archive/store_test.go
@@ -28,10 +28,10 @@
 	outcomes
 )
 
-// memory plays the state service: versions, conditions, and answers that fail.
-type memory struct {
+// fakeStore plays the state service: versions, conditions, and answers that fail.
+type fakeStore struct {
 	ops, value int
-	rev        uint64
+	revision   uint64
 	keys       map[string]wire.KeyValue
 	sorted     []string // all keys there ever were; nil until they are listed
 	late       []wire.Txn
@@ -43,34 +43,34 @@
 	after      func() // looks at the keys after every change
 }
 
-func newMemory(ops, value int) *memory {
-	return &memory{ops: ops, value: value, rev: 1, keys: map[string]wire.KeyValue{}}
+func newFakeStore(ops, value int) *fakeStore {
+	return &fakeStore{ops: ops, value: value, revision: 1, keys: map[string]wire.KeyValue{}}
 }
 
-func (m *memory) Get(_ context.Context, key string) (wire.KeyValue, bool, error) {
+func (m *fakeStore) Get(_ context.Context, key string) (wire.KeyValue, bool, error) {
 	if m.dead {
 		return wire.KeyValue{}, false, errKilled
 	}
 	m.requests++
-	m.arrive()
+	m.deliverLate()
 	e, ok := m.keys[key]
 	m.bytes += len(e.Value)
 	return e, ok, nil
 }
 
-func (m *memory) Page(_ context.Context, prefix, after string, most int) (wire.KeyValuePage, error) {
+func (m *fakeStore) Page(_ context.Context, prefix, after string, most int) (wire.KeyValuePage, error) {
 	if m.dead {
 		return wire.KeyValuePage{}, errKilled
 	}
 	m.requests++
-	m.arrive()
+	m.deliverLate()
 	if m.sorted == nil {
 		for k := range m.keys {
 			m.sorted = append(m.sorted, k)
 		}
 		slices.Sort(m.sorted)
 	}
-	out := wire.KeyValuePage{Revision: m.rev}
+	out := wire.KeyValuePage{Revision: m.revision}
 	size := 0
 	for _, k := range m.sorted[sort.SearchStrings(m.sorted, max(prefix, after)):] {
 		if !strings.HasPrefix(k, prefix) || k <= after {
@@ -93,8 +93,8 @@
 	return out, nil
 }
 
-// arrive executes what was held back.
-func (m *memory) arrive() {
+// deliverLate executes what was held back.
+func (m *fakeStore) deliverLate() {
 	held := m.late
 	m.late = nil
 	for _, t := range held {
@@ -102,7 +102,7 @@
 	}
 }
 
-func (m *memory) Txn(_ context.Context, t wire.Txn) (wire.TxnResponse, error) {
+func (m *fakeStore) Txn(_ context.Context, t wire.Txn) (wire.TxnResponse, error) {
 	if m.dead {
 		return wire.TxnResponse{}, errKilled
 	}
@@ -118,7 +118,7 @@
 		}
 	}
 	if o != late {
-		m.arrive()
+		m.deliverLate()
 	}
 	switch o {
 	case refused:
@@ -143,7 +143,7 @@
 	return a, err
 }
 
-func (m *memory) apply(t wire.Txn) (wire.TxnResponse, error) {
+func (m *fakeStore) apply(t wire.Txn) (wire.TxnResponse, error) {
 	a := wire.TxnResponse{}
 	for _, c := range t.Conditions {
 		if m.keys[c.Key].Version != c.Version {
@@ -154,7 +154,7 @@
 		return a, kvstore.ErrConflict
 	}
 	if len(t.Mutations) > 0 {
-		m.rev++
+		m.revision++
 	}
 	size := 0
 	for _, c := range t.Mutations {
@@ -167,22 +167,22 @@
 			panic(fmt.Sprintf("%s: value of %d bytes: %v", c.Put, len(b), err))
 		}
 		size += len(b)
-		m.sort(c.Put)
-		m.keys[c.Put] = wire.KeyValue{Key: c.Put, Value: b, Version: m.rev}
+		m.addSorted(c.Put)
+		m.keys[c.Put] = wire.KeyValue{Key: c.Put, Value: b, Version: m.revision}
 	}
 	if size > 64<<10 {
 		panic(fmt.Sprintf("transaction of %d bytes", size))
 	}
 	m.bytes += size
-	a.Revision = m.rev
+	a.Revision = m.revision
 	if m.after != nil && len(t.Mutations) > 0 {
 		m.after()
 	}
 	return a, nil
 }
 
-// sort adds a key to those that are listed.
-func (m *memory) sort(key string) {
+// addSorted adds a key to those that are listed.
+func (m *fakeStore) addSorted(key string) {
 	if m.sorted == nil {
 		return
 	}
@@ -192,7 +192,7 @@
 }
 
 // size is what is stored under a prefix.
-func (m *memory) size(prefix string) (keys, bytes int) {
+func (m *fakeStore) size(prefix string) (keys, bytes int) {
 	for k, e := range m.keys {
 		if strings.HasPrefix(k, prefix) {
 			keys++
@@ -203,12 +203,12 @@
 }
 
 // put stores a value, as some earlier process would have.
-func (m *memory) put(key string, v any) {
+func (m *fakeStore) put(key string, v any) {
 	b, err := wire.Marshal(v)
 	if err != nil {
 		panic(err)
 	}
-	m.rev++
-	m.sort(key)
-	m.keys[key] = wire.KeyValue{Key: key, Value: b, Version: m.rev}
+	m.revision++
+	m.addSorted(key)
+	m.keys[key] = wire.KeyValue{Key: key, Value: b, Version: m.revision}
 }
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -21,7 +21,7 @@
 // withArchiveGuards adds the conditions on the manifests that stand for jobs, each once.
 func (c *Controller) withArchiveGuards(conditions []wire.Condition, ids ...string) []wire.Condition {
 	for _, id := range ids {
-		if guard := c.archive.Guard(id); !slices.Contains(conditions, guard) {
+		if guard := c.archive.AbsenceCondition(id); !slices.Contains(conditions, guard) {
 			conditions = append(conditions, guard)
 		}
 	}
@@ -38,19 +38,19 @@
 func (c *Controller) txnUnlessArchived(ctx context.Context, id string, txn wire.Txn) (wire.JobStatus, error) {
 	own := txn.Conditions
 	for retries := 0; ; retries++ {
-		answer, err := c.archive.Look(ctx, id)
+		answer, err := c.archive.Lookup(ctx, id)
 		if err != nil {
 			return wire.JobStatus{}, api.ErrUnavailable
 		}
 		if answer.Found {
 			return c.statuses.addArchived(answer.Record), nil
 		}
-		txn.Conditions = append(slices.Clone(own), answer.Cond)
+		txn.Conditions = append(slices.Clone(own), answer.Condition)
 		response, err := c.store.Txn(ctx, txn)
 		if !errors.Is(err, kvstore.ErrConflict) || retries == archiveRetries {
 			return wire.JobStatus{}, err
 		}
-		if !slices.Equal(response.FailedKeys, []string{answer.Cond.Key}) {
+		if !slices.Equal(response.FailedKeys, []string{answer.Condition.Key}) {
 			return wire.JobStatus{}, err
 		}
 		if _, err := c.archive.Refresh(ctx, response.FailedKeys); err != nil {
@@ -64,7 +64,7 @@
 
 // warmArchive reads the manifests, of which there may be some hundred.
 func (c *Controller) warmArchive(ctx context.Context) {
-	for ctx.Err() == nil && c.archive.Warm(ctx) != nil {
+	for ctx.Err() == nil && c.archive.LoadManifests(ctx) != nil {
 		sleepContext(ctx, warmRetryPause)
 	}
 }
@@ -100,7 +100,7 @@
 	}
 	state := &c.settings.Deployment.State
 	share := *c.settings.Operator.ArchiveShare
-	limits := archive.Limits{Ops: state.TxnOps, Value: int(state.ValueKB * bytesPerKB), After: age}
+	limits := archive.Limits{MaxMutations: state.TxnOps, MaxValueBytes: int(state.ValueKB * bytesPerKB), MinAge: age}
 	a := archiver{
 		controller: c,
 		compactor:  archive.NewCompactor(c.archive, endSource(l.termCondition, c.now), limits),
@@ -125,14 +125,14 @@
 			continue
 		}
 		var err error
-		if pause, err = a.step(ctx); errors.Is(err, archive.ErrDeposed) {
+		if pause, err = a.step(ctx); errors.Is(err, archive.ErrTermLost) {
 			return
 		}
 	}
 }
 
 // step archives some ends, and returns the pause that its requests cost. An error other than
-// archive.ErrDeposed is logged, and the step may be tried again.
+// archive.ErrTermLost is logged, and the step may be tried again.
 func (a *archiver) step(ctx context.Context) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, archiveTimeout)
 	defer cancel()
@@ -141,7 +141,7 @@
 	requests := a.compactor.Counts.Requests - before.Requests
 	pause := max(seconds(float64(changes)/a.writeRPS), seconds(float64(requests)/a.rps))
 	switch {
-	case errors.Is(err, archive.ErrDeposed):
+	case errors.Is(err, archive.ErrTermLost):
 		return 0, err
 	case err != nil:
 		a.controller.log.Info("archiving is put off", "err", err)
@@ -164,13 +164,13 @@
 }
 
 // endSource has a compactor find and decode ends as they are stored.
-func endSource(term func() wire.Condition, now func() int64) archive.Source {
-	return archive.Source{
+func endSource(term func() wire.Condition, now func() int64) archive.EndSource {
+	return archive.EndSource{
 		EndPrefix: endPrefix, JobPrefix: jobPrefix, Term: term, Now: now,
 		Decode: func(id string, value []byte) (archive.End, error) {
 			var end endRecord
 			err := wire.Unmarshal(value, &end)
-			return archive.End{Record: archive.Record{ID: id, Status: end.Status, Done: end.TasksDone}, At: end.EndedAt}, err
+			return archive.End{Record: archive.Record{ID: id, Status: end.Status, Done: end.TasksDone}, EndedAt: end.EndedAt}, err
 		},
 	}
 }
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -56,7 +56,7 @@
 	f.reader = archive.NewReader(store)
 	f.compactor = archive.NewCompactor(f.reader,
 		endSource(func() wire.Condition { return wire.Condition{Key: termKey, Version: term.Version} }, func() int64 { return 1000 }),
-		archive.Limits{Ops: 12, Value: 16 << 10, After: 10})
+		archive.Limits{MaxMutations: 12, MaxValueBytes: 16 << 10, MinAge: 10})
 	return f
 }
 
@@ -149,7 +149,7 @@
 	if knows == "an older manifest" {
 		f.storeEnds(20, fixtureJobs)
 		f.archiveEnds(true)
-		if err := f.controller.archive.Warm(context.Background()); err != nil {
+		if err := f.controller.archive.LoadManifests(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 		f.compactor.Counts.Moved = 0
@@ -271,7 +271,7 @@
 	f := newArchiveFixture(t)
 	f.storeEnds(0, 20)
 	f.archiveEnds(true)
-	if err := f.controller.archive.Warm(context.Background()); err != nil {
+	if err := f.controller.archive.LoadManifests(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	f.services.SetDown(true)
--- a/internal/controller/lookup.go
+++ b/internal/controller/lookup.go
@@ -179,7 +179,7 @@
 			l.result <- b.storedResult(l, exists, counts)
 			continue
 		}
-		changed := l.accepted || exists[b.archive.Guard(l.id).Key]
+		changed := l.accepted || exists[b.archive.AbsenceCondition(l.id).Key]
 		inArchive.Go(func() { l.result <- b.lookUpArchive(ctx, l, changed) })
 	}
 }
@@ -201,7 +201,7 @@
 		add(wire.Condition{Key: jobKey(l.id)})
 		add(wire.Condition{Key: endKey(l.id)})
 		if !l.accepted {
-			add(b.archive.Guard(l.id))
+			add(b.archive.AbsenceCondition(l.id))
 		}
 	}
 	response, err := b.store.Txn(ctx, txn)
@@ -251,9 +251,9 @@
 	case <-ctx.Done():
 		return lookupResult{err: ctx.Err()}
 	}
-	look := b.archive.Look
+	look := b.archive.Lookup
 	if changed {
-		look = b.archive.LookFresh
+		look = b.archive.LookupFresh
 	}
 	answer, err := look(ctx, l.id)
 	switch {
--- a/internal/controller/recurring.go
+++ b/internal/controller/recurring.go
@@ -130,7 +130,7 @@
 	}
 	txn.Mutations = append(txn.Mutations, wire.Mutation{Put: key, Value: decision.State})
 	for _, job := range decision.Jobs {
-		answer, err := c.archive.Look(s.leadership.ctx, job.ID)
+		answer, err := c.archive.Lookup(s.leadership.ctx, job.ID)
 		if err != nil {
 			return "", err
 		}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -68,7 +68,7 @@
 	if found {
 		return c.decodeEnd(id, entry.Value)
 	}
-	answer, err := c.archive.LookFresh(ctx, id) // archived meanwhile
+	answer, err := c.archive.LookupFresh(ctx, id) // archived meanwhile
 	if err != nil {
 		return endRecord{}, err
 	}
