--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -26,8 +26,8 @@
 
 	// A copy that becomes invalid again within copyDoubtWindow makes the standby unfit for
 	// unfitDuration.
-	copyDoubtWindow = 30 * time.Second
-	unfitDuration   = 10 * time.Second
+	copyInvalidWindow = 30 * time.Second
+	unfitDuration     = 10 * time.Second
 
 	catchUpTries      = 5
 	catchUpPause      = 10 * time.Millisecond
@@ -118,7 +118,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.copy = nil
-	if time.Since(f.restartedAt) < copyDoubtWindow {
+	if time.Since(f.restartedAt) < copyInvalidWindow {
 		f.unfitAt = time.Now()
 	}
 	f.restartedAt = time.Now()
--- a/internal/controller/follower_test.go
+++ b/internal/controller/follower_test.go
@@ -93,7 +93,7 @@
 				f.write(wire.Mutation{Delete: es[r.IntN(len(es))].Key})
 			}
 		default:
-			f.write(wire.Mutation{Put: learnedKey, Value: sched.Statistics{At: f.now(), Write: 0.1 + r.Float64()}}, wire.Mutation{Put: scaleOutPrefix + fmt.Sprint(f.changes), Value: "x"})
+			f.write(wire.Mutation{Put: statisticsKey, Value: sched.Statistics{At: f.now(), Write: 0.1 + r.Float64()}}, wire.Mutation{Put: scaleOutPrefix + fmt.Sprint(f.changes), Value: "x"})
 		}
 		if r.IntN(12) == 0 { // a job that is over and gone
 			id := pick()
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -32,7 +32,7 @@
 	for _, x := range []struct{ name, key string }{
 		{"term", termKey},
 		{"catalog", catalogKey},
-		{"learned", learnedKey},
+		{"learned", statisticsKey},
 		{"jobs and ends", queuePrefix},
 		{"jobs", jobPrefix},
 		{"ends", endPrefix},
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -12,7 +12,7 @@
 const (
 	termKey        = "term"
 	catalogKey     = "catalog"
-	learnedKey     = "learned"
+	statisticsKey  = "learned"
 	queuePrefix    = "q/" // of jobs and ends, for the leader's watch
 	jobPrefix      = "q/a/"
 	endPrefix      = "q/e/"
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -143,7 +143,7 @@
 }
 
 func (r *stateReader) readStatistics() error {
-	entries, _, err := r.list(learnedKey)
+	entries, _, err := r.list(statisticsKey)
 	if err == nil && len(entries) > 0 {
 		r.state.setStatistics(entries[0].Value)
 	}
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -92,7 +92,7 @@
 }
 
 // copyPrefixes is what a leader reads when it takes over, but for the ends of jobs.
-var copyPrefixes = []string{jobPrefix, progressPrefix, ledgerPrefix, learnedKey, scaleOutPrefix, schedulePrefix}
+var copyPrefixes = []string{jobPrefix, progressPrefix, ledgerPrefix, statisticsKey, scaleOutPrefix, schedulePrefix}
 
 // noKeys leaves no key out of a copy.
 func noKeys(string) bool { return false }
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -38,7 +38,7 @@
 					txn.Mutations = append(txn.Mutations, wire.Mutation{Put: key, Value: rnd.IntN(100)})
 				}
 				if rnd.IntN(5) == 0 {
-					txn.Mutations = append(txn.Mutations, wire.Mutation{Put: learnedKey, Value: rnd.IntN(100)})
+					txn.Mutations = append(txn.Mutations, wire.Mutation{Put: statisticsKey, Value: rnd.IntN(100)})
 				}
 			}
 			if _, err := client.Txn(context.Background(), txn); err != nil {
--- a/internal/controller/standbycopy.go
+++ b/internal/controller/standbycopy.go
@@ -18,7 +18,7 @@
 
 // followedPrefixes lists the prefixes that a takeover needs, in the order in which they are read.
 // Ends are kept, too, of jobs whose records are there.
-var followedPrefixes = []string{jobPrefix, progressPrefix, ledgerPrefix, learnedKey, scaleOutPrefix, schedulePrefix, dynconfig.Prefix}
+var followedPrefixes = []string{jobPrefix, progressPrefix, ledgerPrefix, statisticsKey, scaleOutPrefix, schedulePrefix, dynconfig.Prefix}
 
 // newStandbyCopy returns an empty copy within a share of a controller's memory.
 func newStandbyCopy(ramMB float64) *standby.Copy {
--- a/internal/controller/standbys.go
+++ b/internal/controller/standbys.go
@@ -10,9 +10,9 @@
 
 const (
 	// standbySilence is how long a controller may be silent and still be chosen as standby, and
-	// standbyRest how long one that could not follow is not, in microseconds.
-	standbySilence = int64(5 * time.Second / time.Microsecond)
-	standbyRest    = int64(30 * time.Second / time.Microsecond)
+	// standbyCooldown how long one that could not follow is not, in microseconds.
+	standbySilence  = int64(5 * time.Second / time.Microsecond)
+	standbyCooldown = int64(30 * time.Second / time.Microsecond)
 
 	// candidateStep is how long a candidate waits for each standby that ranks before it.
 	candidateStep = 60 * time.Millisecond
@@ -21,7 +21,7 @@
 // publishStandbys chooses who stands by, once a second. Owner goroutine.
 func (l *leadership) publishStandbys() {
 	c := l.controller
-	selector := standby.Selector{Zone: c.settings.Zone, Count: *c.settings.Operator.Standbys, MaxSilence: standbySilence, Cooldown: standbyRest}
+	selector := standby.Selector{Zone: c.settings.Zone, Count: *c.settings.Operator.Standbys, MaxSilence: standbySilence, Cooldown: standbyCooldown}
 	next, changed := c.peerTable.chooseStandbys(&selector, l.token, c.settings.Members, c.now())
 	if changed {
 		c.log.Info("who stands by", "standbys", fmt.Sprint(next.Standbys), "number", next.Number)
--- a/internal/controller/statisticswriter.go
+++ b/internal/controller/statisticswriter.go
@@ -27,7 +27,7 @@
 	l.startTask(&w.task, func() func() {
 		_, _ = l.controller.store.Txn(l.ctx, wire.Txn{
 			Conditions: []wire.Condition{l.termCondition()},
-			Mutations:  []wire.Mutation{{Put: learnedKey, Value: statistics}},
+			Mutations:  []wire.Mutation{{Put: statisticsKey, Value: statistics}},
 		})
 		return nil
 	})
--- a/internal/controller/stored.go
+++ b/internal/controller/stored.go
@@ -75,7 +75,7 @@
 		item, _ := c.Get(key)
 		s.ledger[strings.TrimPrefix(key, ledgerPrefix)] = *item.Decoded.(*sched.LedgerEntry)
 	}
-	if item, ok := c.Get(learnedKey); ok {
+	if item, ok := c.Get(statisticsKey); ok {
 		s.setStatistics(item.Value)
 	}
 	s.scaleOuts = c.Keys(scaleOutPrefix)
