--- a/internal/sched/batch.go
+++ b/internal/sched/batch.go
@@ -150,8 +150,8 @@
 	b.reserveJob(j)
 	b.reserveMachine(m)
 	b.placements = append(b.placements, placements...)
-	if m.reservedFor == j {
-		m.reservedFor = nil
+	if m.isReservedFor(j) {
+		m.endReservation()
 	}
 }
 
