--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -26,8 +26,8 @@
 
 	// A copy that becomes invalid again within copyDoubtWindow makes the standby unfit for
 	// unfitDuration.
-	copyDoubtWindow = 30 * time.Second
-	unfitDuration   = 10 * time.Second
+	copyInvalidWindow = 30 * time.Second
+	unfitDuration     = 10 * time.Second
 
 	catchUpTries      = 5
 	catchUpPause      = 10 * time.Millisecond
@@ -118,7 +118,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.copy = nil
-	if time.Since(f.restartedAt) < copyDoubtWindow {
+	if time.Since(f.restartedAt) < copyInvalidWindow {
 		f.unfitAt = time.Now()
 	}
 	f.restartedAt = time.Now()
@@ -194,7 +194,7 @@
 
 // takeOver returns what the copy has of the stored state, brought up to the term that this
 // controller has just taken, or why the state has to be read instead.
-func (f *follower) takeOver(ctx context.Context, token uint64, held *lease) (*stored, error) {
+func (f *follower) takeOver(ctx context.Context, token uint64, held *lease) (*storedState, error) {
 	c := f.controller
 	f.mu.Lock()
 	stateCopy := f.copy
@@ -222,7 +222,7 @@
 		return nil, err
 	}
 	f.copy = nil // what was read belongs to the term now
-	return storedOf(stateCopy), nil
+	return stateOfCopy(stateCopy), nil
 }
 
 // unfit says whether this controller could not follow lately.
