--- a/internal/controller/workercontacts.go
+++ b/internal/controller/workercontacts.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// record notes that a worker has reported. Beyond peer.MostHeard workers new ones are not noted.
+// record notes that a worker has reported. Beyond peer.MaxContacts workers new ones are not noted.
 func (w *workerContacts) record(host string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standby/model_test.go
+++ b/internal/standby/model_test.go
@@ -10,7 +10,7 @@
 )
 
 // A small model of takeovers, explored exhaustively: three controllers, two machines, one
-// task (two in random walks). Controllers end and come back at any moment, holds run out
+// task (two in random walks). Controllers end and come back at any moment, leases expire
 // or terms are replaced without cause at any moment, transactions, reports and answers come late, in
 // any order or never. The rules are those of docs/design.md, "Safety"; what is explored is
 // that no task is ever on two machines, no two controllers act under one token and no user is
@@ -33,20 +33,20 @@
 const noMachine = 0xff
 
 type modelNode struct {
-	alive  bool
-	acting uint8
-	book   [modelTasks]uint8 // machines on which the task may be
-	stored [modelTasks]uint8 // of these, those with a launch of this term that is durable
-	seen   [modelTasks]uint8 // and those on which a report showed it
-	sure   uint8             // machines that have confirmed the term
-	over   uint8             // tasks whose end it has heard of
-	seq    [modelMachines]uint8
+	alive      bool
+	acting     uint8
+	placements [modelTasks]uint8 // machines on which the task may be
+	stored     [modelTasks]uint8 // of these, those with a launch of this term that is durable
+	seen       [modelTasks]uint8 // and those on which a report showed it
+	confirmed  uint8             // machines that have confirmed the term
+	knownEnded uint8             // tasks whose end it has heard of
+	seq        [modelMachines]uint8
 }
 
 type modelMachine struct {
-	token, tasks, seq, out uint8
-	reports                [2]modelReport
-	answers                [2]modelAnswer
+	token, tasks, seq, outstanding uint8
+	reports                        [2]modelReport
+	answers                        [2]modelAnswer
 }
 
 // key orders controllers.
@@ -54,34 +54,34 @@
 	if n.alive {
 		k = 1
 	}
-	for _, x := range []uint8{n.acting, n.book[0], n.book[1], n.stored[0], n.stored[1], n.seen[0], n.seen[1], n.sure, n.over, n.seq[0], n.seq[1]} {
+	for _, x := range []uint8{n.acting, n.placements[0], n.placements[1], n.stored[0], n.stored[1], n.seen[0], n.seen[1], n.confirmed, n.knownEnded, n.seq[0], n.seq[1]} {
 		k = k<<6 ^ k>>58 ^ uint64(x)
 	}
 	return k
 }
 
 type modelState struct {
-	rev, term uint8
-	ended     uint8 // tasks whose jobs were cancelled
-	told      uint8 // of these, those whose record is gone, so that users are told
-	ledger    [modelTasks]uint8
-	before    [modelTasks]uint8 // the ledger before its last change: what a copy that lags has
-	nodes     [modelNodes]modelNode
-	machines  [modelMachines]modelMachine
-	txns      [2]modelTxn
+	revision, term    uint8
+	ended             uint8 // tasks whose jobs were cancelled
+	reportedCancelled uint8 // of these, those whose record is gone, so that users are told
+	ledger            [modelTasks]uint8
+	previousLedger    [modelTasks]uint8 // the ledger before its last change: what a copy that lags has
+	nodes             [modelNodes]modelNode
+	machines          [modelMachines]modelMachine
+	txns              [2]modelTxn
 }
 
 // modelRules are rules that can be left out, to see that the exploration misses them.
 type modelRules struct {
-	behind      bool // a copy is used that has not reached the term's revision
-	unsure      bool // (harmless) launches go to machines that have not confirmed the term
-	anyToken    bool // a report frees though its worker has not seen the term's token
-	unfenced    bool // a transaction is applied whatever the term
-	keepsActing bool // (harmless) a deposed leader never notices
-	tellsAtOnce bool // a user is told once the end exists
-	deletesSoon bool // a record is deleted while the task may be on a machine
-	deletesLate bool // a record is deleted whatever the term
-	afterEnd    bool // a launch is stored though the job has ended
+	staleCopy           bool // a copy is used that has not reached the term's revision
+	unconfirmedLaunches bool // (harmless) launches go to machines that have not confirmed the term
+	anyToken            bool // a report frees though its worker has not seen the term's token
+	unfenced            bool // a transaction is applied whatever the term
+	keepsActing         bool // (harmless) a deposed leader never notices
+	reportsAtOnce       bool // a user is told once the end exists
+	deletesWithoutProof bool // a record is deleted while the task may be on a machine
+	deletesUnderOldTerm bool // a record is deleted whatever the term
+	launchesAfterEnd    bool // a launch is stored though the job has ended
 }
 
 type modelBounds struct {
@@ -105,13 +105,13 @@
 			t.nodes[i] = modelNode{}
 			f(fmt.Sprint("end ", i), t)
 		}
-		if s.rev < b.terms && s.term != n.acting || s.rev < b.terms && n.acting == 0 { // takes or replaces the term
+		if s.revision < b.terms && s.term != n.acting || s.revision < b.terms && n.acting == 0 { // takes or replaces the term
 			t := *s
-			t.rev++
-			t.term = t.rev
-			m := modelNode{alive: true, acting: t.rev, book: s.ledger}
-			if r.behind {
-				m.book = s.before
+			t.revision++
+			t.term = t.revision
+			m := modelNode{alive: true, acting: t.revision, placements: s.ledger}
+			if r.staleCopy {
+				m.placements = s.previousLedger
 			}
 			t.nodes[i] = m
 			f(fmt.Sprint("term ", i), t)
@@ -125,26 +125,26 @@
 			f(fmt.Sprint("deposed ", i), t)
 		}
 		for task := range b.tasks {
-			if n.over&(1<<task) != 0 {
-				if n.book[task] == 0 || r.deletesSoon {
+			if n.knownEnded&(1<<task) != 0 {
+				if n.placements[task] == 0 || r.deletesWithoutProof {
 					s.send(modelTxn{n.acting, uint8(task), noMachine}, func(t modelState) { f(fmt.Sprint("deletes ", i, task), t) })
 				}
 				continue
 			}
 			if s.ended&(1<<task) != 0 {
 				t := *s
-				t.nodes[i].over |= 1 << task
+				t.nodes[i].knownEnded |= 1 << task
 				f(fmt.Sprint("learns of the end ", i, task), t)
 			}
-			if n.book[task] != 0 {
+			if n.placements[task] != 0 {
 				continue
 			}
 			for m := range s.machines {
-				if n.sure&(1<<m) == 0 && !r.unsure {
+				if n.confirmed&(1<<m) == 0 && !r.unconfirmedLaunches {
 					continue
 				}
 				s.send(modelTxn{n.acting, uint8(task), uint8(m)}, func(t modelState) {
-					t.nodes[i].book[task] |= 1 << m
+					t.nodes[i].placements[task] |= 1 << m
 					f(fmt.Sprint("decides ", i, task, m), t)
 				})
 			}
@@ -159,8 +159,8 @@
 		if b.cancels && s.ended&(1<<task) == 0 {
 			t := *s
 			t.ended |= 1 << task
-			if r.tellsAtOnce {
-				t.told = t.ended
+			if r.reportsAtOnce {
+				t.reportedCancelled = t.ended
 			}
 			f(fmt.Sprint("cancels ", task), t)
 		}
@@ -172,26 +172,26 @@
 		t := *s
 		t.txns[k] = modelTxn{}
 		if x.machine == noMachine {
-			if s.term == x.token || r.deletesLate {
-				t.told |= 1 << x.task
+			if s.term == x.token || r.deletesUnderOldTerm {
+				t.reportedCancelled |= 1 << x.task
 			}
 			f("deleted", t)
 			continue
 		}
-		if s.ended&(1<<x.task) != 0 && !r.afterEnd {
+		if s.ended&(1<<x.task) != 0 && !r.launchesAfterEnd {
 			for i := range t.nodes {
 				if n := &t.nodes[i]; n.acting == x.token && n.stored[x.task]&(1<<x.machine) == 0 {
-					n.book[x.task] &^= 1 << x.machine
+					n.placements[x.task] &^= 1 << x.machine
 				}
 			}
 			f("refused", t)
 			continue
 		}
 		if s.term == x.token || r.unfenced {
-			t.before = t.ledger
+			t.previousLedger = t.ledger
 			t.ledger[x.task] |= 1 << x.machine
 			for i := range t.nodes {
-				if n := &t.nodes[i]; n.acting == x.token && n.book[x.task]&(1<<x.machine) != 0 {
+				if n := &t.nodes[i]; n.acting == x.token && n.placements[x.task]&(1<<x.machine) != 0 {
 					n.stored[x.task] |= 1 << x.machine
 				}
 			}
@@ -227,22 +227,22 @@
 // worker plays a machine and its messages.
 func (s *modelState) worker(m int, b modelBounds, r modelRules, f func(string, modelState)) {
 	w := &s.machines[m]
-	if w.out == 0 && w.seq < b.seq {
+	if w.outstanding == 0 && w.seq < b.seq {
 		for k := range w.reports {
 			if w.reports[k].seq == 0 {
 				t := *s
 				x := &t.machines[m]
 				x.seq++
-				x.out = x.seq
+				x.outstanding = x.seq
 				x.reports[k] = modelReport{x.seq, x.token, x.tasks}
 				f(fmt.Sprint("report ", m), t)
 				break
 			}
 		}
 	}
-	if w.out != 0 {
+	if w.outstanding != 0 {
 		t := *s
-		t.machines[m].out = 0
+		t.machines[m].outstanding = 0
 		f(fmt.Sprint("gives up ", m), t)
 	}
 	for task := range b.tasks {
@@ -262,7 +262,7 @@
 			}
 			t := *s
 			t.machines[m].reports[k] = modelReport{}
-			ans, ok := t.take(i, m, rep, b, r)
+			ans, ok := t.handleReport(i, m, rep, b, r)
 			for a := range t.machines[m].answers {
 				if ok && t.machines[m].answers[a].seq == 0 {
 					t.machines[m].answers[a] = ans
@@ -279,8 +279,8 @@
 		t := *s
 		x := &t.machines[m]
 		x.answers[k] = modelAnswer{}
-		if ans.seq == x.out {
-			x.out = 0
+		if ans.seq == x.outstanding {
+			x.outstanding = 0
 			if ans.token >= x.token {
 				x.token = ans.token
 				x.tasks |= ans.launch
@@ -290,8 +290,8 @@
 	}
 }
 
-// take lets a leader take a report, and returns its answer.
-func (s *modelState) take(i, m int, rep modelReport, b modelBounds, r modelRules) (modelAnswer, bool) {
+// handleReport lets a leader take a report, and returns its answer.
+func (s *modelState) handleReport(i, m int, rep modelReport, b modelBounds, r modelRules) (modelAnswer, bool) {
 	n := &s.nodes[i]
 	bit := uint8(1 << m)
 	if rep.seq <= n.seq[m] || rep.token > n.acting {
@@ -299,7 +299,7 @@
 	}
 	if rep.token != n.acting && !r.anyToken {
 		a := modelAnswer{seq: rep.seq, token: n.acting}
-		if r.unsure {
+		if r.unconfirmedLaunches {
 			for task := range b.tasks {
 				if n.stored[task]&bit != 0 && n.seen[task]&bit == 0 {
 					a.launch |= 1 << task
@@ -309,24 +309,24 @@
 		return a, true
 	}
 	n.seq[m] = rep.seq
-	n.sure |= bit
+	n.confirmed |= bit
 	a := modelAnswer{seq: rep.seq, token: n.acting}
 	for task := range b.tasks {
 		there := rep.tasks&(1<<task) != 0
 		switch {
 		case there:
-			n.book[task] |= bit
+			n.placements[task] |= bit
 			n.seen[task] |= bit
-		case n.book[task]&bit == 0:
-		case n.stored[task]&bit != 0 && n.seen[task]&bit == 0 && n.over&(1<<task) == 0:
+		case n.placements[task]&bit == 0:
+		case n.stored[task]&bit != 0 && n.seen[task]&bit == 0 && n.knownEnded&(1<<task) == 0:
 			a.launch |= 1 << task
 		case s.pending(n.acting, task, m):
 		default: // proven gone
-			n.book[task] &^= bit
+			n.placements[task] &^= bit
 			n.stored[task] &^= bit
 			n.seen[task] &^= bit
 			if s.term == n.acting {
-				s.before = s.ledger
+				s.previousLedger = s.ledger
 				s.ledger[task] &^= bit
 			}
 		}
@@ -343,8 +343,8 @@
 	return false
 }
 
-// broken says which rule a state breaks.
-func (s *modelState) broken(b modelBounds) string {
+// brokenRule says which rule a state breaks.
+func (s *modelState) brokenRule(b modelBounds) string {
 	for task := range b.tasks {
 		on := uint8(0)
 		for m := range s.machines {
@@ -355,7 +355,7 @@
 		if bits.OnesCount8(on) > 1 {
 			return fmt.Sprintf("task %d is on two machines", task)
 		}
-		if on != 0 && s.told&(1<<task) != 0 {
+		if on != 0 && s.reportedCancelled&(1<<task) != 0 {
 			return fmt.Sprintf("a user was told that task %d is cancelled, and it is on a machine", task)
 		}
 	}
@@ -369,16 +369,16 @@
 	return ""
 }
 
-func modelBegin() (s modelState) {
+func newModel() (s modelState) {
 	for i := range s.nodes {
 		s.nodes[i].alive = true
 	}
 	return s
 }
 
-// normal is the one of all states that differ only in which controller is which, and in the
+// normalized is the one of all states that differ only in which controller is which, and in the
 // order of messages on their way, that stands for them.
-func (s modelState) normal() modelState {
+func (s modelState) normalized() modelState {
 	slices.SortFunc(s.nodes[:], func(a, b modelNode) int { return cmp.Compare(a.key(), b.key()) })
 	slices.SortFunc(s.txns[:], func(a, b modelTxn) int {
 		return cmp.Or(cmp.Compare(a.token, b.token), cmp.Compare(a.task, b.task), cmp.Compare(a.machine, b.machine))
@@ -394,18 +394,18 @@
 // explore visits all states within the bounds, up to so many, and returns how many it
 // visited and the first that breaks a rule.
 func explore(b modelBounds, r modelRules, most int) (visited int, broken string) {
-	begin := modelBegin()
+	begin := newModel()
 	seen := map[modelState]struct{}{begin: {}}
 	queue := []modelState{begin}
 	for len(queue) > 0 && len(seen) < most {
 		s := queue[0]
 		queue = queue[1:]
 		s.next(b, r, func(what string, t modelState) {
-			t = t.normal()
+			t = t.normalized()
 			if _, ok := seen[t]; ok || broken != "" {
 				return
 			}
-			if why := t.broken(b); why != "" {
+			if why := t.brokenRule(b); why != "" {
 				broken = why + " after " + what
 			}
 			seen[t] = struct{}{}
@@ -421,7 +421,7 @@
 // walk takes random steps until a rule is broken.
 func walk(b modelBounds, r modelRules, seed uint64, steps int) string {
 	rnd := rand.New(rand.NewPCG(seed, 77))
-	s := modelBegin()
+	s := newModel()
 	for range steps {
 		var all []modelState
 		s.next(b, r, func(what string, t modelState) {
@@ -434,11 +434,11 @@
 			continue
 		}
 		s = all[rnd.IntN(len(all))]
-		if why := s.broken(b); why != "" {
+		if why := s.brokenRule(b); why != "" {
 			return why
 		}
-		if s.told == 1<<b.tasks-1 && rnd.IntN(60) == 0 || s.rev == b.terms || s.machines[0].seq == b.seq && s.machines[1].seq == b.seq {
-			s = modelBegin()
+		if s.reportedCancelled == 1<<b.tasks-1 && rnd.IntN(60) == 0 || s.revision == b.terms || s.machines[0].seq == b.seq && s.machines[1].seq == b.seq {
+			s = newModel()
 		}
 	}
 	return ""
@@ -462,7 +462,7 @@
 	// launches that go with the first answer, before the machine has confirmed the term:
 	// the ledger has whatever may be there. That rule is kept for another reason: a
 	// machine's session and room are not known before.
-	for _, r := range []modelRules{{keepsActing: true}, {unsure: true}} {
+	for _, r := range []modelRules{{keepsActing: true}, {unconfirmedLaunches: true}} {
 		for seed := uint64(1); seed <= 10; seed++ {
 			if why := walk(modelBounds{tasks: 2, terms: 12, seq: 40}, r, seed, 6000); why != "" {
 				t.Fatalf("%+v, seed %d: %s", r, seed, why)
@@ -470,17 +470,17 @@
 		}
 	}
 	for name, r := range map[string]modelRules{
-		"a copy behind the term":          {behind: true},
+		"a copy behind the term":          {staleCopy: true},
 		"reports of any token":            {anyToken: true},
 		"transactions that aren't fenced": {unfenced: true},
-		"telling at once":                 {tellsAtOnce: true},
-		"deleting without proof":          {deletesSoon: true},
-		"deleting under an old term":      {deletesLate: true, keepsActing: true},
-		"launches after an end":           {afterEnd: true},
+		"telling at once":                 {reportsAtOnce: true},
+		"deleting without proof":          {deletesWithoutProof: true},
+		"deleting under an old term":      {deletesUnderOldTerm: true, keepsActing: true},
+		"launches after an end":           {launchesAfterEnd: true},
 	} {
 		found := ""
 		for seed := uint64(1); seed <= 400 && found == ""; seed++ {
-			cancels := r.tellsAtOnce || r.deletesSoon || r.deletesLate || r.afterEnd
+			cancels := r.reportsAtOnce || r.deletesWithoutProof || r.deletesUnderOldTerm || r.launchesAfterEnd
 			found = walk(modelBounds{tasks: 1, terms: 12, seq: 40, cancels: cancels}, r, seed, 6000)
 		}
 		if found == "" {
