--- a/internal/sched/gangplacement.go
+++ b/internal/sched/gangplacement.go
@@ -129,9 +129,12 @@
 	preferred float64 // slots, those that the tasks would rather not have counting less
 }
 
+// preferredFloor bounds preferred slots from below, where nothing is preferred.
+const preferredFloor = 0.01
+
 // leftover is small for a zone that has little room left beside the gang.
 func (r *zoneRoom) leftover() float64 {
-	return float64(r.slots) * float64(r.slots) / max(r.preferred, 0.01)
+	return float64(r.slots) * float64(r.slots) / max(r.preferred, preferredFloor)
 }
 
 // gangZones lists the zones that have room for all missing tasks; a job without a
--- a/internal/sched/gangplan.go
+++ b/internal/sched/gangplan.go
@@ -13,6 +13,9 @@
 	// gangPlanInterval is how often it is decided anew which machines are reserved for gangs.
 	gangPlanInterval = second
 
+	// gangClearedShare is the part of the machines, one in so many, that may be cleared for a gang.
+	gangClearedShare = 2
+
 	// reservationSlack is how long after the expected start of its gang a reservation ends.
 	reservationSlack = 5 * second
 
@@ -84,10 +87,10 @@
 	})
 }
 
-// isReservedForWait says whether the machine is reserved for a gang that waits for it, and
+// isAwaitingReplan says whether the machine is reserved for a gang that waits for it, and
 // that has not been looked at in this plan: one that is served before may have it.
 // Until then the machine stays reserved, or small tasks would take it in between.
-func (ps *pass) isReservedForWait(m *machine) bool {
+func (ps *pass) isAwaitingReplan(m *machine) bool {
 	return m.isWaitedFor() && m.reservationCheckedAt < ps.core.gangsPlannedAt
 }
 
@@ -110,7 +113,7 @@
 		gp.waited[best.zone] = true
 	}
 	// Soft point: a guest's huge job would preempt almost everything.
-	if best.cleared > max(1, len(gp.pass.schedulable)/2) {
+	if best.cleared > max(1, len(gp.pass.schedulable)/gangClearedShare) {
 		return
 	}
 	for i := range best.options {
@@ -239,21 +242,21 @@
 // of the offer.
 func (gp *gangPlan) optionOn(index int, gang *job, tasksByZone map[string]int, offers *gangOffers) (startOption, bool) {
 	ps := gp.pass
-	m, offer := ps.schedulable[index], &offers.byMachine[index]
-	if offer.slots == 0 || !satisfiesZones(gang, tasksByZone, m.zone) {
+	machine, offer := ps.schedulable[index], &offers.byMachine[index]
+	if offer.slots == 0 || !satisfiesZones(gang, tasksByZone, machine.zone) {
 		return startOption{}, false
 	}
-	if m.isReservedForOther(gang) && ps.core.now < m.reservedUntil && m.reservedFor.rank >= gang.rank && !ps.isReservedForWait(m) {
+	if machine.isReservedForOther(gang) && ps.core.now < machine.reservedUntil && machine.reservedFor.rank >= gang.rank && !ps.isAwaitingReplan(machine) {
 		return startOption{}, false
 	}
-	if offer.hasRoom && gang.spec.GPUs == 0 && m.machineType.GPUs > 0 && !ps.mayUseGPUMachine(gang, m) {
+	if offer.hasRoom && gang.spec.GPUs == 0 && machine.machineType.GPUs > 0 && !ps.mayUseGPUMachine(gang, machine) {
 		return startOption{}, false
 	}
-	cost := Micros(ps.placementScore(gang, m) * float64(second))
-	if m.isClearedFor(gang) {
+	cost := Micros(ps.placementScore(gang, machine) * float64(second))
+	if machine.isClearedFor(gang) {
 		cost = 0 // cleared for it
 	}
-	return startOption{offer, m, index, cost}, true
+	return startOption{offer, machine, index, cost}, true
 }
 
 // recordPreemption notes what the preemption that is about to happen does to machines. A job that
--- a/internal/sched/gangplanreference_test.go
+++ b/internal/sched/gangplanreference_test.go
@@ -112,7 +112,7 @@
 		if m.reservedFor == j && m.reservationStart > 0 {
 			m.endReservation() // chosen anew
 		}
-		if r := m.reservedFor; r != nil && r != j && ps.core.now < m.reservedUntil && r.rank >= j.rank && !ps.isReservedForWait(m) {
+		if r := m.reservedFor; r != nil && r != j && ps.core.now < m.reservedUntil && r.rank >= j.rank && !ps.isAwaitingReplan(m) {
 			continue
 		}
 		if !allowed(j, m) || !satisfiesZones(j, used, m.zone) || slotsOnEmpty(j, m.machineType) == 0 {
--- a/internal/sched/placetasks.go
+++ b/internal/sched/placetasks.go
@@ -52,7 +52,8 @@
 		return true
 	}
 	fetch := Micros(machine.imageFetchS(job, now) * float64(second))
-	return now+job.expectedRunTime()*3/2+fetch > machine.reservationStart
+	halfAgain := job.expectedRunTime() * 3 / 2 // run times are often longer than expected
+	return now+halfAgain+fetch > machine.reservationStart
 }
 
 // candidate is a machine that may take tasks of a job.
--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -9,6 +9,16 @@
 	// minPreemptionSearches is how many jobs may have room cleared for them in a pass at any size of site.
 	minPreemptionSearches = 4
 
+	// clearedShare is the part of the machines, one in so many, that may be cleared for a job at a time.
+	clearedShare = 4
+
+	// settledReports and settledDelay are after how many intervals of heartbeats, and how much beside,
+	// all machines that are up have had the time to confirm the term.
+	settledReports = 1.25
+	settledDelay   = second
+	// settledTenths is how many in ten of them must have before.
+	settledTenths = 9
+
 	// preemptionBackoff is how long a job for which nothing could be cleared is not tried again.
 	preemptionBackoff = second
 	// clearedReservation is how long a machine is reserved once the checkpoints of its victims are
@@ -26,7 +36,7 @@
 // have some have not reported yet, and what was preempted for it would have been so in vain:
 // when leaders end every few seconds, again and again.
 func (c *Core) isFleetSettled() bool {
-	if c.now-c.termStart > config.Micro(1.25*c.settings.Deployment.Workers.ReportS)+second {
+	if c.now-c.termStart > config.Micro(settledReports*c.settings.Deployment.Workers.ReportS)+settledDelay {
 		return true
 	}
 	up, confirmed := 0, 0
@@ -38,7 +48,7 @@
 			}
 		}
 	}
-	return confirmed*10 >= up*9
+	return confirmed*10 >= up*settledTenths
 }
 
 // mayPreempt says whether the job has waited long enough and whether anything that
@@ -90,7 +100,7 @@
 			cleared++
 		}
 	}
-	return cleared < max(1, len(ps.schedulable)/4) && cleared < j.pendingCount()
+	return cleared < max(1, len(ps.schedulable)/clearedShare) && cleared < j.pendingCount()
 }
 
 // cheapestToClear returns the machine on which room for a task of the job costs least, nil for
--- a/internal/sched/scaleout.go
+++ b/internal/sched/scaleout.go
@@ -268,6 +268,10 @@
 	m.used.add(resourceUse{n * use.cpus, n * use.gpus, n * use.mem})
 }
 
+// fullShare is the part of the machines, one in so many, that must be full before it is worth making
+// the list anew.
+const fullShare = 8
+
 // serve finds room for a demand on the machines there are, and rents what is missing.
 func (r *scaleOutRound) serve(search *roomSearch) {
 	if search.job.spec.OneZone && search.job.isGang() && search.left > 1 {
@@ -285,7 +289,7 @@
 			filled++
 		}
 	}
-	if filled > len(r.machines)/8 {
+	if filled > len(r.machines)/fullShare {
 		r.dropFull()
 	}
 	r.rent(search)
