--- a/internal/sched/admit_test.go
+++ b/internal/sched/admit_test.go
@@ -8,7 +8,7 @@
 )
 
 // A job that no placement can ever satisfy is not accepted; one that can run in parts is.
-func TestImpossible(t *testing.T) {
+func TestAdmit(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a", MaxCPUs: 16})
 	x := "x"
 	for _, c := range []struct {
--- a/internal/sched/bed_test.go
+++ b/internal/sched/bed_test.go
@@ -35,9 +35,9 @@
 	return &bed{Core: New(&set, 7, 1000*second, cat, func(string, ...any) {}), t: t, base: &set}
 }
 
-func (b *bed) report(host, typ, zone string, session uint64, tasks ...wire.TaskStatus) wire.HeartbeatResponse {
+func (b *bed) report(host, typ, zone string, incarnation uint64, tasks ...wire.TaskStatus) wire.HeartbeatResponse {
 	b.seq++
-	return b.Heartbeat(&wire.Heartbeat{Host: host, Addr: host, Type: typ, Zone: zone, Incarnation: session, Sequence: b.seq, FencingToken: 7, Tasks: tasks}, b.now)
+	return b.Heartbeat(&wire.Heartbeat{Host: host, Addr: host, Type: typ, Zone: zone, Incarnation: incarnation, Sequence: b.seq, FencingToken: 7, Tasks: tasks}, b.now)
 }
 
 // schedule runs a pass and stores its batch; nil says that it launches nothing.
--- a/internal/sched/failures_test.go
+++ b/internal/sched/failures_test.go
@@ -12,7 +12,7 @@
 
 // A launch that never went with an answer to a machine that fell silent is given
 // back at once: nobody else sends it. One that was sent may have arrived.
-func TestUnsentLaunch(t *testing.T) {
+func TestUndispatchedLaunch(t *testing.T) {
 	for _, sent := range []bool{false, true} {
 		b := newBed(t, config.Team{Name: "a"})
 		b.report("n-1", "s", "x", 1)
@@ -99,7 +99,7 @@
 }
 
 // A new leader learns from its peers since when machines are silent.
-func TestToldAtTakeover(t *testing.T) {
+func TestPeerContactsAtTakeover(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a"})
 	b.AddJob(spec("j-1", "a", wire.Normal, 4, 8), b.now, b.now)
 	e := LedgerEntry{}
--- a/internal/sched/heartbeat_test.go
+++ b/internal/sched/heartbeat_test.go
@@ -44,7 +44,7 @@
 }
 
 // Reports that come late, and lists that lag, change nothing.
-func TestLateNews(t *testing.T) {
+func TestLateHeartbeat(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a"})
 	b.report("n-1", "s", "x", 1)
 	b.AddJob(spec("j-1", "a", wire.Normal, 1, 8), b.now, b.now)
@@ -68,7 +68,7 @@
 
 // After a standstill of the controller its own absence must not look like the
 // workers' silence: all machines were taken for lost and given back.
-func TestStandstill(t *testing.T) {
+func TestStallTeachesNothing(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a"})
 	b.AddJob(spec("j-1", "a", wire.Normal, 3, 8), b.now, b.now)
 	hosts := []string{"n-1", "n-2", "n-3"}
@@ -106,7 +106,7 @@
 
 // What a worker says to a direct command proves less than a report of its own: the answer to
 // one may be outstanding and bring a launch. Of what was seen it proves that it is gone.
-func TestAnswersToCommandsProve(t *testing.T) {
+func TestWhatCommandAnswersProve(t *testing.T) {
 	at := func(b *bed, token, session, seq uint64, tasks ...wire.TaskStatus) {
 		b.CommandAnswered(&wire.Heartbeat{Host: "n-1", Addr: "n-1", Type: "s", Zone: "x", Incarnation: session, Sequence: seq, FencingToken: token, Tasks: tasks}, b.now)
 	}
@@ -163,7 +163,7 @@
 
 // Of two entries that name a machine the one with the later session counts: its
 // worker has killed and forgotten what it held before.
-func TestLaterSessionCounts(t *testing.T) {
+func TestLaterIncarnationCounts(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a"})
 	b.AddJob(spec("j-1", "a", wire.Normal, 2, 1), b.now, b.now)
 	host := LedgerHost{Host: "n-1", Addr: "n-1", Type: "s", Zone: "x", Incarnation: 1}
--- a/internal/sched/ledger_test.go
+++ b/internal/sched/ledger_test.go
@@ -175,7 +175,7 @@
 // An entry goes once nothing in it can be on a machine any more, and not before.
 // What is left of an entry that names a returned machine moves to a later one:
 // the next leader would otherwise wait for a machine that is gone.
-func TestEntriesGo(t *testing.T) {
+func TestEntriesAreDeleted(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a"})
 	store := map[string]LedgerEntry{}
 	pass := func() {
@@ -236,7 +236,7 @@
 }
 
 // A refused batch leaves everything as it was.
-func TestRefusedBatch(t *testing.T) {
+func TestRejectedCommit(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a", MaxCPUs: 8})
 	b.report("n-1", "s", "x", 1)
 	b.AddJob(spec("j-1", "a", wire.Normal, 1, 8), b.now, b.now)
--- a/internal/sched/placement_test.go
+++ b/internal/sched/placement_test.go
@@ -43,7 +43,7 @@
 }
 
 // A place that was only tried leaves a machine as idle as it was; a task that was there does not.
-func TestTriedPlacesLeaveMachinesIdle(t *testing.T) {
+func TestReleasedTrialsLeaveMachinesIdle(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a"})
 	b.report("n-1", "g", "x", 1)
 	b.AddJob(spec("j-1", "a", wire.Low, 1, 2), b.now, b.now)
--- a/internal/sched/reconcile_test.go
+++ b/internal/sched/reconcile_test.go
@@ -9,7 +9,7 @@
 
 // A machine that is silent beyond its lease, with tasks, is asked by commands: it may only reach no
 // controller, and its answer frees what it lost with the lease without its being given back.
-func TestLostMachineIsAsked(t *testing.T) {
+func TestExpiredMachineIsSentToken(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a"})
 	b.AddJob(spec("j-1", "a", wire.Low, 1, 8), b.now, b.now)
 	b.report("n-1", "s", "x", 1)
--- a/internal/sched/statistics_test.go
+++ b/internal/sched/statistics_test.go
@@ -9,7 +9,7 @@
 
 // A takeover used to forget how long tasks really run and how many arrive: owners'
 // estimates counted again, and machines that were about to be needed went back.
-func TestLearnedOutlivesTheLeader(t *testing.T) {
+func TestStatisticsOutliveLeader(t *testing.T) {
 	b := newBed(t, config.Team{Name: "a"})
 	b.AddJob(spec("j-1", "a", wire.Normal, 40, 1), b.now, b.now)
 	cl := b.jobs.find("j-1").class
