--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -144,7 +144,7 @@
 	case errors.Is(err, archive.ErrTermLost):
 		return 0, err
 	case err != nil:
-		a.controller.log.Info("archiving is put off", "err", err)
+		a.controller.log.Info("archiving deferred", "err", err)
 		return max(pause, archiveRetryPause), err
 	case idle:
 		a.logProgress()
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -92,7 +92,7 @@
 			if errors.Is(err, kvstore.ErrRefused) {
 				controller.log.Debug("commit refused", "err", err)
 			} else {
-				controller.log.Error("commit is not accepted", "err", err, "conditions", len(txn.Conditions), "changes", len(txn.Mutations))
+				controller.log.Error("commit rejected", "err", err, "conditions", len(txn.Conditions), "mutations", len(txn.Mutations))
 			}
 			return commitRejected
 		}
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -139,7 +139,7 @@
 	}
 	next, err := f.state.Apply(events.Events)
 	if err != nil {
-		f.controller.log.Error("configuration", "err", err)
+		f.controller.log.Error("configuration unusable", "err", err)
 		f.state = nil
 		return
 	}
@@ -227,7 +227,7 @@
 	if old.known && old.generation == next.generation {
 		next.since = old.since
 	} else if next.generation > 0 {
-		c.log.Info("configuration", "generation", next.generation, "cordons", len(next.cordons), "not_usable", next.unusable)
+		c.log.Info("configuration activated", "generation", next.generation, "cordons", len(next.cordons), "not_usable", next.unusable)
 	}
 	f.active.Store(next)
 	go c.owner.post(f.configureCore) // the owner's queue may be full, and the owner may wait for the lock
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -233,7 +233,7 @@
 	if !c.term.observe(leader, token) {
 		return
 	}
-	c.log.Info("step down", "for", leader, "token", token)
+	c.log.Info("stepping down", "leader", leader, "token", token)
 	c.owner.post(func() {
 		if c.owner.leadership != nil && c.owner.leadership.token < token {
 			c.owner.leadership.stepDown()
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -106,7 +106,7 @@
 		sleepContext(ctx, acquireRetry)
 		return
 	}
-	e.controller.log.Info("term taken", "node", e.controller.settings.Label, "token", term.token, "replaced", free.version)
+	e.controller.log.Info("term acquired", "node", e.controller.settings.Label, "token", term.token, "replaced", free.version)
 	e.serve(ctx, term)
 }
 
@@ -200,7 +200,7 @@
 			Conditions: []wire.Condition{{Key: termKey, Version: free.version}},
 			Mutations:  []wire.Mutation{{Delete: termKey}},
 		})
-		e.controller.log.Info("gives up a term that an ended process has left", "token", free.version, "err", err)
+		e.controller.log.Info("abandoned term released", "token", free.version, "err", err)
 	}
 	sleepContext(ctx, e.controller.peerTable.yieldDuration())
 	return e.isUnheld(ctx)
--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -101,12 +101,12 @@
 	began := time.Now()
 	stateCopy, err := f.read(ctx, store)
 	if err != nil {
-		log.Debug("standby can't read the state", "err", err)
+		log.Debug("standby read failed", "err", err)
 		sleepContext(ctx, copyRetryPause)
 		return
 	}
 	keys, bytes := stateCopy.Size()
-	log.Info("stands by", "revision", stateCopy.Revision(), "keys", keys, "bytes", bytes, "took_us", time.Since(began).Microseconds())
+	log.Info("standby ready", "revision", stateCopy.Revision(), "keys", keys, "bytes", bytes, "took_us", time.Since(began).Microseconds())
 	f.mu.Lock()
 	f.copy = stateCopy
 	f.mu.Unlock()
@@ -114,7 +114,7 @@
 
 // restart throws an invalid copy away.
 func (f *follower) restart(reason error) {
-	f.controller.log.Info("standby begins anew", "why", reason.Error())
+	f.controller.log.Info("standby resync", "reason", reason.Error())
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.copy = nil
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -100,7 +100,7 @@
 		if err == nil {
 			return true
 		}
-		c.log.Info("loading failed, trying again", "err", err)
+		c.log.Info("state recovery failed", "err", err)
 		sleepContext(l.ctx, loadRetry)
 	}
 }
@@ -230,7 +230,7 @@
 	// Without the key-value store nobody could take the term, and this controller
 	// still renews leases.
 	if blind && len(c.peers) > 0 && reachable {
-		c.log.Info("most workers are silent: giving the term up", "token", l.token)
+		c.log.Info("isolated: resigning the term", "token", l.token)
 		l.resign()
 		return
 	}
--- a/internal/controller/leaderwatch.go
+++ b/internal/controller/leaderwatch.go
@@ -164,7 +164,7 @@
 	}
 	w.detector.RecordReplacement(c.now())
 	w.replaced = processRef{leader.label, leader.process}
-	c.log.Info("the leader's process is taken for ended", "node", leader.label, "token", leader.token, "another_process", another)
+	c.log.Info("leader suspected dead", "node", leader.label, "token", leader.token, "another_process", another)
 	return true
 }
 
@@ -198,7 +198,7 @@
 	if processID != 0 && w.replaced == (processRef{label, processID}) {
 		w.replaced = processRef{}
 		w.detector.RecordFalsePositive()
-		w.controller.log.Warn("the leader's process had not ended", "node", label)
+		w.controller.log.Warn("leader suspicion was wrong", "node", label)
 	}
 }
 
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -45,10 +45,10 @@
 	} else {
 		recordPeerContacts(core, <-contacts)
 	}
-	c.log.Info("loaded", "warm", warm, "cold_because", coldBecause, "jobs", len(state.jobs), "entries", len(state.ledger), "revision", state.revision,
+	c.log.Info("state recovered", "warm", warm, "cold_reason", coldBecause, "jobs", len(state.jobs), "entries", len(state.ledger), "revision", state.revision,
 		"took_us", time.Since(began).Microseconds())
 	if c.log.Enabled(l.ctx, slog.LevelDebug) {
-		c.log.Debug("state", "digest", fmt.Sprintf("%x", sha256.Sum256([]byte(core.Dump()))))
+		c.log.Debug("state digest", "digest", fmt.Sprintf("%x", sha256.Sum256([]byte(core.Dump()))))
 	}
 	l.core, l.queue.revision = core, state.revision
 	return nil
--- a/internal/controller/recurring.go
+++ b/internal/controller/recurring.go
@@ -56,7 +56,7 @@
 	}
 	s.engine = recurring.New(c.calendar, states, versions)
 	known, gone := s.engine.Len()
-	c.log.Info("schedules", "known", known, "removed", gone)
+	c.log.Info("schedules loaded", "known", known, "removed", gone)
 	return nil
 }
 
@@ -174,7 +174,7 @@
 		return
 	}
 	at := time.UnixMicro(last.At).UTC().Format(time.RFC3339)
-	s.leadership.controller.log.Info("schedule", "schedule", decision.Name, "status", last.Status, "reason", last.Reason, "at", at)
+	s.leadership.controller.log.Info("schedule run decided", "schedule", decision.Name, "status", last.Status, "reason", last.Reason, "at", at)
 }
 
 // storeOne stores a decision, or finds out why it is not stored. Without an answer it may be applied
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -110,7 +110,7 @@
 	l, controller := f.leadership, f.leadership.controller
 	machines, err := controller.cloud.ListMachines(l.ctx)
 	if err != nil {
-		controller.log.Info("machine list", "err", err)
+		controller.log.Info("machine list failed", "err", err)
 		return
 	}
 	l.post(func() { l.core.MachinesListed(machines, controller.now()) })
@@ -163,7 +163,7 @@
 	if err == nil {
 		hosts, err = f.requestMachines(request)
 	}
-	controller.log.Info("hire", "type", request.Type, "zone", request.Zone, "spot", request.Spot, "count", request.Count, "got", len(hosts), "err", err)
+	controller.log.Info("scale out", "type", request.Type, "zone", request.Zone, "spot", request.Spot, "count", request.Count, "got", len(hosts), "err", err)
 	l.post(func() {
 		if err != nil {
 			l.core.ScaleOutFailed(request, errors.Is(err, cloud.ErrNoCapacity), controller.now())
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -26,7 +26,7 @@
 	c.log.Info("draining")
 	c.owner.post(func() {
 		if l := c.owner.leadership; l != nil {
-			c.log.Info("term handed over", "token", l.token)
+			c.log.Info("leadership transferred", "token", l.token)
 			l.stepDown() // the election ends the term's lease, and the key goes with it
 		}
 	})
@@ -36,7 +36,7 @@
 	if err := server.Shutdown(ctx); err != nil {
 		_ = server.Close()
 	}
-	c.log.Info("ended")
+	c.log.Info("stopped")
 }
 
 // TransferLeadership lets another controller become leader, if this one is: it gives its term up and
@@ -46,14 +46,14 @@
 		if l := c.owner.leadership; l != nil {
 			l.transfer()
 		} else {
-			c.log.Info("no term to hand over: this node is not the leader")
+			c.log.Info("leadership transfer refused: not the leader")
 		}
 	})
 }
 
 // transfer gives the term up on an operator's request. Owner goroutine.
 func (l *leadership) transfer() {
-	l.controller.log.Info("hands the term over", "token", l.token)
+	l.controller.log.Info("transferring leadership", "token", l.token)
 	l.resign()
 }
 
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -85,10 +85,10 @@
 		path, err = snap.SaveFile(dir, c.snapshotKey)
 	}
 	if err != nil {
-		c.log.Warn("no snapshot was written", "err", err)
+		c.log.Warn("snapshot failed", "err", err)
 		return
 	}
-	c.log.Info("snapshot", "file", path, "content", snap.String(), "took_us", time.Since(began).Microseconds())
+	c.log.Info("snapshot written", "file", path, "content", snap.String(), "took_us", time.Since(began).Microseconds())
 }
 
 // copyPrefixes is what a leader reads when it takes over, but for the ends of jobs.
@@ -122,10 +122,10 @@
 		})
 	}
 	if err != nil {
-		c.log.Info("no copy for a takeover was stored", "err", err)
+		c.log.Info("takeover copy failed", "err", err)
 		return
 	}
-	c.log.Info("copy for a takeover", "content", snap.String())
+	c.log.Info("takeover copy stored", "content", snap.String())
 }
 
 // loadCopy returns the stored state as of now from the newest copy and what has
@@ -142,10 +142,10 @@
 		err = snap.CatchUp(l.ctx, c.store, copyPrefixes, noKeys, l.token)
 	}
 	if err != nil {
-		c.log.Info("everything is read", "err", err)
+		c.log.Info("takeover copy unusable", "err", err)
 		return nil
 	}
-	c.log.Info("loaded a copy", "content", snap.String(), "took_us", time.Since(began).Microseconds())
+	c.log.Info("takeover copy loaded", "content", snap.String(), "took_us", time.Since(began).Microseconds())
 	return snap
 }
 
--- a/internal/controller/stall.go
+++ b/internal/controller/stall.go
@@ -25,7 +25,7 @@
 	alreadySuspended := l.stalledFor > 0
 	l.stalledFor += gap
 	c.term.stopLeading(l.token)
-	c.log.Info("stood still", "for_us", gap, "token", l.token)
+	c.log.Info("process stalled", "duration_us", gap, "token", l.token)
 	if !alreadySuspended {
 		go l.confirmTerm()
 	}
--- a/internal/controller/standbys.go
+++ b/internal/controller/standbys.go
@@ -24,7 +24,7 @@
 	selector := standby.Selector{Zone: c.settings.Zone, Count: *c.settings.Operator.Standbys, MaxSilence: standbySilence, Cooldown: standbyCooldown}
 	next, changed := c.peerTable.chooseStandbys(&selector, l.token, c.settings.Members, c.now())
 	if changed {
-		c.log.Info("who stands by", "standbys", fmt.Sprint(next.Standbys), "number", next.Number)
+		c.log.Info("standbys chosen", "standbys", fmt.Sprint(next.Standbys), "view", next.Number)
 	}
 }
 
--- a/internal/controller/statuslog.go
+++ b/internal/controller/statuslog.go
@@ -17,18 +17,18 @@
 func (l *leadership) logStatus() {
 	log := l.controller.log
 	jobs, tasks := l.core.Waiting()
-	log.Info("leader", "waiting_jobs", jobs, "waiting_tasks", tasks, "stats", fmt.Sprintf("%+v", l.core.Stats))
-	log.Info("work", l.controller.owner.stats.take()...)
+	log.Info("leader summary", "waiting_jobs", jobs, "waiting_tasks", tasks, "stats", fmt.Sprintf("%+v", l.core.Stats))
+	log.Info("owner loop statistics", l.controller.owner.stats.take()...)
 	classes, types := l.core.Usages()
 	for _, class := range classes {
-		log.Info("class", "name", class.Name, "tasks", class.Tasks)
+		log.Info("class summary", "name", class.Name, "tasks", class.Tasks)
 	}
 	for _, machines := range types {
-		log.Info("machines", "type", machines.Name, "up", machines.Up, "idle", machines.Idle, "kept", machines.Reserved, "tasks", machines.Tasks, "free_cpus", int(machines.Free))
+		log.Info("machine type summary", "type", machines.Name, "up", machines.Up, "idle", machines.Idle, "reserved", machines.Reserved, "tasks", machines.Tasks, "free_cpus", int(machines.Free))
 	}
 	l.logServiceShares()
 	for _, job := range l.core.WaitingJobs(waitingJobsLogged) {
-		log.Info("waits", "job", job.Job, "class", job.Class, "team", job.Team, "tasks", job.Tasks, "age_us", job.Age, "why", job.Reason, "room", job.Room, "held", job.Reserved)
+		log.Info("job waiting", "job", job.Job, "class", job.Class, "team", job.Team, "tasks", job.Tasks, "age_us", job.Age, "reason", job.Reason, "room", job.Room, "reserved", job.Reserved)
 	}
 }
 
@@ -36,9 +36,9 @@
 func (l *leadership) logServiceShares() {
 	log := l.controller.log
 	for _, s := range l.core.ServiceShares(maxServiceShares) {
-		log.Info("served", "of", shareKind(&s), "name", s.Name, "submitted", s.Submitted, "begun", s.Started, "done", s.Done, "late", s.Late, "cancelled", s.Cancelled, "waiting", s.Waiting, "share", s.Share)
+		log.Info("service share", "kind", shareKind(&s), "name", s.Name, "submitted", s.Submitted, "started", s.Started, "done", s.Done, "late", s.Late, "cancelled", s.Cancelled, "waiting", s.Waiting, "share", s.Share)
 		if s.Underserved {
-			log.Warn(shareKind(&s)+" starves", "name", s.Name, "share", s.Share, "for_us", s.UnderservedFor, "why", s.WaitReason)
+			log.Warn("underserved", "kind", shareKind(&s), "name", s.Name, "share", s.Share, "for_us", s.UnderservedFor, "reason", s.WaitReason)
 		}
 	}
 }
--- a/internal/sched/commit.go
+++ b/internal/sched/commit.go
@@ -73,7 +73,7 @@
 		return nil
 	}
 	if commit.next != nil {
-		c.log("launches in several transactions", "job", commit.Jobs[0], "tasks", len(b.placements), "machines", len(b.machines))
+		c.log("gang commit split", "job", commit.Jobs[0], "tasks", len(b.placements), "machines", len(b.machines))
 	}
 	c.ledger.begin(commit)
 	return commit
--- a/internal/sched/failures.go
+++ b/internal/sched/failures.go
@@ -55,9 +55,9 @@
 	c.now = now
 	for _, change := range c.detector.update(now, c.machines.all(), controllers) {
 		if change.Partitioned {
-			c.log("zone cut off", "zone", change.Zone, "silent_us", now-change.Since, "evidence", change.Evidence, "leases_renewed_inside", change.LeasesRenewed)
+			c.log("zone partitioned", "zone", change.Zone, "silent_us", now-change.Since, "evidence", change.Evidence, "leases_renewed_inside", change.LeasesRenewed)
 		} else {
-			c.log("zone back", "zone", change.Zone, "after_us", change.Duration, "evidence", change.Evidence)
+			c.log("zone partition healed", "zone", change.Zone, "duration_us", change.Duration, "evidence", change.Evidence)
 		}
 	}
 	for _, m := range c.machines.all() {
@@ -71,7 +71,7 @@
 func (c *Core) updateVerdict(m *machine) {
 	verdict := c.detector.diagnose(c.now, m).Verdict
 	if verdict != m.verdict && (verdict == failuredomain.Hung || verdict == failuredomain.Dead) {
-		c.log("silent machine", "host", m.host, "zone", m.zone, "verdict", verdict.String(), "silent_us", c.now-m.lastHeartbeat, "tasks", m.placementCount)
+		c.log("machine unresponsive", "host", m.host, "zone", m.zone, "verdict", verdict.String(), "silent_us", c.now-m.lastHeartbeat, "tasks", m.placementCount)
 	}
 	m.verdict = verdict
 }
--- a/internal/sched/lifecycle.go
+++ b/internal/sched/lifecycle.go
@@ -53,9 +53,9 @@
 	}
 	job.finalStatus = status
 	c.recordEnd(job, status == wire.JobDone)
-	c.log("job over", "job", id, "class", job.spec.Class, "team", job.spec.Team, "status", status, "tasks", job.spec.Tasks,
+	c.log("job ended", "job", id, "class", job.spec.Class, "team", job.spec.Team, "status", status, "tasks", job.spec.Tasks,
 		"age_us", now-job.arrival, "guaranteed", job.initiallyWithinGuarantee, "placed_us", max(0, job.fullyPlacedAt-job.arrival), "first_start_us", max(0, job.firstStartedAt-job.arrival), "late_us", max(0, now-job.dueAt),
-		"estimate_us", job.expectedRunTime(), "evictions", job.preemptions)
+		"estimate_us", job.expectedRunTime(), "preemptions", job.preemptions)
 	job.discardUnstored()
 	for _, placement := range job.sortedPlacements() {
 		c.stopPlacement(placement, false)
--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -145,7 +145,7 @@
 		}
 		queue += victim.queueTime(preempted)
 		preempted.preemptions++
-		c.log("evict", "for", job.id, "job", preempted.id, "tasks", len(victim.tasks), "host", machine.host,
+		c.log("preempt", "for", job.id, "job", preempted.id, "tasks", len(victim.tasks), "host", machine.host,
 			"checkpoint", victim.checkpoint, "progress_us", victim.progress, "overhead_us", victim.overhead)
 		for _, placement := range victim.tasks {
 			placement.preempted = true
--- a/internal/sched/quarantine.go
+++ b/internal/sched/quarantine.go
@@ -92,8 +92,8 @@
 	doesWellElsewhere := job.completedCount > 0
 	if doesWellElsewhere || len(job.failedHosts) > 1 {
 		if job.nextRound(c.now) {
-			c.log("job fails", "job", job.id, "class", job.spec.Class, "team", job.spec.Team, "machines", len(job.failedHosts), "times", job.failureRounds,
-				"suspect", job.isSuspect(), "pause_us", job.backoffUntil-c.now)
+			c.log("job failing", "job", job.id, "class", job.spec.Class, "team", job.spec.Team, "machines", len(job.failedHosts), "failures", job.failureRounds,
+				"suspect", job.isSuspect(), "backoff_us", job.backoffUntil-c.now)
 		}
 		if doesWellElsewhere {
 			job.backoffUntil = min(job.backoffUntil, c.now+machineFailurePause) // only some of its machines are bad
@@ -140,7 +140,7 @@
 	doWellElsewhere, all := m.countFailedJobs()
 	if doWellElsewhere >= quarantineAfterJobs || all >= quarantineAfterAnyJobs {
 		m.quarantined = true
-		c.log("machine fails tasks", "host", m.host, "type", m.machineType.Name, "jobs", len(m.failedJobs), "that_do_well_elsewhere", doWellElsewhere)
+		c.log("machine quarantined", "host", m.host, "type", m.machineType.Name, "jobs", len(m.failedJobs), "succeeding_elsewhere", doWellElsewhere)
 	}
 }
 
--- a/internal/sched/reconcile.go
+++ b/internal/sched/reconcile.go
@@ -89,7 +89,7 @@
 func (c *Core) expireLease(m *machine) {
 	m.leaseExpired, m.confirmed = true, false
 	c.Stats.LeasesExpired++
-	c.log("silent beyond its lease", "host", m.host, "zone", m.zone, "tasks", m.placementCount, "zone_cut", c.detector.IsPartitioned(m.zone))
+	c.log("lease expired", "host", m.host, "zone", m.zone, "tasks", m.placementCount, "zone_partitioned", c.detector.IsPartitioned(m.zone))
 }
 
 // stopBrokenGangs stops what is left of gang attempts that can't complete any more.
--- a/internal/sched/scalein.go
+++ b/internal/sched/scalein.go
@@ -64,7 +64,7 @@
 		return
 	}
 	m.scalingIn = true
-	r.core.log("return machine", "host", m.host, "type", m.machineType.Name, "why", why, "tasks", m.placementCount)
+	r.core.log("scale in", "host", m.host, "type", m.machineType.Name, "reason", why, "tasks", m.placementCount)
 	r.returned = append(r.returned, m.host)
 }
 
@@ -99,7 +99,7 @@
 	case c.isUnlisted(machine, silence):
 		return "no longer listed"
 	case machine.leaseExpired:
-		return c.replaceReason(machine, "silent beyond its lease: ", costs)
+		return c.replaceReason(machine, "lease expired: ", costs)
 	case machine.registered && !machine.confirmed && silence > c.lease+unconfirmedSilence:
 		// Never confirmed this term: time proves nothing about its lease.
 		return c.replaceReason(machine, "silent since the term began: ", costs)
