--- a/internal/sched/demand.go
+++ b/internal/sched/demand.go
@@ -27,12 +27,12 @@
 // expectedDemand is the room to be kept free for tasks that arrive while a machine
 // would boot, for classes whose start the objectives watch too closely for a boot, by their names.
 func (c *Core) expectedDemand() (expected []demand) {
-	guaranteeObjective := c.guaranteeObjective()
+	guaranteeObjective := strictestGuarantee(c.settings.Deployment.Objectives)
 	for _, class := range c.classes.sorted() {
 		if class.sampleJob == nil || class.sampleJob.spec.Shape == wire.Service {
 			continue
 		}
-		boot := c.shortestBootS(class.sampleJob)
+		boot := c.machineTypes.shortestBootS(class.sampleJob)
 		if class.strictestObjective(guaranteeObjective) > config.Micro(rentInTime*boot)+rentDelayS*second {
 			continue // a machine rented when it is needed is up in time
 		}
@@ -43,9 +43,9 @@
 	return expected
 }
 
-// guaranteeObjective is the strictest objective for the start of guaranteed work, 0 if there is none.
-func (c *Core) guaranteeObjective() (objective Micros) {
-	for _, o := range c.settings.Deployment.Objectives {
+// strictestGuarantee is the strictest objective for the start of guaranteed work, 0 if there is none.
+func strictestGuarantee(objectives []config.Objective) (objective Micros) {
+	for _, o := range objectives {
 		if within := config.Micro(o.WithinS); o.Kind == "guarantee" && (objective == 0 || within < objective) {
 			objective = within
 		}
@@ -66,8 +66,8 @@
 }
 
 // shortestBootS is the shortest boot time in seconds of the types that fit the job, 0 if none does.
-func (c *Core) shortestBootS(j *job) (boot float64) {
-	for _, t := range c.machineTypes {
+func (cat catalog) shortestBootS(j *job) (boot float64) {
+	for _, t := range cat {
 		if fitsType(&j.spec, t) && (boot == 0 || t.BootS < boot) {
 			boot = t.BootS
 		}
--- a/internal/sched/fairness.go
+++ b/internal/sched/fairness.go
@@ -70,7 +70,7 @@
 	for _, cl := range classes {
 		shares = append(shares, &cl.service)
 	}
-	fu.group(shares, func(a, b int) bool { return fu.core.compete(classes[a], classes[b]) })
+	fu.group(shares, func(a, b int) bool { return fu.core.machineTypes.compete(classes[a], classes[b]) })
 }
 
 // teams updates the teams, which are all rivals.
@@ -117,11 +117,11 @@
 }
 
 // compete says whether two classes may use machines of one type.
-func (c *Core) compete(a, b *class) bool {
+func (cat catalog) compete(a, b *class) bool {
 	if a.sampleJob == nil || b.sampleJob == nil {
 		return false
 	}
-	for _, t := range c.machineTypes {
+	for _, t := range cat {
 		if fitsType(&a.sampleJob.spec, t) && fitsType(&b.sampleJob.spec, t) {
 			return true
 		}
--- a/internal/sched/scaleout.go
+++ b/internal/sched/scaleout.go
@@ -191,7 +191,7 @@
 		r.smallest.add(d.job)
 	}
 	r.perRequest = machinesPerRequest
-	if smallest := r.core.smallestType(); smallest > 0 {
+	if smallest := r.core.machineTypes.smallestType(r.core.classes.sorted()); smallest > 0 {
 		r.perRequest = min(maxMachinesPerRequest, max(machinesPerRequest, int(cpus/smallest/requestsForAll)))
 	}
 	r.dropFull()
@@ -206,12 +206,12 @@
 func (r *scaleOutRound) dropFull() { r.machines = slices.DeleteFunc(r.machines, r.isFull) }
 
 // smallestType is the CPUs of the smallest machine type that some class can use, 0 if there is none.
-func (c *Core) smallestType() (cpus float64) {
-	for _, cl := range c.classes.sorted() {
+func (cat catalog) smallestType(classes []*class) (cpus float64) {
+	for _, cl := range classes {
 		if cl.sampleJob == nil {
 			continue
 		}
-		for _, t := range c.machineTypes {
+		for _, t := range cat {
 			if fitsType(&cl.sampleJob.spec, t) && (cpus == 0 || t.CPUs < cpus) {
 				cpus = t.CPUs
 			}
