--- a/internal/sched/bootestimate.go
+++ b/internal/sched/bootestimate.go
@@ -17,6 +17,8 @@
 // come up. What was seen is forgotten within minutes, as the trouble may be.
 
 const (
+	negligibleRisk       = 1e-9        // rest of a sum of weights that is rounding alone
+	forgottenWeight      = 0.01        // below which an outcome isn't counted
 	bootDecayTime        = 60 * second // in which an outcome loses two thirds of its weight
 	maxBootOutcomes      = 256         // outcomes of a type that are kept
 	bootHorizon          = 4.0         // boot times over which waiting and asking anew are compared
@@ -32,19 +34,30 @@
 	at  Micros
 }
 
-// usualBoots is what the platform says of boots: most take 0.6 to 1.5 boot times, some
-// several times as long, a few never come up.
-var usualBoots = func() (out []bootOutcome) {
-	for i := range 44 {
-		out = append(out, bootOutcome{age: 0.6 + 0.9*(float64(i)+0.5)/44, up: true})
+// What the platform says of boots: most take 0.6 to 1.5 boot times, some several times as long, a few
+// never come up. More than usually never do are assumed: of those that are very late most don't.
+const (
+	earliestBoot = 0.6 // boot times that one takes at least
+	usualBooted  = 44  // of 50 machines, those that come up at most after usualBootLimit
+	neverBooted  = 3   // and those that never do
+)
+
+// slowBoots is when the other machines come up, in boot times.
+var slowBoots = [...]float64{2, 3, 4.5}
+
+// usualBoots is outcomes as the platform says of them.
+var usualBoots = func() (outcomes []bootOutcome) {
+	for i := range usualBooted {
+		age := earliestBoot + (usualBootLimit-earliestBoot)*(float64(i)+0.5)/usualBooted
+		outcomes = append(outcomes, bootOutcome{age: age, up: true})
 	}
-	for _, age := range []float64{2, 3, 4.5} {
-		out = append(out, bootOutcome{age: age, up: true})
+	for _, age := range slowBoots {
+		outcomes = append(outcomes, bootOutcome{age: age, up: true})
 	}
-	for range 3 { // more than usually never come up: of those that are very late most don't
-		out = append(out, bootOutcome{age: math.Inf(1)})
+	for range neverBooted {
+		outcomes = append(outcomes, bootOutcome{age: math.Inf(1)})
 	}
-	return out
+	return outcomes
 }()
 
 // recordBootOutcome takes the outcome of a machine whose boot was watched from its request on.
@@ -73,16 +86,19 @@
 }
 
 // survivalCurve is the share of machines that still boot at an age: a falling staircase.
-type survivalCurve []struct{ age, left float64 }
+type survivalCurve []survivalStep
+
+// survivalStep is the share that is left from an age on, in boot times, until the next step.
+type survivalStep struct{ age, left float64 }
 
 // at is the share that still boots at an age.
 func (s survivalCurve) at(age float64) float64 {
 	left := 1.0
-	for _, x := range s {
-		if x.age > age {
+	for _, step := range s {
+		if step.age > age {
 			break
 		}
-		left = x.left
+		left = step.left
 	}
 	return left
 }
@@ -118,50 +134,57 @@
 		if machine.booting && !machine.registered && !machine.failed && machine.machineType.BootS > 0 {
 			age := machine.bootAge(c.now)
 			ages[machine.machineType.Name] = append(ages[machine.machineType.Name], age)
-			late[machine.machineType.Name] = late[machine.machineType.Name] || age > usualBootLimit
+			if age > usualBootLimit {
+				late[machine.machineType.Name] = true
+			}
 		}
 	}
-	out := map[string]survivalCurve{}
+	curves := map[string]survivalCurve{}
 	for name := range late {
-		if late[name] {
-			out[name] = estimateBootCurve(c.boots[name], ages[name], c.now)
-		}
+		curves[name] = estimateBootCurve(c.boots[name], ages[name], c.now)
 	}
-	return out
+	return curves
 }
 
 // estimateBootCurve is the estimate from outcomes, the ages of machines that still boot, and
 // what is usual.
 func estimateBootCurve(outcomes []bootOutcome, booting []float64, now Micros) survivalCurve {
-	type seen struct {
-		age, weight float64
-		up          bool
-	}
-	all := make([]seen, 0, len(usualBoots)+len(outcomes)+len(booting))
+	all := make([]bootObservation, 0, len(usualBoots)+len(outcomes)+len(booting))
 	for _, outcome := range usualBoots {
-		all = append(all, seen{outcome.age, bootPriorWeight / float64(len(usualBoots)), outcome.up})
+		all = append(all, bootObservation{outcome.age, bootPriorWeight / float64(len(usualBoots)), outcome.up})
 	}
 	for _, outcome := range outcomes {
-		if weight := math.Exp(-float64(now-outcome.at) / float64(bootDecayTime)); weight > 0.01 {
-			all = append(all, seen{outcome.age, weight, outcome.up})
+		if weight := math.Exp(-float64(now-outcome.at) / float64(bootDecayTime)); weight > forgottenWeight {
+			all = append(all, bootObservation{outcome.age, weight, outcome.up})
 		}
 	}
 	for _, age := range booting {
-		all = append(all, seen{age, 1, false})
+		all = append(all, bootObservation{age, 1, false})
 	}
-	slices.SortFunc(all, func(a, b seen) int { return cmp.Compare(a.age, b.age) })
-	risk := 0.0
-	for _, outcome := range all {
-		risk += outcome.weight
+	slices.SortFunc(all, func(a, b bootObservation) int { return cmp.Compare(a.age, b.age) })
+	return kaplanMeier(all)
+}
+
+// bootObservation is a machine that came up at an age, or that at this age still boots or was given up.
+type bootObservation struct {
+	age, weight float64
+	up          bool
+}
+
+// kaplanMeier is the survival estimate from observations in the order of their ages.
+func kaplanMeier(observations []bootObservation) survivalCurve {
+	risk := 0.0 // weight of the machines that still boot
+	for _, observation := range observations {
+		risk += observation.weight
 	}
 	var s survivalCurve
 	left := 1.0
-	for _, outcome := range all {
-		if outcome.up && risk > 1e-9 {
-			left *= max(0, 1-outcome.weight/risk)
-			s = append(s, struct{ age, left float64 }{outcome.age, left})
+	for _, observation := range observations {
+		if observation.up && risk > negligibleRisk {
+			left *= max(0, 1-observation.weight/risk)
+			s = append(s, survivalStep{observation.age, left})
 		}
-		risk -= outcome.weight
+		risk -= observation.weight
 	}
 	return s
 }
--- a/internal/sched/failures.go
+++ b/internal/sched/failures.go
@@ -93,7 +93,7 @@
 		return m.leaseExpired
 	}
 	f := c.detector.diagnose(c.now, m)
-	return f.ExpectedSilence > config.Micro(0.8*m.machineType.BootS) || f.Verdict == failuredomain.Dead
+	return f.ExpectedSilence > config.Micro(usualBoot*m.machineType.BootS) || f.Verdict == failuredomain.Dead
 }
 
 // releaseUndispatched releases launches of a silent machine that were stored but never went with an
--- a/internal/sched/quarantine.go
+++ b/internal/sched/quarantine.go
@@ -26,6 +26,7 @@
 	quarantineAfterJobs    = 2           // jobs that do well elsewhere and fail on a machine
 	quarantineAfterAnyJobs = 4           // jobs of any kind that fail on a machine on which nothing completes
 	suspectScaleOutDelay   = 30 * second // for which a suspect's try may wait for room before it is rented
+	recoveryFactor         = 2           // see clearSuspicion
 	recoveryMargin         = 5 * second  // see clearSuspicion
 )
 
@@ -148,7 +149,7 @@
 // the time after which others failed.
 func (c *Core) clearSuspicion(j *job) {
 	for p := range j.placements {
-		if p.runningSince > 0 && !p.recovered && !p.stopping && c.now-p.runningSince > 2*j.longestFailedRun+recoveryMargin {
+		if p.runningSince > 0 && !p.recovered && !p.stopping && c.now-p.runningSince > recoveryFactor*j.longestFailedRun+recoveryMargin {
 			j.reset()
 			return
 		}
--- a/internal/sched/replacement.go
+++ b/internal/sched/replacement.go
@@ -233,7 +233,7 @@
 	if estimate == 0 {
 		return math.MaxInt32 * float64(second), 0, 1 // a replica runs until it is stopped
 	}
-	ran := estimate / 2 // at the beginning of the silence; it ran before this term
+	ran := estimate / 2 // at the beginning of the silence, if it ran before this term: nobody knows
 	switch {
 	case placement.runningSince > 0:
 		ran = float64(since - placement.runningSince)
