--- a/cmd/dalefront/load.go
+++ b/cmd/dalefront/load.go
@@ -53,7 +53,7 @@
 			return err
 		}
 	}
-	return reportViolations(cmd.OutOrStdout(), report.Broken())
+	return reportViolations(cmd.OutOrStdout(), report.Violations())
 }
 
 // playLoad runs an experiment in simulated time, or against a live site, and shows its progress.
--- a/cmd/dalefront/site_test.go
+++ b/cmd/dalefront/site_test.go
@@ -331,8 +331,8 @@
 	if x.Unfinished != 0 || x.Submit.Accepted != 8 || len(x.Classes["c"].Responses) != 8 || len(x.Samples) == 0 {
 		t.Errorf("%d unfinished, submissions %+v", x.Unfinished, x.Submit)
 	}
-	if err := reportViolations(io.Discard, x.Broken); err != nil {
-		t.Error(err, x.Broken)
+	if err := reportViolations(io.Discard, x.Violations); err != nil {
+		t.Error(err, x.Violations)
 	}
 	if _, err := s.Fault("kill", "", time.Second); err == nil {
 		t.Error("a controller in this process was killed")
--- a/internal/experiment/bench_test.go
+++ b/internal/experiment/bench_test.go
@@ -57,18 +57,18 @@
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		m := &meter{}
-		r, err := e.run(e.Variants[0], 1, m)
+		m := &coreMeter{}
+		r, err := e.runMetered(e.Variants[0], 1, m)
 		if err != nil {
 			b.Fatal(err)
 		}
-		spent := (m.spent[reporting] + m.spent[passing] + m.spent[renting]).Seconds()
-		b.ReportMetric(float64(m.spent[renting].Microseconds())/float64(m.calls[renting]), "us/renting")
-		b.ReportMetric(float64(m.spent[reporting].Microseconds())/float64(m.calls[reporting]), "us/report")
-		b.ReportMetric(float64(m.spent[passing].Microseconds())/float64(m.calls[passing]), "us/pass")
-		b.ReportMetric(float64(m.most[passing].Microseconds()), "us/longest-pass")
+		spent := (m.total[phaseHeartbeat] + m.total[phaseSchedule] + m.total[phaseScaling]).Seconds()
+		b.ReportMetric(float64(m.total[phaseScaling].Microseconds())/float64(m.calls[phaseScaling]), "us/renting")
+		b.ReportMetric(float64(m.total[phaseHeartbeat].Microseconds())/float64(m.calls[phaseHeartbeat]), "us/report")
+		b.ReportMetric(float64(m.total[phaseSchedule].Microseconds())/float64(m.calls[phaseSchedule]), "us/pass")
+		b.ReportMetric(float64(m.longest[phaseSchedule].Microseconds()), "us/longest-pass")
 		b.ReportMetric(float64(r.Launches)/e.DurationS, "launches/s")
-		b.ReportMetric(float64(m.calls[reporting])/e.DurationS, "reports/s")
+		b.ReportMetric(float64(m.calls[phaseHeartbeat])/e.DurationS, "reports/s")
 		b.ReportMetric(100*spent/e.DurationS, "%core")
 	}
 }
@@ -172,12 +172,12 @@
 		t.Fatal(err)
 	}
 	e.DurationS, e.Faults[0].AtS = 90, 60
-	r, err := e.run(e.Variants[0], 1, nil)
+	r, err := e.runMetered(e.Variants[0], 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Broken) > 0 {
-		t.Fatal(r.Broken[0])
+	if len(r.Violations) > 0 {
+		t.Fatal(r.Violations[0])
 	}
 	if r.Launches < 10_000 {
 		t.Errorf("%d launches", r.Launches)
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -55,18 +55,18 @@
 	return r, nil
 }
 
-// Broken lists the rules that were broken, with variant and seed.
-func (r *Report) Broken() (out []string) {
+// Violations lists the rules that were broken, with variant and seed.
+func (r *Report) Violations() (out []string) {
 	for _, x := range r.Results {
-		for _, b := range x.Broken {
+		for _, b := range x.Violations {
 			out = append(out, fmt.Sprintf("%s, seed %d: %s", x.Variant, x.Seed, b))
 		}
 	}
 	return out
 }
 
-// variants lists the variants in their order.
-func (r *Report) variants() (out []string) {
+// variantNames lists the variants in their order.
+func (r *Report) variantNames() (out []string) {
 	for _, x := range r.Results {
 		if !slices.Contains(out, x.Variant) {
 			out = append(out, x.Variant)
@@ -75,7 +75,7 @@
 	return out
 }
 
-func (r *Report) classes() []string {
+func (r *Report) classNames() []string {
 	return slices.Sorted(maps.Keys(r.Results[0].Classes))
 }
 
@@ -85,21 +85,21 @@
 
 func (m Mean) String() string {
 	if m.Half == 0 {
-		return digits(m.Value)
+		return formatDigits(m.Value)
 	}
-	return digits(m.Value) + " ± " + digits(m.Half)
+	return formatDigits(m.Value) + " ± " + formatDigits(m.Half)
 }
 
-// digits writes three digits, or all that are before the point.
-func digits(v float64) string {
+// formatDigits writes three digits, or all that are before the point.
+func formatDigits(v float64) string {
 	if math.Abs(v) >= 100 {
 		return fmt.Sprintf("%.0f", v)
 	}
 	return fmt.Sprintf("%.3g", v)
 }
 
-// students are the 97.5 per cent points of Student's t by degrees of freedom.
-var students = []float64{0, 12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23}
+// studentT are the 97.5 per cent points of Student's t by degrees of freedom.
+var studentT = []float64{0, 12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23}
 
 func mean(values []float64) Mean {
 	n := float64(len(values))
@@ -118,14 +118,14 @@
 		return Mean{Value: m}
 	}
 	t := 1.98
-	if len(values)-1 < len(students) {
-		t = students[len(values)-1]
+	if len(values)-1 < len(studentT) {
+		t = studentT[len(values)-1]
 	}
 	return Mean{m, t * math.Sqrt(squares/(n-1)/n)}
 }
 
-// over returns the mean of something over the runs of a variant.
-func (r *Report) over(variant string, f func(*Result) float64) Mean {
+// meanOver returns the mean of something over the runs of a variant.
+func (r *Report) meanOver(variant string, f func(*Result) float64) Mean {
 	var values []float64
 	for _, x := range r.Results {
 		if x.Variant == variant {
@@ -154,13 +154,13 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	row := func(name string, f func(*Result) float64) {
 		fmt.Fprint(w, name)
-		for _, v := range r.variants() {
-			fmt.Fprintf(w, "\t%s", r.over(v, f))
+		for _, v := range r.variantNames() {
+			fmt.Fprintf(w, "\t%s", r.meanOver(v, f))
 		}
 		fmt.Fprintln(w)
 	}
 	fmt.Fprint(w, "VARIANT")
-	for _, v := range r.variants() {
+	for _, v := range r.variantNames() {
 		fmt.Fprintf(w, "\t%s", v)
 	}
 	fmt.Fprintln(w)
@@ -170,7 +170,7 @@
 	row("evictions", func(x *Result) float64 { return float64(x.Evictions) })
 	row("of these checkpointed", func(x *Result) float64 { return float64(x.Checkpoints) })
 	row("price", func(x *Result) float64 { return x.Price })
-	for _, c := range r.classes() {
+	for _, c := range r.classNames() {
 		row(c+": wait p50, s", func(x *Result) float64 { return quantile(x.Classes[c].Waits, 0.5) })
 		row(c+": wait p99, s", func(x *Result) float64 { return quantile(x.Classes[c].Waits, 0.99) })
 		row(c+": response mean, s", func(x *Result) float64 { return average(x.Classes[c].Responses) })
@@ -178,7 +178,7 @@
 	if r.Results[0].Submit != nil {
 		row("submissions accepted", func(x *Result) float64 { return float64(x.Submit.Accepted) })
 		row("a second", func(x *Result) float64 { return x.Submit.PerSecond })
-		row("tried again", func(x *Result) float64 { return float64(x.Submit.Again) })
+		row("tried again", func(x *Result) float64 { return float64(x.Submit.Retries) })
 		row("given up", func(x *Result) float64 { return float64(x.Submit.GivenUp) })
 		row("submission p50, ms", func(x *Result) float64 { return x.Submit.P50 })
 		row("submission p99, ms", func(x *Result) float64 { return x.Submit.P99 })
--- a/internal/experiment/live.go
+++ b/internal/experiment/live.go
@@ -23,7 +23,7 @@
 // first attempt to the answer that the job is accepted.
 type Submissions struct {
 	Accepted  int     `json:"accepted"`
-	Again     int     `json:"again"`    // attempts that had to be repeated
+	Retries   int     `json:"again"`    // attempts that had to be repeated
 	GivenUp   int     `json:"given_up"` // after a minute, or refused for good
 	PerSecond float64 `json:"per_second"`
 	P50       float64 `json:"p50_ms"`
@@ -33,12 +33,12 @@
 }
 
 const (
-	giveUp     = time.Minute     // after which users submit no more
-	answerTime = 5 * time.Second // and for which they wait for an answer
-	pollers    = 16
-	idleConns  = 256      // connections to the balancer that are kept unused
-	maxAnswer  = 16 << 20 // bytes of an answer, of which the sites' metrics are the longest
-	mostOpen   = 2000     // submissions on their way: more than that stand for an outage
+	submissionTimeout = time.Minute     // after which users submit no more
+	requestTimeout    = 5 * time.Second // and for which they wait for an answer
+	pollers           = 16
+	maxIdleConns      = 256      // connections to the balancer that are kept unused
+	maxResponseBytes  = 16 << 20 // bytes of an answer, of which the sites' metrics are the longest
+	maxInFlight       = 2000     // submissions on their way: more than that stand for an outage
 )
 
 // live is an experiment at a site that runs.
@@ -62,7 +62,7 @@
 // other run gives. It ends when all jobs have, after the time to drain, or with the
 // context.
 func (e *Experiment) Live(ctx context.Context, server string, done func(finished, all int)) (*Report, error) {
-	l := &live{e: e, server: server, client: &http.Client{Timeout: answerTime, Transport: &http.Transport{MaxIdleConnsPerHost: idleConns}},
+	l := &live{e: e, server: server, client: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}},
 		latency: hdrhistogram.New(1, 100_000_000, 3), open: map[string]*arrival{}, started: map[string]bool{},
 		res: &Result{Variant: "live", Seed: e.Seed, Classes: map[string]*ClassResult{}, Submit: &Submissions{}}}
 	defer l.client.CloseIdleConnections()
@@ -94,9 +94,9 @@
 	}
 	background.Go(func() { l.feed(ctx, jobs) })
 	var submissions sync.WaitGroup
-	turns := make(chan struct{}, mostOpen)
+	turns := make(chan struct{}, maxInFlight)
 	for _, a := range all {
-		if !pause(ctx, time.Until(l.begun.Add(time.Duration(a.at-begin)*time.Microsecond))) {
+		if !pause(ctx, time.Until(l.begun.Add(time.Duration(a.at-startTime)*time.Microsecond))) {
 			break
 		}
 		turns <- struct{}{}
@@ -122,7 +122,7 @@
 
 // report sums up.
 func (l *live) report(all int) (*Report, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), answerTime)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	after, err := l.summary(ctx)
 	if err != nil {
@@ -135,7 +135,7 @@
 		r.WastedShare = max(0, 1-(is.Useful-was.Useful)/ran)
 	}
 	r.Evictions, r.Checkpoints = stops(is)-stops(was), is.Saved-was.Saved
-	r.Broken = after.Broken
+	r.Violations = after.Broken
 	s.PerSecond = float64(s.Accepted) / max(l.last.Sub(l.begun).Seconds(), 0.001)
 	ms := func(q float64) float64 { return float64(l.latency.ValueAtQuantile(q)) / 1e3 }
 	s.P50, s.P99, s.P999, s.Max = ms(50), ms(99), ms(99.9), float64(l.latency.Max())/1e3
@@ -156,11 +156,11 @@
 			l.accepted(a, first, time.Now())
 			return
 		}
-		if err == nil && code/100 == 4 && code != http.StatusTooManyRequests || time.Since(first) > giveUp || !pause(ctx, wait) {
+		if err == nil && code/100 == 4 && code != http.StatusTooManyRequests || time.Since(first) > submissionTimeout || !pause(ctx, wait) {
 			l.count(func(s *Submissions) { s.GivenUp++ })
 			return
 		}
-		l.count(func(s *Submissions) { s.Again++ })
+		l.count(func(s *Submissions) { s.Retries++ })
 	}
 }
 
@@ -207,7 +207,7 @@
 	if err != nil || code != http.StatusOK {
 		return
 	}
-	since := time.Since(l.begun).Seconds() - float64(a.at-begin)/1e6
+	since := time.Since(l.begun).Seconds() - float64(a.at-startTime)/1e6
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.res.Classes[a.job.Class]
@@ -240,7 +240,7 @@
 
 // sample looks at the site as often as a page shows it.
 func (l *live) sample(ctx context.Context) {
-	for pause(ctx, max(time.Second/2, seconds(l.e.DurationS/samples))) {
+	for pause(ctx, max(time.Second/2, seconds(l.e.DurationS/samplesPerRun))) {
 		if s, err := l.summary(ctx); err == nil {
 			l.mu.Lock()
 			waiting := 0
@@ -275,7 +275,7 @@
 		return 0, time.Second, err
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err == nil && out != nil && resp.StatusCode/100 == 2 {
 		err = wire.Unmarshal(b, out)
 	}
--- a/internal/experiment/load_test.go
+++ b/internal/experiment/load_test.go
@@ -62,7 +62,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if b := r.Broken(); len(b) > 0 {
+		if b := r.Violations(); len(b) > 0 {
 			t.Fatal(b)
 		}
 		for _, x := range r.Results {
--- a/internal/experiment/page.go
+++ b/internal/experiment/page.go
@@ -16,7 +16,7 @@
 )
 
 // The page stands alone: the plots are in it, and it asks nobody for anything.
-var page = template.Must(template.New("report").Parse(`<!DOCTYPE html>
+var reportTemplate = template.Must(template.New("report").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>dalefront load</title>
 <style>body{font-family:sans-serif;margin:2em auto;max-width:60em}pre{overflow-x:auto}svg{width:100%;height:auto}</style></head>
 <body><h1>dalefront load</h1>
@@ -26,8 +26,8 @@
 {{end}}</body></html>
 `))
 
-// colours of the variants, which stay apart for most kinds of colour blindness.
-var colours = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255},
+// variantColours of the variants, which stay apart for most kinds of colour blindness.
+var variantColours = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255},
 	color.RGBA{204, 121, 167, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{230, 159, 0, 255}}
 
 // HTML writes a page with the table and plots: the waits of each class as a
@@ -40,11 +40,11 @@
 	}
 	var plots []template.HTML
 	add := func(title, x, y string, marks []Fault, of func(variant string) plotter.XYs) error {
-		svg, err := draw(title, x, y, marks, r.variants(), of)
+		svg, err := renderPlot(title, x, y, marks, r.variantNames(), of)
 		plots = append(plots, template.HTML(svg)) // drawn here, from names that the plot escapes
 		return err
 	}
-	for _, c := range r.classes() {
+	for _, c := range r.classNames() {
 		if err := add("waits of class "+c+", all runs", "seconds", "share of jobs", nil, func(v string) plotter.XYs {
 			var waits []float64
 			for _, x := range r.Results {
@@ -90,11 +90,11 @@
 	if r.Results[0].Submit != nil {
 		from = "a live site with played machines, in real time"
 	}
-	return page.Execute(out, map[string]any{"From": from, "Table": table.String(), "Plots": plots})
+	return reportTemplate.Execute(out, map[string]any{"From": from, "Table": table.String(), "Plots": plots})
 }
 
-// draw returns a plot as SVG.
-func draw(title, x, y string, faults []Fault, variants []string, of func(string) plotter.XYs) (string, error) {
+// renderPlot returns a plot as SVG.
+func renderPlot(title, x, y string, faults []Fault, variants []string, of func(string) plotter.XYs) (string, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
 	p.Y.Min, p.Legend.Top = 0, false
@@ -109,7 +109,7 @@
 		if err != nil {
 			return "", err
 		}
-		line.Color, line.Width = colours[i%len(colours)], vg.Points(1.3)
+		line.Color, line.Width = variantColours[i%len(variantColours)], vg.Points(1.3)
 		line.StepStyle = plotter.PostStep
 		p.Add(line)
 		p.Legend.Add(v, line)
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -26,7 +26,7 @@
 	Launches    int                     `json:"launches,omitempty"`
 	Price       float64                 `json:"price"`
 	Samples     []Sample                `json:"samples"`
-	Broken      []string                `json:"broken,omitempty"`
+	Violations  []string                `json:"broken,omitempty"`
 	Submit      *Submissions            `json:"submissions,omitempty"` // at a live site
 }
 
@@ -47,10 +47,10 @@
 }
 
 const (
-	step     = config.Second / 5
-	begin    = 1000 * config.Second
-	samples  = 200 // in the time that jobs arrive
-	listTime = 2 * config.Second
+	tick          = config.Second / 5
+	startTime     = 1000 * config.Second
+	samplesPerRun = 200 // in the time that jobs arrive
+	listInterval  = 2 * config.Second
 )
 
 type arrival struct {
@@ -84,7 +84,7 @@
 				due := c.DueFactor * c.RunS[0]
 				j.DeadlineS = &due
 			}
-			out = append(out, &arrival{at: begin + config.Micro(t), class: i, job: j})
+			out = append(out, &arrival{at: startTime + config.Micro(t), class: i, job: j})
 		}
 	}
 	slices.SortStableFunc(out, func(a, b *arrival) int { return int(a.at - b.at) })
@@ -94,31 +94,31 @@
 	return out
 }
 
-// run is a variant being played.
-type run struct {
+// simulation is a variant being played.
+type simulation struct {
 	fleet *emulator.Fleet
 	core  *sched.Core
 	jobs  map[string]*arrival
 	now   config.Micros
 	hires int
-	meter *meter
+	meter *coreMeter
 }
 
-// meter measures what the scheduler's core costs; nil measures nothing.
-type meter struct {
-	calls [3]int
-	spent [3]time.Duration
-	most  [3]time.Duration // at one go
+// coreMeter measures what the scheduler's core costs; nil measures nothing.
+type coreMeter struct {
+	calls   [3]int
+	total   [3]time.Duration
+	longest [3]time.Duration // at one go
 }
 
 // What is measured.
 const (
-	reporting = iota // taking a report
-	passing          // placing what waits, and taking its commit
-	renting          // which machines to give back and to rent, once a second
+	phaseHeartbeat = iota // taking a report
+	phaseSchedule         // placing what waits, and taking its commit
+	phaseScaling          // which machines to give back and to rent, once a second
 )
 
-func (m *meter) measure(what int, f func()) {
+func (m *coreMeter) measure(what int, f func()) {
 	if m == nil {
 		f()
 		return
@@ -126,25 +126,15 @@
 	from := time.Now()
 	f()
 	took := time.Since(from)
-	m.spent[what] += took
-	m.most[what] = max(m.most[what], took)
+	m.total[what] += took
+	m.longest[what] = max(m.longest[what], took)
 	m.calls[what]++
 }
 
-// settings are those that a core has in a variant.
-func (e *Experiment) settings(v Variant) (*config.Settings, error) {
-	set, err := e.Site.Settings()
-	if err != nil {
-		return nil, err
-	}
-	set.Operator.PreemptionMode, set.Operator.PlacementOrder = v.Eviction, v.Order
-	return set, set.OverrideOperator(v.Settings)
-}
-
 // Run plays one variant with one seed.
-func (e *Experiment) Run(v Variant, seed uint64) (*Result, error) { return e.run(v, seed, nil) }
+func (e *Experiment) Run(v Variant, seed uint64) (*Result, error) { return e.runMetered(v, seed, nil) }
 
-func (e *Experiment) run(v Variant, seed uint64, m *meter) (*Result, error) {
+func (e *Experiment) runMetered(v Variant, seed uint64, m *coreMeter) (*Result, error) {
 	set, err := e.settings(v)
 	if err != nil {
 		return nil, err
@@ -154,7 +144,7 @@
 	if v.Machines > 0 {
 		machines = v.Machines
 	}
-	x := &run{now: begin, jobs: map[string]*arrival{}, meter: m}
+	x := &simulation{now: startTime, jobs: map[string]*arrival{}, meter: m}
 	x.fleet = emulator.NewFleet(seed, set, cat, machines, emulator.SimulatedAddr)
 	x.core = sched.New(set, 1, x.now, cat, func(string, ...any) {})
 	res := &Result{Variant: v.Name, Seed: seed, Classes: map[string]*ClassResult{}}
@@ -165,8 +155,8 @@
 	all, faults := todo, slices.Clone(e.Faults)
 	slices.SortFunc(faults, func(a, b Fault) int { return int(a.AtS - b.AtS) })
 	left := len(todo)
-	every := max(step, config.Micro(e.DurationS/samples))
-	for end := begin + config.Micro(e.DurationS+e.DrainS); x.now < end && left > 0; x.now += step {
+	every := max(tick, config.Micro(e.DurationS/samplesPerRun))
+	for end := startTime + config.Micro(e.DurationS+e.DrainS); x.now < end && left > 0; x.now += tick {
 		for len(todo) > 0 && todo[0].at <= x.now {
 			a := todo[0]
 			todo = todo[1:]
@@ -174,17 +164,17 @@
 			x.fleet.Upload(a.job)
 			x.core.AddJob(a.job, a.at, x.now)
 		}
-		for len(faults) > 0 && begin+config.Micro(faults[0].AtS) <= x.now {
+		for len(faults) > 0 && startTime+config.Micro(faults[0].AtS) <= x.now {
 			for range faults[0].Count {
 				_, _ = x.fleet.Fault(faults[0].Kind, faults[0].Name, seconds(faults[0].ForS)) // nothing runs: nothing to break
 			}
 			faults = faults[1:]
 		}
 		left -= x.step()
-		if (x.now-begin)%every < step {
+		if (x.now-startTime)%every < tick {
 			s := x.fleet.Summary()
 			_, waiting := x.core.Waiting()
-			res.Samples = append(res.Samples, Sample{float64(x.now-begin) / 1e6, s.Used, s.Room, x.core.Stats.Preemptions, s.Price, waiting})
+			res.Samples = append(res.Samples, Sample{float64(x.now-startTime) / 1e6, s.Used, s.Room, x.core.Stats.Preemptions, s.Price, waiting})
 		}
 	}
 	for _, a := range all {
@@ -203,19 +193,19 @@
 	res.Jobs, res.Unfinished = len(all), left
 	res.Launches = x.core.Stats.Launches
 	res.Evictions, res.Checkpoints = x.core.Stats.Preemptions, x.core.Stats.Checkpoints
-	res.Price, res.Broken = sum.Price, x.fleet.Broken()
+	res.Price, res.Violations = sum.Price, x.fleet.Broken()
 	return res, nil
 }
 
 // step plays a step of all parts and returns how many jobs have ended in it.
-func (x *run) step() (ended int) {
+func (x *simulation) step() (ended int) {
 	x.fleet.Step(x.now)
 	m := x.meter
 	x.fleet.Exchange(func(r *wire.Heartbeat) (a wire.HeartbeatResponse, ok bool) {
-		m.measure(reporting, func() { a = x.core.Heartbeat(r, x.now) })
+		m.measure(phaseHeartbeat, func() { a = x.core.Heartbeat(r, x.now) })
 		return a, true
 	})
-	m.measure(passing, func() {
+	m.measure(phaseSchedule, func() {
 		if cm := x.core.Schedule(x.now); cm != nil {
 			x.core.CommitStored(cm, x.now)
 		}
@@ -233,13 +223,13 @@
 		ended++
 	}
 	x.core.TakeForgotten()
-	if x.now%config.Second >= step {
+	if x.now%config.Second >= tick {
 		return ended
 	}
 	x.core.DetectFailures(x.now, nil)
 	var back []string
 	var hires []wire.ScaleOutRequest
-	x.meter.measure(renting, func() {
+	x.meter.measure(phaseScaling, func() {
 		if back = x.core.ScaleIn(x.now, x.core.Blind(x.now)); len(back) > 0 {
 			x.fleet.Return(back)
 			x.core.MachinesReturned(back, x.now)
@@ -255,7 +245,7 @@
 			x.core.ScaleOutFailed(h, true, x.now)
 		}
 	}
-	if x.now%listTime < step {
+	if x.now%listInterval < tick {
 		x.core.MachinesListed(x.fleet.List(), x.now)
 	}
 	return ended
