--- a/internal/controller/counts.go
+++ b/internal/controller/counts.go
@@ -18,15 +18,12 @@
 	if !c.term.view().isLeading() {
 		return nil
 	}
-	var statuses []wire.JobStatus
-	called := c.owner.call(ctx, func() {
+	statuses, _ := callOwner(ctx, c.owner, func() []wire.JobStatus {
 		if l := c.owner.leadership; l != nil {
-			statuses = l.counts(ids)
+			return l.counts(ids)
 		}
-	})
-	if !called {
 		return nil
-	}
+	})
 	return statuses
 }
 
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -111,36 +111,43 @@
 	if !term.isLeading() || heartbeat.FencingToken > term.leading {
 		return response, false
 	}
-	var launches <-chan []wire.Command
-	called := c.owner.call(ctx, func() {
+	handled, called := callOwner(ctx, c.owner, func() handledHeartbeat {
 		if l := c.owner.leadership; l != nil && l.stalledFor == 0 && ctx.Err() == nil {
-			response, launches = l.handleHeartbeat(heartbeat)
-			ok = true
+			return l.handleHeartbeat(heartbeat)
 		}
+		return handledHeartbeat{}
 	})
-	if !ok || !called {
+	if !called || !handled.accepted {
 		return response, false
 	}
-	if launches != nil {
-		awaitLaunches(ctx, launches, &response)
+	response = handled.response
+	if handled.launches != nil {
+		awaitLaunches(ctx, handled.launches, &response)
 	}
 	return response, c.term.view().leading == response.FencingToken && c.owner.ranRecently()
 }
 
+// handledHeartbeat is what the owner goroutine made of a heartbeat.
+type handledHeartbeat struct {
+	accepted bool // by a leader that may act
+	response wire.HeartbeatResponse
+	launches <-chan []wire.Command // to be waited for, unless nil
+}
+
 // handleHeartbeat hands a heartbeat to the core. If the machine has room and something waits, the launches
 // that a pass decides upon are to be waited for. Owner goroutine.
-func (l *leadership) handleHeartbeat(heartbeat *wire.Heartbeat) (response wire.HeartbeatResponse, launches <-chan []wire.Command) {
+func (l *leadership) handleHeartbeat(heartbeat *wire.Heartbeat) handledHeartbeat {
 	owner := l.controller.owner
-	response = l.core.Heartbeat(heartbeat, l.controller.now())
+	handled := handledHeartbeat{accepted: true, response: l.core.Heartbeat(heartbeat, l.controller.now())}
 	wantsLaunches := l.core.WantsLaunches(heartbeat.Host)
 	if wantsLaunches {
 		owner.requestPass()
 	}
 	owner.requestPassIf(l.core.TakePassNeeded)
 	if wantsLaunches {
-		launches = l.launchWaiters.add(heartbeat.Host)
+		handled.launches = l.launchWaiters.add(heartbeat.Host)
 	}
-	return response, launches
+	return handled
 }
 
 // awaitLaunches waits a moment for launches: those that are being stored right now go with this
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -4,8 +4,11 @@
 	"context"
 	"net/http"
 	"testing"
+	"time"
 
+	"dalefront/internal/config"
 	"dalefront/internal/peer"
+	"dalefront/internal/sched"
 	"dalefront/wire"
 )
 
@@ -31,3 +34,40 @@
 		t.Error("renewed under a permission that a higher token has ended")
 	}
 }
+
+// endedUnseen is a context that has ended by the time its caller waits, while whoever asks for its
+// error before that finds none.
+type endedUnseen struct{ context.Context }
+
+func (endedUnseen) Done() <-chan struct{} {
+	ended := make(chan struct{})
+	close(ended)
+	return ended
+}
+
+func (endedUnseen) Err() error { return nil }
+
+// A heartbeat whose caller has given up is still handled by the owner goroutine: the caller gets its
+// whole answer or none, never what is being written there. The race detector tells.
+func TestHeartbeatGivenUp(t *testing.T) {
+	one := 1.0
+	c := newTestController(t, func(http.ResponseWriter, *http.Request) {}, func(set *config.Settings) {
+		set.Operator.PreemptionDelayS, set.Operator.CheckpointMBPerS = &one, &one
+	})
+	l := newLeadership(t.Context(), c, 5, &lease{})
+	l.core = sched.New(c.settings, 5, c.now(), wire.Catalog{}, func(string, ...any) {})
+	c.owner.leadership = l
+	c.term.observe("", 5)
+	c.term.startLeading(5)
+	handled := make(chan struct{})
+	go func() {
+		defer close(handled)
+		time.Sleep(20 * time.Millisecond) // for the caller to give up; nothing rests on it
+		(<-c.owner.queue)()
+	}()
+	heartbeat := wire.Heartbeat{Host: "n-1", Type: "s", Zone: "x", Incarnation: 1, Sequence: 1, FencingToken: 5}
+	if response, ok := c.handleHeartbeat(endedUnseen{t.Context()}, &heartbeat); ok && response.FencingToken != 5 {
+		t.Errorf("answered with %+v", response)
+	}
+	<-handled
+}
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -95,19 +95,21 @@
 	}
 }
 
-// call runs f on the goroutine and waits for it. A full queue is refused.
-func (o *ownerLoop) call(ctx context.Context, f func()) bool {
-	done := make(chan struct{})
+// callOwner runs f on the goroutine and returns its result. It returns false if the queue is full or the
+// context ends first. In the latter case f may be running or run later: it must not write to what the
+// caller reads, which is why its result is returned and not assigned.
+func callOwner[T any](ctx context.Context, o *ownerLoop, f func() T) (result T, called bool) {
+	results := make(chan T, 1)
 	select {
-	case o.queue <- func() { f(); close(done) }:
+	case o.queue <- func() { results <- f() }:
 	default:
-		return false
+		return result, false
 	}
 	select {
-	case <-done:
-		return true
+	case result = <-results:
+		return result, true
 	case <-ctx.Done():
-		return false
+		return result, false
 	}
 }
 
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -59,12 +59,13 @@
 
 // PeerTransferLeadership implements peer.Server. A request that comes late is for another term.
 func (c *Controller) PeerTransferLeadership(ctx context.Context, request *peer.TransferRequest) (*peer.TransferResponse, error) {
-	var response peer.TransferResponse
-	c.owner.call(ctx, func() {
-		if l := c.owner.leadership; l != nil && l.token == request.Token {
-			l.transfer()
-			response.Transferred = true
+	transferred, _ := callOwner(ctx, c.owner, func() bool {
+		l := c.owner.leadership
+		if l == nil || l.token != request.Token {
+			return false
 		}
+		l.transfer()
+		return true
 	})
-	return &response, ctx.Err()
+	return &peer.TransferResponse{Transferred: transferred}, ctx.Err()
 }
