--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -15,6 +15,7 @@
 type Core struct {
 	clock
 	policy
+	passMemory
 
 	sequence     termSequence
 	machineTypes catalog
@@ -28,11 +29,6 @@
 	boots        bootHistory
 	bandwidth    checkpointBandwidth
 
-	lastPass          *pass
-	nextGang          *job   // a gang that needs a batch for itself, served first in the next pass
-	gangsPlannedAt    Micros // when it was last decided what is kept for gangs
-	fairnessUpdatedAt Micros // when it was last found out who is underserved
-
 	listedAt Micros // when the cloud's list last came
 	cloud    cloudCapacity
 
@@ -42,6 +38,14 @@
 	Stats Stats
 }
 
+// passMemory is what passes leave for later ones.
+type passMemory struct {
+	lastPass          *pass  // never nil
+	nextGang          *job   // a gang that needs a batch for itself, served first in the next pass
+	gangsPlannedAt    Micros // when it was last decided what is kept for gangs
+	fairnessUpdatedAt Micros // when it was last found out who is underserved
+}
+
 // Stats counts what the core did.
 type Stats struct {
 	Launches, Preemptions, Checkpoints, Kills, LeasesExpired, Errors, ScaledOut, ScaledIn int
--- a/internal/sched/doc.go
+++ b/internal/sched/doc.go
@@ -10,6 +10,7 @@
 //   - teamTable, quota: what teams may use, and do;
 //   - outbox: what the owner of the core is to do;
 //   - policy and clock: settings, cordons, and the times that decisions rest on;
+//   - pass and passMemory: what one pass over the queue finds out and decides, and leaves for later ones;
 //   - failureMonitor, bootHistory, checkpointBandwidth, cloudCapacity: what was observed.
 //
 // A placement is a task that may be on a machine. It begins in Core.addPlacement and ends in
