--- /dev/null
+++ b/internal/experiment/meter.go
@@ -0,0 +1,34 @@
+package experiment
+
+import "time"
+
+// phase is a part of the scheduler core's work whose cost is measured.
+type phase int
+
+const (
+	phaseHeartbeat phase = iota // taking a heartbeat
+	phaseSchedule               // placing waiting tasks and taking the commit
+	phaseScaling                // deciding on scale-in and scale-out, once a second
+	phaseCount
+)
+
+// coreMeter measures the time spent in the scheduler's core; a nil one measures nothing.
+type coreMeter struct {
+	calls   [phaseCount]int
+	total   [phaseCount]time.Duration
+	longest [phaseCount]time.Duration // of a single call
+}
+
+// measure calls work and adds its duration to the phase.
+func (m *coreMeter) measure(phase phase, work func()) {
+	if m == nil {
+		work()
+		return
+	}
+	start := time.Now()
+	work()
+	elapsed := time.Since(start)
+	m.total[phase] += elapsed
+	m.longest[phase] = max(m.longest[phase], elapsed)
+	m.calls[phase]++
+}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -2,10 +2,7 @@
 
 import (
 	"fmt"
-	"math"
-	"math/rand/v2"
 	"slices"
-	"time"
 
 	"dalefront/internal/config"
 	"dalefront/internal/emulator"
@@ -13,240 +10,195 @@
 	"dalefront/wire"
 )
 
-// Result is one run of a variant. Times are seconds.
-type Result struct {
-	Variant     string                  `json:"variant"`
-	Seed        uint64                  `json:"seed"`
-	Classes     map[string]*ClassResult `json:"classes"`
-	Jobs        int                     `json:"jobs"`
-	Unfinished  int                     `json:"unfinished"`
-	WastedShare float64                 `json:"wasted_share"` // of the processor time that tasks had
-	Evictions   int                     `json:"evictions"`
-	Checkpoints int                     `json:"checkpoints"` // of these
-	Launches    int                     `json:"launches,omitempty"`
-	Price       float64                 `json:"price"`
-	Samples     []Sample                `json:"samples"`
-	Violations  []string                `json:"broken,omitempty"`
-	Submit      *Submissions            `json:"submissions,omitempty"` // at a live site
-}
-
-// ClassResult is what the jobs of a class met.
-type ClassResult struct {
-	Waits     []float64 `json:"waits_s"`     // from submission to the first start
-	Responses []float64 `json:"responses_s"` // and to the end
-}
-
-// Sample is a site at a moment.
-type Sample struct {
-	AtS       float64 `json:"at_s"`
-	Used      float64 `json:"used_cpus"`
-	Room      float64 `json:"room_cpus"`
-	Evictions int     `json:"evictions"` // so far
-	Price     float64 `json:"price"`     // so far
-	Waiting   int     `json:"waiting"`   // tasks; at a live site jobs that have not started
-}
-
 const (
-	tick          = config.Second / 5
-	startTime     = 1000 * config.Second
-	samplesPerRun = 200 // in the time that jobs arrive
-	listInterval  = 2 * config.Second
+	tick              = config.Second / 5 // of simulated time
+	listInterval      = 2 * config.Second // between two lists of the machines
+	progressBatch     = 1 << 20           // chunks of progress stored at a time
+	firstFencingToken = 1
 )
 
-type arrival struct {
-	at    config.Micros
-	class int
-	job   wire.Job
-	ended config.Micros
-}
-
-// arrivals draws the jobs of a run. They are the same for each variant.
-func (e *Experiment) arrivals(seed uint64) []*arrival {
-	var out []*arrival
-	for i, c := range e.Classes {
-		rnd := rand.New(rand.NewPCG(seed, uint64(i)+100))
-		times := slices.Clone(c.At)
-		if c.PerHour > 0 {
-			for t := rnd.ExpFloat64() * 3600 / c.PerHour; t < e.DurationS; t += rnd.ExpFloat64() * 3600 / c.PerHour {
-				times = append(times, t)
-			}
-		}
-		for _, t := range times {
-			// A mean of m with the logarithm's deviation s: its median is m e^(-s^2/2).
-			run := c.RunS[0] * math.Exp(c.RunS[1]*rnd.NormFloat64()-c.RunS[1]*c.RunS[1]/2)
-			j := wire.Job{Class: c.Name, Team: c.Team, Shape: c.Shape, Priority: c.Priority, Tasks: c.Tasks[0] + rnd.IntN(c.Tasks[1]-c.Tasks[0]+1),
-				CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB, OneZone: c.OneZone, Image: c.Name, ImageGB: c.ImageGB, Spot: true,
-				EstimateS: max(run, 0.2), CheckpointIntervalS: c.CheckpointEveryS, CheckpointDurationS: c.SaveS}
-			if c.Images > 1 {
-				j.Image = fmt.Sprintf("%s-%d", c.Name, rnd.IntN(c.Images))
-			}
-			if c.DueFactor > 0 {
-				due := c.DueFactor * c.RunS[0]
-				j.DeadlineS = &due
-			}
-			out = append(out, &arrival{at: startTime + config.Micro(t), class: i, job: j})
-		}
-	}
-	slices.SortStableFunc(out, func(a, b *arrival) int { return int(a.at - b.at) })
-	for i, a := range out {
-		a.job.ID = fmt.Sprintf("j-%06d", i+1)
-	}
-	return out
-}
-
-// simulation is a variant being played.
+// simulation is one run of a variant in simulated time.
 type simulation struct {
-	fleet *emulator.Fleet
-	core  *sched.Core
-	jobs  map[string]*arrival
-	now   config.Micros
-	hires int
-	meter *coreMeter
-}
+	fleet    *emulator.Fleet
+	core     *sched.Core
+	meter    *coreMeter
+	now      config.Micros
+	requests int // scale-out requests so far
 
-// coreMeter measures what the scheduler's core costs; nil measures nothing.
-type coreMeter struct {
-	calls   [3]int
-	total   [3]time.Duration
-	longest [3]time.Duration // at one go
+	jobs       map[string]*arrival // submitted jobs by ID
+	pending    []*arrival          // jobs to be submitted, by time
+	faults     []Fault             // faults to be injected, by time
+	unfinished int                 // jobs that have not ended, submitted or not
 }
 
-// What is measured.
-const (
-	phaseHeartbeat = iota // taking a report
-	phaseSchedule         // placing what waits, and taking its commit
-	phaseScaling          // which machines to give back and to rent, once a second
-)
+// Run plays one variant with one seed.
+func (e *Experiment) Run(variant Variant, seed uint64) (*Result, error) {
+	return e.runMetered(variant, seed, nil)
+}
 
-func (m *coreMeter) measure(what int, f func()) {
-	if m == nil {
-		f()
-		return
+// runMetered plays one variant with one seed and measures what the core's work costs.
+func (e *Experiment) runMetered(variant Variant, seed uint64, meter *coreMeter) (*Result, error) {
+	arrivals := e.arrivals(seed)
+	run, err := e.newSimulation(variant, seed, arrivals)
+	if err != nil {
+		return nil, err
 	}
-	from := time.Now()
-	f()
-	took := time.Since(from)
-	m.total[what] += took
-	m.longest[what] = max(m.longest[what], took)
-	m.calls[what]++
+	run.meter = meter
+	result := e.newResult(variant.Name, seed)
+	sampleInterval := max(tick, config.Micro(e.DurationS/samplesPerRun))
+	end := startTime + config.Micro(e.DurationS+e.DrainS)
+	for ; run.now < end && run.unfinished > 0; run.now += tick {
+		run.submitDue()
+		run.injectDue()
+		run.step()
+		if (run.now-startTime)%sampleInterval < tick {
+			result.Samples = append(result.Samples, run.sample())
+		}
+	}
+	run.summarize(result, arrivals)
+	return result, nil
 }
 
-// Run plays one variant with one seed.
-func (e *Experiment) Run(v Variant, seed uint64) (*Result, error) { return e.runMetered(v, seed, nil) }
-
-func (e *Experiment) runMetered(v Variant, seed uint64, m *coreMeter) (*Result, error) {
-	set, err := e.settings(v)
+// newSimulation returns a simulation at startTime, before any job is submitted.
+func (e *Experiment) newSimulation(variant Variant, seed uint64, arrivals []*arrival) (*simulation, error) {
+	settings, err := e.settings(variant)
 	if err != nil {
 		return nil, err
 	}
-	cat := e.Site.Catalog()
+	catalog := e.Site.Catalog()
 	machines := e.Machines
-	if v.Machines > 0 {
-		machines = v.Machines
-	}
-	x := &simulation{now: startTime, jobs: map[string]*arrival{}, meter: m}
-	x.fleet = emulator.NewFleet(seed, set, cat, machines, emulator.SimulatedAddr)
-	x.core = sched.New(set, 1, x.now, cat, func(string, ...any) {})
-	res := &Result{Variant: v.Name, Seed: seed, Classes: map[string]*ClassResult{}}
-	for _, c := range e.Classes {
-		res.Classes[c.Name] = &ClassResult{Waits: []float64{}, Responses: []float64{}}
+	if variant.Machines > 0 {
+		machines = variant.Machines
 	}
-	todo := e.arrivals(seed)
-	all, faults := todo, slices.Clone(e.Faults)
+	faults := slices.Clone(e.Faults)
 	slices.SortFunc(faults, func(a, b Fault) int { return int(a.AtS - b.AtS) })
-	left := len(todo)
-	every := max(tick, config.Micro(e.DurationS/samplesPerRun))
-	for end := startTime + config.Micro(e.DurationS+e.DrainS); x.now < end && left > 0; x.now += tick {
-		for len(todo) > 0 && todo[0].at <= x.now {
-			a := todo[0]
-			todo = todo[1:]
-			x.jobs[a.job.ID] = a
-			x.fleet.Upload(a.job)
-			x.core.AddJob(a.job, a.at, x.now)
-		}
-		for len(faults) > 0 && startTime+config.Micro(faults[0].AtS) <= x.now {
-			for range faults[0].Count {
-				_, _ = x.fleet.Fault(faults[0].Kind, faults[0].Name, seconds(faults[0].ForS)) // nothing runs: nothing to break
-			}
-			faults = faults[1:]
-		}
-		left -= x.step()
-		if (x.now-startTime)%every < tick {
-			s := x.fleet.Summary()
-			_, waiting := x.core.Waiting()
-			res.Samples = append(res.Samples, Sample{float64(x.now-startTime) / 1e6, s.Used, s.Room, x.core.Stats.Preemptions, s.Price, waiting})
-		}
+	return &simulation{
+		fleet:      emulator.NewFleet(seed, settings, catalog, machines, emulator.SimulatedAddr),
+		core:       sched.New(settings, firstFencingToken, startTime, catalog, func(string, ...any) {}),
+		now:        startTime,
+		jobs:       map[string]*arrival{},
+		pending:    arrivals,
+		faults:     faults,
+		unfinished: len(arrivals),
+	}, nil
+}
+
+// submitDue submits the jobs whose time has come.
+func (s *simulation) submitDue() {
+	for len(s.pending) > 0 && s.pending[0].at <= s.now {
+		next := s.pending[0]
+		s.pending = s.pending[1:]
+		s.jobs[next.job.ID] = next
+		s.fleet.Upload(next.job)
+		s.core.AddJob(next.job, next.at, s.now)
 	}
-	for _, a := range all {
-		c := res.Classes[a.job.Class]
-		if first := x.fleet.First(a.job.ID); first > 0 {
-			c.Waits = append(c.Waits, float64(first-a.at)/1e6)
-		}
-		if a.ended > 0 {
-			c.Responses = append(c.Responses, float64(a.ended-a.at)/1e6)
+}
+
+// injectDue injects the faults whose time has come.
+func (s *simulation) injectDue() {
+	for len(s.faults) > 0 && startTime+config.Micro(s.faults[0].AtS) <= s.now {
+		fault := s.faults[0]
+		s.faults = s.faults[1:]
+		for range fault.Count {
+			_, _ = s.fleet.Fault(fault.Kind, fault.Name, seconds(fault.ForS)) // fails only where no machine runs that could
 		}
 	}
-	sum := x.fleet.Summary()
-	if sum.Ran > 0 {
-		res.WastedShare = max(0, 1-sum.Useful/sum.Ran)
-	}
-	res.Jobs, res.Unfinished = len(all), left
-	res.Launches = x.core.Stats.Launches
-	res.Evictions, res.Checkpoints = x.core.Stats.Preemptions, x.core.Stats.Checkpoints
-	res.Price, res.Violations = sum.Price, x.fleet.Broken()
-	return res, nil
 }
 
-// step plays a step of all parts and returns how many jobs have ended in it.
-func (x *simulation) step() (ended int) {
-	x.fleet.Step(x.now)
-	m := x.meter
-	x.fleet.Exchange(func(r *wire.Heartbeat) (a wire.HeartbeatResponse, ok bool) {
-		m.measure(phaseHeartbeat, func() { a = x.core.Heartbeat(r, x.now) })
-		return a, true
+// step runs one tick of the fleet and of the scheduler's core.
+func (s *simulation) step() {
+	s.fleet.Step(s.now)
+	s.fleet.Exchange(func(heartbeat *wire.Heartbeat) (response wire.HeartbeatResponse, ok bool) {
+		s.meter.measure(phaseHeartbeat, func() { response = s.core.Heartbeat(heartbeat, s.now) })
+		return response, true
 	})
-	m.measure(phaseSchedule, func() {
-		if cm := x.core.Schedule(x.now); cm != nil {
-			x.core.CommitStored(cm, x.now)
+	s.meter.measure(phaseSchedule, func() {
+		if commit := s.core.Schedule(s.now); commit != nil {
+			s.core.CommitStored(commit, s.now)
 		}
 	})
-	for _, d := range x.core.TakeDirectCommands() {
-		x.fleet.Command(d.Addr, &d.Batch)
+	for _, command := range s.core.TakeDirectCommands() {
+		s.fleet.Command(command.Addr, &command.Batch)
 	}
-	for _, c := range x.core.ProgressToStore(1 << 20) {
-		x.core.ProgressStored(c)
+	for _, progress := range s.core.ProgressToStore(progressBatch) {
+		s.core.ProgressStored(progress)
 	}
-	for _, id := range x.core.TakeEnds() {
-		x.jobs[id].ended = x.now
-		x.fleet.Told(wire.JobStatus{ID: id, Status: wire.JobDone})
-		x.core.JobEnded(id, wire.JobDone, x.now)
-		ended++
+	s.endJobs()
+	if s.now%config.Second < tick {
+		s.core.DetectFailures(s.now, nil)
+		s.scale()
 	}
-	x.core.TakeForgotten()
-	if x.now%config.Second >= tick {
-		return ended
+}
+
+// endJobs takes the jobs that have ended from the core and confirms their ends to it.
+func (s *simulation) endJobs() {
+	for _, id := range s.core.TakeEnds() {
+		s.jobs[id].ended = s.now
+		s.fleet.Told(wire.JobStatus{ID: id, Status: wire.JobDone})
+		s.core.JobEnded(id, wire.JobDone, s.now)
+		s.unfinished--
 	}
-	x.core.DetectFailures(x.now, nil)
-	var back []string
-	var hires []wire.ScaleOutRequest
-	x.meter.measure(phaseScaling, func() {
-		if back = x.core.ScaleIn(x.now, x.core.Blind(x.now)); len(back) > 0 {
-			x.fleet.Return(back)
-			x.core.MachinesReturned(back, x.now)
+	s.core.TakeForgotten()
+}
+
+// scale returns and rents machines as the core decides, and lists those that there are.
+func (s *simulation) scale() {
+	var requests []wire.ScaleOutRequest
+	s.meter.measure(phaseScaling, func() {
+		if returned := s.core.ScaleIn(s.now, s.core.Blind(s.now)); len(returned) > 0 {
+			s.fleet.Return(returned)
+			s.core.MachinesReturned(returned, s.now)
 		}
-		hires = x.core.ScaleOut(x.now)
+		requests = s.core.ScaleOut(s.now)
 	})
-	for _, h := range hires {
-		x.hires++
-		h.RequestID = fmt.Sprint("r-", x.hires) // never used again: a repeated one rents nothing
-		if hosts := x.fleet.Rent(h); len(hosts) > 0 {
-			x.core.ScaledOut(h, hosts, x.now)
+	for _, request := range requests {
+		s.requests++
+		request.RequestID = fmt.Sprint("r-", s.requests) // unique: the fleet ignores a repeated one
+		if hosts := s.fleet.Rent(request); len(hosts) > 0 {
+			s.core.ScaledOut(request, hosts, s.now)
 		} else {
-			x.core.ScaleOutFailed(h, true, x.now)
+			s.core.ScaleOutFailed(request, true, s.now)
+		}
+	}
+	if s.now%listInterval < tick {
+		s.core.MachinesListed(s.fleet.List(), s.now)
+	}
+}
+
+// sample returns the present state of the site.
+func (s *simulation) sample() Sample {
+	summary := s.fleet.Summary()
+	_, waiting := s.core.Waiting()
+	return Sample{
+		AtS:       float64(s.now-startTime) / microsPerSecond,
+		Used:      summary.Used,
+		Room:      summary.Room,
+		Evictions: s.core.Stats.Preemptions,
+		Price:     summary.Price,
+		Waiting:   waiting,
+	}
+}
+
+// summarize fills in the result at the end of the run.
+func (s *simulation) summarize(result *Result, arrivals []*arrival) {
+	for _, submitted := range arrivals {
+		class := result.Classes[submitted.job.Class]
+		if started := s.fleet.First(submitted.job.ID); started > 0 {
+			class.Waits = append(class.Waits, float64(started-submitted.at)/microsPerSecond)
+		}
+		if submitted.ended > 0 {
+			class.Responses = append(class.Responses, float64(submitted.ended-submitted.at)/microsPerSecond)
 		}
 	}
-	if x.now%listInterval < tick {
-		x.core.MachinesListed(x.fleet.List(), x.now)
+	summary := s.fleet.Summary()
+	if summary.Ran > 0 {
+		result.WastedShare = max(0, 1-summary.Useful/summary.Ran)
 	}
-	return ended
+	result.Jobs = len(arrivals)
+	result.Unfinished = s.unfinished
+	result.Launches = s.core.Stats.Launches
+	result.Evictions = s.core.Stats.Preemptions
+	result.Checkpoints = s.core.Stats.Checkpoints
+	result.Price = summary.Price
+	result.Violations = s.fleet.Broken()
 }
