--- a/internal/experiment/live.go
+++ b/internal/experiment/live.go
@@ -1,30 +1,27 @@
 package experiment
 
 import (
-	"bytes"
 	"context"
-	"errors"
 	"fmt"
-	"io"
+	"maps"
 	"net/http"
 	"net/url"
-	"strconv"
+	"slices"
 	"sync"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"dalefront/internal/config"
 	"dalefront/internal/emulator"
 	"dalefront/wire"
 )
 
-// Submissions is how submissions to a live site went. Times are milliseconds, from the
-// first attempt to the answer that the job is accepted.
+// Submissions says how submissions to a live site went. Times are milliseconds, from the
+// first attempt to the response that the job is accepted.
 type Submissions struct {
 	Accepted  int     `json:"accepted"`
-	Retries   int     `json:"again"`    // attempts that had to be repeated
-	GivenUp   int     `json:"given_up"` // after a minute, or refused for good
+	Retries   int     `json:"again"`
+	GivenUp   int     `json:"given_up"` // after submissionTimeout, or refused for good
 	PerSecond float64 `json:"per_second"`
 	P50       float64 `json:"p50_ms"`
 	P99       float64 `json:"p99_ms"`
@@ -33,166 +30,179 @@
 }
 
 const (
-	submissionTimeout = time.Minute     // after which users submit no more
-	requestTimeout    = 5 * time.Second // and for which they wait for an answer
-	pollers           = 16
-	maxIdleConns      = 256      // connections to the balancer that are kept unused
-	maxResponseBytes  = 16 << 20 // bytes of an answer, of which the sites' metrics are the longest
-	maxInFlight       = 2000     // submissions on their way: more than that stand for an outage
+	submissionTimeout  = time.Minute // after which a submission isn't tried again
+	pollers            = 16
+	pollInterval       = time.Second
+	progressInterval   = time.Second / 2
+	minSampleInterval  = time.Second / 2
+	maxInFlight        = 2000        // submissions on their way: more than that stand for an outage
+	maxLatencyMicros   = 100_000_000 // above submissionTimeout and one request
+	latencyDigits      = 3           // significant ones
+	minFaultDurationS  = 0.001       // a site takes no fault of length 0
+	minSubmissionTimeS = 0.001       // bounds the rate of submissions
+	microsPerMilli     = 1e3         // of latencies
+	liveVariant        = "live"      // the one variant of a live site's report
 )
 
-// live is an experiment at a site that runs.
-type live struct {
-	e       *Experiment
-	server  string
-	client  *http.Client
-	begun   time.Time
-	before  emulator.Summarized
-	res     *Result
-	latency *hdrhistogram.Histogram // of submissions, in microseconds
+// liveRun is an experiment that runs at a live site.
+type liveRun struct {
+	experiment *Experiment
+	site       *siteClient
+	startedAt  time.Time
+	baseline   emulator.Summarized // before the experiment
 
-	mu      sync.Mutex
-	last    time.Time // when the last job was accepted
-	open    map[string]*arrival
-	started map[string]bool
+	mu           sync.Mutex
+	result       *Result
+	latency      *hdrhistogram.Histogram // of submissions, in microseconds
+	lastAccepted time.Time               // when the last job was accepted
+	unfinished   map[string]*arrival     // accepted jobs that have not ended, by ID
+	started      map[string]bool         // jobs of which a task was seen to run, by ID
 }
 
-// Live plays the experiment in real time at the site whose users' address is given. A
-// site has one way of scheduling, so that variants don't count; jobs get names that no
-// other run gives. It ends when all jobs have, after the time to drain, or with the
-// context.
-func (e *Experiment) Live(ctx context.Context, server string, done func(finished, all int)) (*Report, error) {
-	l := &live{e: e, server: server, client: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}},
-		latency: hdrhistogram.New(1, 100_000_000, 3), open: map[string]*arrival{}, started: map[string]bool{},
-		res: &Result{Variant: "live", Seed: e.Seed, Classes: map[string]*ClassResult{}, Submit: &Submissions{}}}
-	defer l.client.CloseIdleConnections()
-	for _, c := range e.Classes {
-		l.res.Classes[c.Name] = &ClassResult{Waits: []float64{}, Responses: []float64{}}
-	}
-	var err error
-	if l.before, err = l.summary(ctx); err != nil {
+// Live runs the experiment in real time at the site whose users' address is given. A site
+// has one configuration of its scheduler, so that the variants are ignored. The jobs' IDs are
+// unique to the run. It ends when all jobs have, when the time to drain is over, or with the
+// context. Progress is called with the number of jobs that are not unfinished and of all.
+func (e *Experiment) Live(ctx context.Context, server string, progress func(finished, all int)) (*Report, error) {
+	site := newSiteClient(server)
+	defer site.close()
+	baseline, err := site.summary(ctx)
+	if err != nil {
 		return nil, fmt.Errorf("%s: no site answers there (dalefront site up): %w", server, err)
 	}
-	all := e.arrivals(e.Seed)
-	run := time.Now().UnixMilli()
-	for i, a := range all {
-		a.job.ID = fmt.Sprintf("j-%d%06d", run, i+1)
-	}
-	l.begun, l.last = time.Now(), time.Now()
-	ctx, end := context.WithDeadline(ctx, l.begun.Add(seconds(e.DurationS+e.DrainS)))
-	defer end()
+	arrivals := e.liveArrivals()
+	run := e.newLiveRun(site, baseline)
+	ctx, cancel := context.WithDeadline(ctx, run.startedAt.Add(seconds(e.DurationS+e.DrainS)))
+	defer cancel()
 	var background sync.WaitGroup
-	background.Go(func() { l.faults(ctx) })
-	background.Go(func() { l.sample(ctx) })
-	jobs := make(chan *arrival)
-	for range pollers {
-		background.Go(func() {
-			for a := range jobs {
-				l.poll(ctx, a)
-			}
-		})
+	background.Go(func() { run.injectFaults(ctx) })
+	background.Go(func() { run.recordSamples(ctx) })
+	background.Go(func() { run.pollJobs(ctx) })
+	run.submitAll(ctx, arrivals)
+	run.awaitEnd(ctx, len(arrivals), progress)
+	cancel()
+	background.Wait()
+	return run.report(len(arrivals))
+}
+
+// liveArrivals returns the jobs with IDs that no other run gives.
+func (e *Experiment) liveArrivals() []*arrival {
+	arrivals := e.arrivals(e.Seed)
+	runID := time.Now().UnixMilli()
+	for i, next := range arrivals {
+		next.job.ID = fmt.Sprintf("j-%d%06d", runID, i+1)
+	}
+	return arrivals
+}
+
+// newLiveRun returns a run that starts now.
+func (e *Experiment) newLiveRun(site *siteClient, baseline emulator.Summarized) *liveRun {
+	result := e.newResult(liveVariant, e.Seed)
+	result.Submit = &Submissions{}
+	now := time.Now()
+	return &liveRun{
+		experiment:   e,
+		site:         site,
+		startedAt:    now,
+		baseline:     baseline,
+		result:       result,
+		latency:      hdrhistogram.New(1, maxLatencyMicros, latencyDigits),
+		lastAccepted: now,
+		unfinished:   map[string]*arrival{},
+		started:      map[string]bool{},
 	}
-	background.Go(func() { l.feed(ctx, jobs) })
+}
+
+// submitAll submits each job at its time and returns when all were accepted or given up.
+func (l *liveRun) submitAll(ctx context.Context, arrivals []*arrival) {
 	var submissions sync.WaitGroup
-	turns := make(chan struct{}, maxInFlight)
-	for _, a := range all {
-		if !pause(ctx, time.Until(l.begun.Add(time.Duration(a.at-startTime)*time.Microsecond))) {
-			break
+	defer submissions.Wait()
+	slots := make(chan struct{}, maxInFlight)
+	for _, next := range arrivals {
+		due := l.startedAt.Add(time.Duration(next.at-startTime) * time.Microsecond)
+		if !sleep(ctx, time.Until(due)) {
+			return
 		}
-		turns <- struct{}{}
-		submissions.Go(func() { l.submit(ctx, a); <-turns })
+		slots <- struct{}{}
+		submissions.Go(func() {
+			l.submit(ctx, next)
+			<-slots
+		})
 	}
-	submissions.Wait()
-	for pause(ctx, time.Second/2) {
+}
+
+// awaitEnd returns when all accepted jobs have ended, or with the context.
+func (l *liveRun) awaitEnd(ctx context.Context, all int, progress func(finished, all int)) {
+	for sleep(ctx, progressInterval) {
 		l.mu.Lock()
-		left := len(l.open)
+		unfinished := len(l.unfinished)
 		l.mu.Unlock()
-		done(len(all)-left, len(all))
-		if left == 0 {
-			break
+		progress(all-unfinished, all)
+		if unfinished == 0 {
+			return
 		}
 	}
-	end()
-	background.Wait()
-	return l.report(len(all))
-}
-
-// stops counts the tasks that were stopped, for whatever reason.
-func stops(s emulator.Summary) int { return s.Stopped + s.Saved }
-
-// report sums up.
-func (l *live) report(all int) (*Report, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
-	defer cancel()
-	after, err := l.summary(ctx)
-	if err != nil {
-		return nil, err
-	}
-	r, s, was, is := l.res, l.res.Submit, l.before.Summary, after.Summary
-	r.Jobs, r.Unfinished = all, len(l.open)
-	r.Price = is.Price - was.Price
-	if ran := is.Ran - was.Ran; ran > 0 {
-		r.WastedShare = max(0, 1-(is.Useful-was.Useful)/ran)
-	}
-	r.Evictions, r.Checkpoints = stops(is)-stops(was), is.Saved-was.Saved
-	r.Violations = after.Broken
-	s.PerSecond = float64(s.Accepted) / max(l.last.Sub(l.begun).Seconds(), 0.001)
-	ms := func(q float64) float64 { return float64(l.latency.ValueAtQuantile(q)) / 1e3 }
-	s.P50, s.P99, s.P999, s.Max = ms(50), ms(99), ms(99.9), float64(l.latency.Max())/1e3
-	return &Report{Results: []*Result{r}}, nil
 }
 
-// submit submits a job as users do: again after Retry-After, or a second, for a minute.
-func (l *live) submit(ctx context.Context, a *arrival) {
-	body, err := wire.Marshal(a.job)
+// submit submits a job as users do: it tries again after the delay that the site asks for,
+// until submissionTimeout.
+func (l *liveRun) submit(ctx context.Context, submitted *arrival) {
+	body, err := wire.Marshal(submitted.job)
 	if err != nil {
-		l.count(func(s *Submissions) { s.GivenUp++ })
+		l.updateSubmissions(func(s *Submissions) { s.GivenUp++ })
 		return
 	}
-	first := time.Now()
+	firstAttempt := time.Now()
 	for {
-		code, wait, err := l.ask(ctx, http.MethodPost, wire.PathJobs, body, nil)
-		if err == nil && code/100 == 2 {
-			l.accepted(a, first, time.Now())
+		answer, err := l.site.do(ctx, http.MethodPost, wire.PathJobs, body, nil)
+		if err == nil && answer.succeeded() {
+			l.accept(submitted, firstAttempt, time.Now())
 			return
 		}
-		if err == nil && code/100 == 4 && code != http.StatusTooManyRequests || time.Since(first) > submissionTimeout || !pause(ctx, wait) {
-			l.count(func(s *Submissions) { s.GivenUp++ })
+		refused := err == nil && answer.refused()
+		if refused || time.Since(firstAttempt) > submissionTimeout || !sleep(ctx, answer.retryAfter) {
+			l.updateSubmissions(func(s *Submissions) { s.GivenUp++ })
 			return
 		}
-		l.count(func(s *Submissions) { s.Retries++ })
+		l.updateSubmissions(func(s *Submissions) { s.Retries++ })
 	}
 }
 
-// accepted counts a submission that was begun and accepted at these times.
-func (l *live) accepted(a *arrival, begun, now time.Time) {
+// accept counts a submission that was first tried and accepted at these times.
+func (l *liveRun) accept(submitted *arrival, firstAttempt, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.latency.RecordValue(now.Sub(begun).Microseconds()) // below its bound: a minute and five seconds
-	l.res.Submit.Accepted++
-	l.last = now
-	l.open[a.job.ID] = a
+	_ = l.latency.RecordValue(now.Sub(firstAttempt).Microseconds()) // below its bound: a minute and five seconds
+	l.result.Submit.Accepted++
+	l.lastAccepted = now
+	l.unfinished[submitted.job.ID] = submitted
 }
 
-func (l *live) count(f func(*Submissions)) {
+// updateSubmissions changes the counts of submissions under the lock.
+func (l *liveRun) updateSubmissions(update func(*Submissions)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	f(l.res.Submit)
+	update(l.result.Submit)
 }
 
-// feed hands all jobs that have not ended to the pollers, at most once a second.
-func (l *live) feed(ctx context.Context, jobs chan<- *arrival) {
-	defer close(jobs)
-	for pause(ctx, time.Second) {
-		l.mu.Lock()
-		var now []*arrival
-		for _, a := range l.open {
-			now = append(now, a)
-		}
-		l.mu.Unlock()
-		for _, a := range now {
+// pollJobs polls all unfinished jobs, several at a time and each at most once in
+// pollInterval, until the context ends.
+func (l *liveRun) pollJobs(ctx context.Context) {
+	var workers sync.WaitGroup
+	defer workers.Wait()
+	queue := make(chan *arrival)
+	defer close(queue)
+	for range pollers {
+		workers.Go(func() {
+			for submitted := range queue {
+				l.poll(ctx, submitted)
+			}
+		})
+	}
+	for sleep(ctx, pollInterval) {
+		for _, submitted := range l.unfinishedJobs() {
 			select {
-			case jobs <- a:
+			case queue <- submitted:
 			case <-ctx.Done():
 				return
 			}
@@ -200,99 +210,115 @@
 	}
 }
 
-// poll asks for a job's state. Starts are seen at the first poll after them.
-func (l *live) poll(ctx context.Context, a *arrival) {
-	var st wire.JobStatus
-	code, _, err := l.ask(ctx, http.MethodGet, wire.PathJobs+"/"+a.job.ID, nil, &st)
-	if err != nil || code != http.StatusOK {
+// unfinishedJobs returns the accepted jobs that have not ended.
+func (l *liveRun) unfinishedJobs() []*arrival {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Collect(maps.Values(l.unfinished))
+}
+
+// poll asks for a job's state. A start is seen at the first poll after it.
+func (l *liveRun) poll(ctx context.Context, submitted *arrival) {
+	var status wire.JobStatus
+	id := submitted.job.ID
+	answer, err := l.site.do(ctx, http.MethodGet, wire.PathJobs+"/"+id, nil, &status)
+	if err != nil || answer.status != http.StatusOK {
 		return
 	}
-	since := time.Since(l.begun).Seconds() - float64(a.at-startTime)/1e6
+	elapsedS := time.Since(l.startedAt).Seconds() - float64(submitted.at-startTime)/microsPerSecond
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := l.res.Classes[a.job.Class]
-	if !l.started[a.job.ID] && (st.Running > 0 || st.Done > 0 || st.Status == wire.JobDone) {
-		l.started[a.job.ID] = true
-		c.Waits = append(c.Waits, since)
+	class := l.result.Classes[submitted.job.Class]
+	if !l.started[id] && (status.Running > 0 || status.Done > 0 || status.Status == wire.JobDone) {
+		l.started[id] = true
+		class.Waits = append(class.Waits, elapsedS)
 	}
-	if wire.Final(st.Status) && l.open[a.job.ID] != nil {
-		delete(l.open, a.job.ID)
-		c.Responses = append(c.Responses, since)
+	if wire.Final(status.Status) && l.unfinished[id] != nil {
+		delete(l.unfinished, id)
+		class.Responses = append(class.Responses, elapsedS)
 	}
 }
 
-// faults does what the experiment wants done to the site.
-func (l *live) faults(ctx context.Context) {
-	var all sync.WaitGroup
-	defer all.Wait()
-	for _, f := range l.e.Faults {
-		all.Go(func() {
-			if !pause(ctx, time.Until(l.begun.Add(seconds(f.AtS)))) {
+// injectFaults asks the site for the experiment's faults, each at its time.
+func (l *liveRun) injectFaults(ctx context.Context) {
+	var injections sync.WaitGroup
+	defer injections.Wait()
+	for _, fault := range l.experiment.Faults {
+		injections.Go(func() {
+			if !sleep(ctx, time.Until(l.startedAt.Add(seconds(fault.AtS)))) {
 				return
 			}
-			for range f.Count {
-				q := url.Values{"kind": {f.Kind}, "name": {f.Name}, "for": {fmt.Sprint(max(f.ForS, 0.001))}}
-				_, _, _ = l.ask(ctx, http.MethodPost, emulator.PathFault+"?"+q.Encode(), nil, nil) // nothing runs: nothing to break
+			query := url.Values{"kind": {fault.Kind}, "name": {fault.Name}, "for": {fmt.Sprint(max(fault.ForS, minFaultDurationS))}}
+			for range fault.Count {
+				_, _ = l.site.do(ctx, http.MethodPost, emulator.PathFault+"?"+query.Encode(), nil, nil) // fails only where nothing runs that could
 			}
 		})
 	}
 }
 
-// sample looks at the site as often as a page shows it.
-func (l *live) sample(ctx context.Context) {
-	for pause(ctx, max(time.Second/2, seconds(l.e.DurationS/samplesPerRun))) {
-		if s, err := l.summary(ctx); err == nil {
-			l.mu.Lock()
-			waiting := 0
-			for id := range l.open {
-				if !l.started[id] {
-					waiting++
-				}
-			}
-			l.res.Samples = append(l.res.Samples, Sample{time.Since(l.begun).Seconds(), s.Summary.Used, s.Summary.Room,
-				stops(s.Summary) - stops(l.before.Summary), s.Summary.Price - l.before.Summary.Price, waiting})
-			l.mu.Unlock()
+// recordSamples samples the site's state until the context ends.
+func (l *liveRun) recordSamples(ctx context.Context) {
+	interval := max(minSampleInterval, seconds(l.experiment.DurationS/samplesPerRun))
+	for sleep(ctx, interval) {
+		if site, err := l.site.summary(ctx); err == nil {
+			l.recordSample(site.Summary)
 		}
 	}
 }
 
-func (l *live) summary(ctx context.Context) (s emulator.Summarized, err error) {
-	code, _, err := l.ask(ctx, http.MethodGet, emulator.PathSummary, nil, &s)
-	if err == nil && code != http.StatusOK {
-		err = errors.New(http.StatusText(code))
+// recordSample adds a sample of the site's present state.
+func (l *liveRun) recordSample(now emulator.Summary) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	waiting := 0
+	for id := range l.unfinished {
+		if !l.started[id] {
+			waiting++
+		}
 	}
-	return s, err
+	before := l.baseline.Summary
+	l.result.Samples = append(l.result.Samples, Sample{
+		AtS:       time.Since(l.startedAt).Seconds(),
+		Used:      now.Used,
+		Room:      now.Room,
+		Evictions: stoppedTasks(now) - stoppedTasks(before),
+		Price:     now.Price - before.Price,
+		Waiting:   waiting,
+	})
 }
 
-// ask sends a request. Wait is for how long not to ask again.
-func (l *live) ask(ctx context.Context, method, path string, body []byte, out any) (code int, wait time.Duration, err error) {
-	req, err := http.NewRequestWithContext(ctx, method, l.server+path, bytes.NewReader(body))
-	if err != nil {
-		return 0, time.Second, err
-	}
-	resp, err := l.client.Do(req)
+// stoppedTasks returns the number of tasks that were stopped, for whatever reason.
+func stoppedTasks(summary emulator.Summary) int { return summary.Stopped + summary.Saved }
+
+// report returns the report when nothing runs in the background any more. It asks the site
+// once more, also if the run's context has ended.
+func (l *liveRun) report(all int) (*Report, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
+	defer cancel()
+	site, err := l.site.summary(ctx)
 	if err != nil {
-		return 0, time.Second, err
+		return nil, err
 	}
-	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
-	if err == nil && out != nil && resp.StatusCode/100 == 2 {
-		err = wire.Unmarshal(b, out)
+	result, before, after := l.result, l.baseline.Summary, site.Summary
+	result.Jobs, result.Unfinished = all, len(l.unfinished)
+	result.Price = after.Price - before.Price
+	if ran := after.Ran - before.Ran; ran > 0 {
+		result.WastedShare = max(0, 1-(after.Useful-before.Useful)/ran)
 	}
-	after, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
-	return resp.StatusCode, time.Duration(min(max(after, 1), 30)) * time.Second, err
+	result.Evictions = stoppedTasks(after) - stoppedTasks(before)
+	result.Checkpoints = after.Saved - before.Saved
+	result.Violations = site.Broken
+	l.summarizeSubmissions(result.Submit)
+	return &Report{Results: []*Result{result}}, nil
 }
 
-func seconds(s float64) time.Duration { return time.Duration(config.Micro(s)) * time.Microsecond }
-
-// pause waits, and says whether the context has not ended meanwhile.
-func pause(ctx context.Context, d time.Duration) bool {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-timer.C:
-		return true
+// summarizeSubmissions fills in the rate and the latencies of the submissions.
+func (l *liveRun) summarizeSubmissions(submissions *Submissions) {
+	elapsedS := max(l.lastAccepted.Sub(l.startedAt).Seconds(), minSubmissionTimeS)
+	submissions.PerSecond = float64(submissions.Accepted) / elapsedS
+	millis := func(percent float64) float64 {
+		return float64(l.latency.ValueAtQuantile(percent)) / microsPerMilli
 	}
+	submissions.P50, submissions.P99, submissions.P999 = millis(50), millis(99), millis(99.9)
+	submissions.Max = float64(l.latency.Max()) / microsPerMilli
 }
