--- /dev/null
+++ b/internal/experiment/report.go
@@ -0,0 +1,148 @@
+package experiment
+
+import (
+	"fmt"
+	"io"
+	"maps"
+	"runtime"
+	"slices"
+	"sync"
+	"text/tabwriter"
+
+	"dalefront/internal/emulator"
+	"dalefront/internal/hclfile"
+)
+
+// Report holds the results of all runs of an experiment, ordered by variant and seed.
+type Report struct {
+	Results []*Result `json:"results"`
+}
+
+// Play runs all variants with all seeds in simulated time, several at a time. Progress is
+// called after each run, by one goroutine at a time.
+func (e *Experiment) Play(progress func(finished, all int)) (*Report, error) {
+	for _, fault := range e.Faults {
+		if !slices.Contains(emulator.MachineFaults, fault.Kind) {
+			return nil, hclfile.At(fault.Range, "fault %s can only be played at a live site; in simulated time there are %v", fault.Kind, emulator.MachineFaults)
+		}
+	}
+	all := len(e.Variants) * e.Repeat
+	report := &Report{Results: make([]*Result, all)}
+	errs := make([]error, all)
+	var mu sync.Mutex
+	finished := 0
+	slots := make(chan struct{}, max(1, runtime.NumCPU()-1))
+	var runs sync.WaitGroup
+	for i := range all {
+		slots <- struct{}{}
+		runs.Go(func() {
+			defer func() { <-slots }()
+			report.Results[i], errs[i] = e.Run(e.Variants[i/e.Repeat], e.Seed+uint64(i%e.Repeat))
+			mu.Lock()
+			defer mu.Unlock()
+			finished++
+			progress(finished, all)
+		})
+	}
+	runs.Wait()
+	for _, err := range errs {
+		if err != nil {
+			return nil, err
+		}
+	}
+	return report, nil
+}
+
+// Violations lists the invariants that didn't hold, with variant and seed.
+func (r *Report) Violations() []string {
+	var violations []string
+	for _, result := range r.Results {
+		for _, violation := range result.Violations {
+			violations = append(violations, fmt.Sprintf("%s, seed %d: %s", result.Variant, result.Seed, violation))
+		}
+	}
+	return violations
+}
+
+// variantNames lists the variants in their order.
+func (r *Report) variantNames() []string {
+	var names []string
+	for _, result := range r.Results {
+		if !slices.Contains(names, result.Variant) {
+			names = append(names, result.Variant)
+		}
+	}
+	return names
+}
+
+// classNames lists the classes in alphabetical order.
+func (r *Report) classNames() []string {
+	return slices.Sorted(maps.Keys(r.Results[0].Classes))
+}
+
+// meanOver returns the mean of a figure over the runs of a variant.
+func (r *Report) meanOver(variant string, figure func(*Result) float64) Mean {
+	var values []float64
+	for _, result := range r.Results {
+		if result.Variant == variant {
+			values = append(values, figure(result))
+		}
+	}
+	return mean(values)
+}
+
+// Table prints the variants side by side: means over the runs with their intervals.
+func (r *Report) Table(out io.Writer) error {
+	table := &comparison{report: r, out: tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)}
+	table.header()
+	table.row("jobs", func(x *Result) float64 { return float64(x.Jobs) })
+	table.row("unfinished", func(x *Result) float64 { return float64(x.Unfinished) })
+	table.row("wasted processor time, %", func(x *Result) float64 { return 100 * x.WastedShare })
+	table.row("evictions", func(x *Result) float64 { return float64(x.Evictions) })
+	table.row("of these checkpointed", func(x *Result) float64 { return float64(x.Checkpoints) })
+	table.row("price", func(x *Result) float64 { return x.Price })
+	for _, class := range r.classNames() {
+		table.row(class+": wait p50, s", func(x *Result) float64 { return quantile(x.Classes[class].Waits, 0.5) })
+		table.row(class+": wait p99, s", func(x *Result) float64 { return quantile(x.Classes[class].Waits, 0.99) })
+		table.row(class+": response mean, s", func(x *Result) float64 { return average(x.Classes[class].Responses) })
+	}
+	if r.Results[0].Submit != nil {
+		table.submissionRows()
+	}
+	return table.out.Flush()
+}
+
+// comparison is a table with a column for each variant.
+type comparison struct {
+	report *Report
+	out    *tabwriter.Writer
+}
+
+// header prints the names of the variants.
+func (c *comparison) header() {
+	fmt.Fprint(c.out, "VARIANT")
+	for _, variant := range c.report.variantNames() {
+		fmt.Fprintf(c.out, "\t%s", variant)
+	}
+	fmt.Fprintln(c.out)
+}
+
+// row prints the mean of a figure for each variant.
+func (c *comparison) row(name string, figure func(*Result) float64) {
+	fmt.Fprint(c.out, name)
+	for _, variant := range c.report.variantNames() {
+		fmt.Fprintf(c.out, "\t%s", c.report.meanOver(variant, figure))
+	}
+	fmt.Fprintln(c.out)
+}
+
+// submissionRows prints the figures that only a live site has.
+func (c *comparison) submissionRows() {
+	c.row("submissions accepted", func(x *Result) float64 { return float64(x.Submit.Accepted) })
+	c.row("a second", func(x *Result) float64 { return x.Submit.PerSecond })
+	c.row("tried again", func(x *Result) float64 { return float64(x.Submit.Retries) })
+	c.row("given up", func(x *Result) float64 { return float64(x.Submit.GivenUp) })
+	c.row("submission p50, ms", func(x *Result) float64 { return x.Submit.P50 })
+	c.row("submission p99, ms", func(x *Result) float64 { return x.Submit.P99 })
+	c.row("submission p99.9, ms", func(x *Result) float64 { return x.Submit.P999 })
+}
