--- a/internal/controller/recurring.go
+++ b/internal/controller/recurring.go
@@ -54,8 +54,8 @@
 		}
 		states[name], versions[name] = state, entry.Version
 	}
-	s.engine = recurring.New(c.calendar, states, versions)
-	known, gone := s.engine.Len()
+	s.engine = recurring.NewEngine(c.calendar, states, versions)
+	known, gone := s.engine.Count()
 	c.log.Info("schedules", "known", known, "removed", gone)
 	return nil
 }
@@ -153,7 +153,7 @@
 	l := s.leadership
 	c := l.controller
 	for _, decision := range decisions {
-		s.engine.Stored(decision, version)
+		s.engine.Committed(decision, version)
 		for _, job := range decision.Jobs {
 			c.statuses.addAccepted(job.ID)
 			l.core.AddJob(job, c.now(), c.now())
@@ -195,7 +195,7 @@
 			sleepContext(l.ctx, scheduleReadPause)
 			continue
 		}
-		l.post(func() { s.engine.Again(decision, state, version, taken, time.Now().UnixMicro()+decisionDelay) })
+		l.post(func() { s.engine.Retry(decision, state, version, taken, time.Now().UnixMicro()+decisionDelay) })
 		return
 	}
 }
--- a/internal/controller/schedules.go
+++ b/internal/controller/schedules.go
@@ -112,8 +112,8 @@
 // describeSchedule is what users see of a schedule in a list.
 func (c *Controller) describeSchedule(name string, state *recurring.State) wire.Schedule {
 	schedule := wire.Schedule{
-		Name: name, Revision: state.Revision, Paused: state.Paused, Gone: state.Gone > 0,
-		Ran: state.Ran, Missed: state.Missed, Skipped: state.Skipped,
+		Name: name, Revision: state.Revision, Paused: state.Paused, Gone: state.RemovedAt > 0,
+		Ran: state.Submitted, Missed: state.Missed, Skipped: state.Skipped,
 	}
 	if defined := c.calendar.Find(name); defined != nil {
 		schedule.Zone = defined.Location.String()
@@ -125,8 +125,8 @@
 // nextRun is when a schedule runs next, beyond holidays and weekends: microseconds, time of day, or 0
 // if that is too far off to be found.
 func nextRun(schedule *calendar.Schedule, state *recurring.State) int64 {
-	after := time.UnixMicro(state.Upto)
-	if state.Upto == 0 {
+	after := time.UnixMicro(state.DecidedUntil)
+	if state.DecidedUntil == 0 {
 		after = time.Now()
 	}
 	for range maxNextLooks {
--- a/internal/recurring/golden_test.go
+++ b/internal/recurring/golden_test.go
@@ -19,7 +19,7 @@
 // would take every schedule for a changed one, or run an occurrence twice.
 func TestRevisionsAndIdsStayAsTheyAre(t *testing.T) {
 	now := time.Date(2026, 9, 18, 10, 0, 0, 0, time.UTC).UnixMicro()
-	engine := New(file(t, `cron = "*/5 * * * *"`, `cron = "17 10 * * *"`), nil, nil)
+	engine := NewEngine(file(t, `cron = "*/5 * * * *"`, `cron = "17 10 * * *"`), nil, nil)
 	var out []string
 	for step := range Micros(3) {
 		for _, d := range engine.Due(now+step*301*second, 10, fakeJobs(nil)) {
@@ -27,7 +27,7 @@
 			for _, j := range d.Jobs {
 				out = append(out, d.Name+" "+j.ID)
 			}
-			engine.Stored(d, uint64(step)+1)
+			engine.Committed(d, uint64(step)+1)
 		}
 	}
 	golden.Text(t, "ids.golden", strings.Join(out, "\n")+"\n")
--- a/internal/recurring/recur_test.go
+++ b/internal/recurring/recurring_test.go
@@ -100,7 +100,7 @@
 	for n := range s.state {
 		st[n], v[n] = s.state[n], s.version[n]
 	}
-	return New(c, st, v)
+	return NewEngine(c, st, v)
 }
 
 // year plays so many days and returns the runs and misses of each schedule. With
@@ -139,12 +139,12 @@
 		for _, d := range e.Due(clock, 4, running) {
 			if troubles && r.IntN(12) == 0 {
 				late = append(late, d) // no answer; it may be applied much later
-				e.Again(d, s.state[d.Name], s.version[d.Name], false, clock+second)
+				e.Retry(d, s.state[d.Name], s.version[d.Name], false, clock+second)
 				continue
 			}
 			if troubles && r.IntN(12) == 0 {
 				s.apply(d) // applied, but the answer is lost
-				e.Again(d, s.state[d.Name], s.version[d.Name], false, clock+second)
+				e.Retry(d, s.state[d.Name], s.version[d.Name], false, clock+second)
 				continue
 			}
 			if troubles && r.IntN(25) == 0 {
@@ -152,9 +152,9 @@
 				break
 			}
 			if ok, taken := s.apply(d); ok {
-				e.Stored(d, s.version[d.Name])
+				e.Committed(d, s.version[d.Name])
 			} else {
-				e.Again(d, s.state[d.Name], s.version[d.Name], taken, clock+second)
+				e.Retry(d, s.state[d.Name], s.version[d.Name], taken, clock+second)
 			}
 		}
 		if stale != nil && r.IntN(50) == 0 {
@@ -180,7 +180,7 @@
 		calm, rough := year(c, seed, false, 365), year(c, seed, true, 365)
 		for _, s := range c.Schedules {
 			want := map[Micros]bool{}
-			from, upto := min(calm.log[s.Name][0].At, rough.log[s.Name][0].At), rough.state[s.Name].Upto
+			from, upto := min(calm.log[s.Name][0].At, rough.log[s.Name][0].At), rough.state[s.Name].DecidedUntil
 			for o, ok := s.Next(time.UnixMicro(from - 1)); ok && o.At.UnixMicro() <= upto; o, ok = s.Next(o.At) {
 				if o.Skip == "" {
 					want[o.At.UnixMicro()] = true
@@ -228,9 +228,9 @@
 		for range 8 {
 			for _, d := range e.Due(now, 4, fakeJobs(func(id string) bool { return running && s.running[id] })) {
 				if ok, taken := s.apply(d); ok {
-					e.Stored(d, s.version[d.Name])
+					e.Committed(d, s.version[d.Name])
 				} else {
-					e.Again(d, s.state[d.Name], s.version[d.Name], taken, now)
+					e.Retry(d, s.state[d.Name], s.version[d.Name], taken, now)
 				}
 			}
 		}
@@ -303,7 +303,7 @@
 			now += 900 * second
 			for _, d := range e.Due(now, 9, fakeJobs(nil)) {
 				if ok, _ := s.apply(d); ok {
-					e.Stored(d, s.version[d.Name])
+					e.Committed(d, s.version[d.Name])
 				}
 			}
 		}
@@ -328,16 +328,16 @@
 	s.revision++
 	s.state["s0"], s.version["s0"] = st, s.revision
 	now += 10 * 3600 * second
-	ran := s.state["s0"].Ran
+	ran := s.state["s0"].Submitted
 	step(file(t, "cron = \"*/20 * * * *\""), 1)
-	if got := s.state["s0"].Ran - ran; got > 4 || got == 0 {
+	if got := s.state["s0"].Submitted - ran; got > 4 || got == 0 {
 		t.Errorf("%d runs in the hour after a change, within ten hours of nothing", got)
 	}
 	e := step(file(t), 1)
-	if s.state["s0"].Gone == 0 || last().Status != wire.RunNoted {
+	if s.state["s0"].RemovedAt == 0 || last().Status != wire.RunNoted {
 		t.Errorf("removed: %+v, %+v", s.state["s0"], last())
 	}
-	if n, gone := e.Len(); n != 0 || gone != 1 {
+	if n, gone := e.Count(); n != 0 || gone != 1 {
 		t.Errorf("%d schedules, %d gone", n, gone)
 	}
 	now += 31 * 86400 * second
@@ -350,24 +350,24 @@
 // A user's job that happens to have the derived id is found, and another id is taken.
 func TestIdTaken(t *testing.T) {
 	c, s := file(t, "cron = \"0 * * * *\""), newStore()
-	x := &entry{s: c.Schedules[0], name: "s0"}
+	x := &entry{schedule: c.Schedules[0], name: "s0"}
 	now := time.Date(2026, 1, 6, 0, 0, 30, 0, time.UTC)
-	o, _ := x.s.Next(now)
-	s.jobs[x.id(o, 0)] = true
+	o, _ := x.schedule.Next(now)
+	s.jobs[x.jobID(o, 0)] = true
 	e := s.engine(c)
 	at := now.UnixMicro()
 	for range 400 {
 		at += 30 * second
 		for _, d := range e.Due(at, 1, fakeJobs(nil)) {
 			if ok, taken := s.apply(d); ok {
-				e.Stored(d, s.version[d.Name])
+				e.Committed(d, s.version[d.Name])
 			} else {
-				e.Again(d, s.state[d.Name], s.version[d.Name], taken, at)
+				e.Retry(d, s.state[d.Name], s.version[d.Name], taken, at)
 			}
 		}
 	}
-	if r := s.log["s0"][0]; r.Job != x.id(o, 1) || !wire.ValidID(r.Job) {
-		t.Errorf("%+v, want %s", r, x.id(o, 1))
+	if r := s.log["s0"][0]; r.Job != x.jobID(o, 1) || !wire.ValidID(r.Job) {
+		t.Errorf("%+v, want %s", r, x.jobID(o, 1))
 	}
 }
 
@@ -382,7 +382,7 @@
 	e := s.engine(c)
 	for _, d := range e.Due(now, 20_000, fakeJobs(nil)) {
 		s.apply(d)
-		e.Stored(d, s.version[d.Name])
+		e.Committed(d, s.version[d.Name])
 	}
 	b.ResetTimer()
 	for b.Loop() {
--- a/internal/simulation/controller_test.go
+++ b/internal/simulation/controller_test.go
@@ -454,7 +454,7 @@
 	}
 	c := newCluster(t, 3, func(s *config.Settings) { s.Operator.CalendarFile = file })
 	// As if the site had been down over the last New Year.
-	c.svc.Set("s/yearly", recurring.State{Revision: cal.Schedules[0].Revision, Upto: time.Now().AddDate(-1, 0, 0).UnixMicro()})
+	c.svc.Set("s/yearly", recurring.State{Revision: cal.Schedules[0].Revision, DecidedUntil: time.Now().AddDate(-1, 0, 0).UnixMicro()})
 	c.svc.Mute(3)
 	var s wire.Schedule
 	get := func(i int) int {
