--- a/internal/controller/recurring.go
+++ b/internal/controller/recurring.go
@@ -56,7 +56,7 @@
 	}
 	s.engine = recurring.NewEngine(c.calendar, states, versions)
 	known, gone := s.engine.Count()
-	c.log.Info("schedules", "known", known, "removed", gone)
+	c.log.Info("schedules loaded", "known", known, "removed", gone)
 	return nil
 }
 
@@ -130,7 +130,7 @@
 	}
 	txn.Mutations = append(txn.Mutations, wire.Mutation{Put: key, Value: decision.State})
 	for _, job := range decision.Jobs {
-		answer, err := c.archive.Look(s.leadership.ctx, job.ID)
+		answer, err := c.archive.Lookup(s.leadership.ctx, job.ID)
 		if err != nil {
 			return "", err
 		}
@@ -174,7 +174,7 @@
 		return
 	}
 	at := time.UnixMicro(last.At).UTC().Format(time.RFC3339)
-	s.leadership.controller.log.Info("schedule", "schedule", decision.Name, "status", last.Status, "reason", last.Reason, "at", at)
+	s.leadership.controller.log.Info("schedule run decided", "schedule", decision.Name, "status", last.Status, "reason", last.Reason, "at", at)
 }
 
 // storeOne stores a decision, or finds out why it is not stored. Without an answer it may be applied
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -1,6 +1,3 @@
-// Package sched is the scheduler's core. It is pure: events and the time go
-// in, effects come out; it does no I/O and reads no clock. One goroutine, the
-// leader's owner, drives it.
 package sched
 
 import (
@@ -18,6 +15,7 @@
 type Core struct {
 	clock
 	policy
+	passMemory
 
 	sequence     termSequence
 	machineTypes catalog
@@ -31,11 +29,6 @@
 	boots        bootHistory
 	bandwidth    checkpointBandwidth
 
-	lastPass          *pass
-	nextGang          *job   // a gang that needs a batch for itself, served first in the next pass
-	gangsPlannedAt    Micros // when it was last decided what is kept for gangs
-	fairnessUpdatedAt Micros // when it was last found out who is underserved
-
 	listedAt Micros // when the cloud's list last came
 	cloud    cloudCapacity
 
@@ -45,6 +38,14 @@
 	Stats Stats
 }
 
+// passMemory is what passes leave for later ones.
+type passMemory struct {
+	lastPass          *pass  // never nil
+	nextGang          *job   // a gang that needs a batch for itself, served first in the next pass
+	gangsPlannedAt    Micros // when it was last decided what is kept for gangs
+	fairnessUpdatedAt Micros // when it was last found out who is underserved
+}
+
 // Stats counts what the core did.
 type Stats struct {
 	Launches, Preemptions, Checkpoints, Kills, LeasesExpired, Errors, ScaledOut, ScaledIn int
@@ -113,7 +114,8 @@
 // the workers' silence: what was measured against the clock goes on from where it
 // was, and what took the gap to be noticed teaches nothing about run times.
 func (c *Core) ResumeAfterStall(gap, now Micros) {
-	c.now, c.resumedAt, c.outbox.passNeeded = now, now, true
+	c.now, c.resumedAt = now, now
+	c.outbox.requestPass()
 	for _, m := range c.machines.all() {
 		m.shiftHeartbeat(gap, now)
 		m.idleSince = min(now, m.idleSince+gap)
--- a/internal/sched/explain.go
+++ b/internal/sched/explain.go
@@ -40,7 +40,7 @@
 	tasksByZone := job.tasksByZone()
 	room := map[string]int{}
 	for _, machine := range ps.schedulable {
-		if machine.reservedFor == job {
+		if machine.isReservedFor(job) {
 			wait.Reserved++
 		}
 		zone := ""
@@ -114,6 +114,7 @@
 // usageTable collects usages by name.
 type usageTable map[string]*Usage
 
+// of returns the usage of a name, a new one if there is none yet.
 func (t usageTable) of(name string) *Usage {
 	if t[name] == nil {
 		t[name] = &Usage{Name: name}
@@ -143,7 +144,7 @@
 		if machine.placementCount == 0 {
 			usage.Idle++
 		}
-		if machine.reservedFor != nil {
+		if machine.isReserved() {
 			usage.Reserved++
 		}
 	}
--- a/internal/sched/gangplanreference_test.go
+++ b/internal/sched/gangplanreference_test.go
@@ -75,7 +75,7 @@
 type referenceOption struct {
 	m       *machine
 	slots   int
-	after   Micros // until it has the room, if nothing is evicted
+	after   Micros // until it has the room, if nothing is preempted
 	victims []victim
 	cost    Micros
 }
@@ -110,9 +110,9 @@
 	ways := map[string][]referenceOption{}
 	for _, m := range ps.schedulable {
 		if m.reservedFor == j && m.reservationStart > 0 {
-			m.reservedFor = nil // chosen anew
+			m.endReservation() // chosen anew
 		}
-		if r := m.reservedFor; r != nil && r != j && ps.core.now < m.reservedUntil && r.rank >= j.rank && !ps.isReservedForWait(m) {
+		if r := m.reservedFor; r != nil && r != j && ps.core.now < m.reservedUntil && r.rank >= j.rank && !ps.isAwaitingReplan(m) {
 			continue
 		}
 		if !allowed(j, m) || !satisfiesZones(j, used, m.zone) || slotsOnEmpty(j, m.machineType) == 0 {
@@ -174,7 +174,7 @@
 	if start > worthWaiting {
 		taken[in] = true
 	}
-	// Soft point: a guest's huge job would evict almost everything.
+	// Soft point: a guest's huge job would preempt almost everything.
 	if cleared > max(1, len(ps.schedulable)/2) {
 		return
 	}
@@ -188,8 +188,7 @@
 		if w.m.reservedFor == j && w.m.reservationStart == 0 && ps.core.now < w.m.reservedUntil {
 			continue // cleared for it
 		}
-		w.m.reservedFor, w.m.reservationStart, w.m.reservationCheckedAt = j, ps.core.now+max(start, 1), ps.core.now
-		w.m.reservedUntil = ps.core.now + start + 5*second
+		w.m.reserveWaiting(j, ps.core.now+max(start, 1), ps.core.now+start+5*second, ps.core.now)
 	}
 }
 
--- a/internal/sched/ledger.go
+++ b/internal/sched/ledger.go
@@ -48,22 +48,22 @@
 	var entry LedgerEntry
 	hostIndex := map[string]int{}
 	runIndex := map[runKey]int{}
-	for _, p := range placements {
-		m := p.machine
-		host, ok := hostIndex[m.host]
+	for _, placement := range placements {
+		machine := placement.machine
+		host, ok := hostIndex[machine.host]
 		if !ok {
 			host = len(entry.Hosts)
-			hostIndex[m.host] = host
-			entry.Hosts = append(entry.Hosts, LedgerHost{m.host, m.addr, m.machineType.Name, m.zone, m.spot, p.incarnation})
+			hostIndex[machine.host] = host
+			entry.Hosts = append(entry.Hosts, LedgerHost{machine.host, machine.addr, machine.machineType.Name, machine.zone, machine.spot, placement.incarnation})
 		}
-		key := runKey{m.host, p.job.id, p.attempt}
+		key := runKey{machine.host, placement.job.id, placement.attempt}
 		run, ok := runIndex[key]
 		if !ok {
 			run = len(entry.Runs)
 			runIndex[key] = run
-			entry.Runs = append(entry.Runs, LedgerRun{Host: host, Job: p.job.id, Attempt: p.attempt})
+			entry.Runs = append(entry.Runs, LedgerRun{Host: host, Job: placement.job.id, Attempt: placement.attempt})
 		}
-		entry.Runs[run].Tasks = append(entry.Runs[run].Tasks, p.taskIndex)
+		entry.Runs[run].Tasks = append(entry.Runs[run].Tasks, placement.taskIndex)
 	}
 	return entry
 }
@@ -78,6 +78,9 @@
 	transferring bool                    // the commit under way records its live placements in a new entry
 }
 
+// addHost notes that the stored entry names a machine.
+func (e *ledgerEntry) addHost(host string) { e.hosts[host] = struct{}{} }
+
 // record notes that the stored entry covers the placement.
 func (e *ledgerEntry) record(p *placement) {
 	p.entry = e
@@ -89,7 +92,8 @@
 // Invariants:
 //   - Every placement that may be on a machine is in the live set of the entry that
 //     placement.entry names, or in unrecorded, or in the commit under way.
-//   - A placement leaves its entry in removePlacement alone, which only Core.release calls.
+//   - A placement leaves its entry in removePlacement, which only Core.release calls, or when a stored
+//     commit records it in another one.
 //   - An entry is deleted only once its live set is empty, or in the commit that records what is
 //     left of it elsewhere: at no moment does the stored ledger miss a task that may be running.
 //   - At most one commit is in flight.
@@ -177,15 +181,15 @@
 	for i, named := range commit.Entries {
 		entry := l.add(named.Name)
 		stored = append(stored, entry)
-		for _, h := range named.Hosts {
-			entry.hosts[h.Host] = struct{}{}
-			if isReturned(h.Host) {
+		for _, host := range named.Hosts {
+			entry.addHost(host.Host)
+			if isReturned(host.Host) {
 				l.namingReturned[named.Name] = struct{}{}
 			}
 		}
-		for _, p := range commit.parts[i] {
-			if p.isHeld() {
-				entry.record(p)
+		for _, placement := range commit.parts[i] {
+			if placement.isHeld() {
+				entry.record(placement)
 			}
 		}
 	}
@@ -208,9 +212,9 @@
 		}
 		entry.transferring = false
 	}
-	for _, p := range commit.moved {
-		if p.entry == nil {
-			l.addUnrecorded(p)
+	for _, placement := range commit.moved {
+		if placement.entry == nil {
+			l.addUnrecorded(placement)
 		}
 	}
 }
@@ -272,22 +276,22 @@
 
 // transfer lets the batch delete entries and record their live placements in its own, as far as it
 // has room.
-func (l *ledger) transfer(b *batch, names []string) {
+func (l *ledger) transfer(batch *batch, names []string) {
 	for _, name := range names {
 		entry := l.entries[name]
 		if entry == nil || entry.deleting || len(entry.live) == 0 {
 			delete(l.namingReturned, name)
 			continue
 		}
-		if len(b.drop) >= b.dropLimit() {
+		if len(batch.drop) >= batch.dropLimit() {
 			return
 		}
-		if !b.takeOver(entry) {
+		if !batch.takeOver(entry) {
 			continue
 		}
 		delete(l.namingReturned, name)
 		entry.deleting, entry.transferring = true, true
-		b.drop = append(b.drop, name)
+		batch.drop = append(batch.drop, name)
 	}
 }
 
--- a/internal/sched/quarantine.go
+++ b/internal/sched/quarantine.go
@@ -26,6 +26,7 @@
 	quarantineAfterJobs    = 2           // jobs that do well elsewhere and fail on a machine
 	quarantineAfterAnyJobs = 4           // jobs of any kind that fail on a machine on which nothing completes
 	suspectScaleOutDelay   = 30 * second // for which a suspect's try may wait for room before it is rented
+	recoveryFactor         = 2           // see clearSuspicion
 	recoveryMargin         = 5 * second  // see clearSuspicion
 )
 
@@ -81,30 +82,30 @@
 }
 
 // recordFailure takes a task that failed.
-func (c *Core) recordFailure(p *placement) {
-	j, m := p.job, p.machine
-	wasSuspect := j.isSuspect()
+func (c *Core) recordFailure(placement *placement) {
+	job, machine := placement.job, placement.machine
+	wasSuspect := job.isSuspect()
 	ran := Micros(0)
-	if p.runningSince > 0 {
-		ran = c.now - p.runningSince
+	if placement.runningSince > 0 {
+		ran = c.now - placement.runningSince
 	}
-	j.addFailedRun(m.host, ran)
-	doesWellElsewhere := j.completedCount > 0
-	if doesWellElsewhere || len(j.failedHosts) > 1 {
-		if j.nextRound(c.now) {
-			c.log("job fails", "job", j.id, "class", j.spec.Class, "team", j.spec.Team, "machines", len(j.failedHosts), "times", j.failureRounds,
-				"suspect", j.isSuspect(), "pause_us", j.backoffUntil-c.now)
+	job.addFailedRun(machine.host, ran)
+	doesWellElsewhere := job.completedCount > 0
+	if doesWellElsewhere || len(job.failedHosts) > 1 {
+		if job.nextRound(c.now) {
+			c.log("job failing", "job", job.id, "class", job.spec.Class, "team", job.spec.Team, "machines", len(job.failedHosts), "failures", job.failureRounds,
+				"suspect", job.isSuspect(), "backoff_us", job.backoffUntil-c.now)
 		}
 		if doesWellElsewhere {
-			j.backoffUntil = min(j.backoffUntil, c.now+machineFailurePause) // only some of its machines are bad
+			job.backoffUntil = min(job.backoffUntil, c.now+machineFailurePause) // only some of its machines are bad
 		}
 	}
 	if wasSuspect {
 		return
 	}
-	m.failedJobs[j] = true
-	if doesWellElsewhere || len(j.failedHosts) == 1 {
-		m.avoidUntil = c.now + machineFailurePause
+	machine.failedJobs[job] = true
+	if doesWellElsewhere || len(job.failedHosts) == 1 {
+		machine.avoidUntil = c.now + machineFailurePause
 	}
 }
 
@@ -140,7 +141,7 @@
 	doWellElsewhere, all := m.countFailedJobs()
 	if doWellElsewhere >= quarantineAfterJobs || all >= quarantineAfterAnyJobs {
 		m.quarantined = true
-		c.log("machine fails tasks", "host", m.host, "type", m.machineType.Name, "jobs", len(m.failedJobs), "that_do_well_elsewhere", doWellElsewhere)
+		c.log("machine quarantined", "host", m.host, "type", m.machineType.Name, "jobs", len(m.failedJobs), "succeeding_elsewhere", doWellElsewhere)
 	}
 }
 
@@ -148,7 +149,7 @@
 // the time after which others failed.
 func (c *Core) clearSuspicion(j *job) {
 	for p := range j.placements {
-		if p.runningSince > 0 && !p.recovered && !p.stopping && c.now-p.runningSince > 2*j.longestFailedRun+recoveryMargin {
+		if p.runningSince > 0 && !p.recovered && !p.stopping && c.now-p.runningSince > recoveryFactor*j.longestFailedRun+recoveryMargin {
 			j.reset()
 			return
 		}
