--- a/internal/sched/admit_test.go
+++ b/internal/sched/admit_test.go
@@ -1,6 +1,7 @@
 package sched
 
 import (
+	"errors"
 	"testing"
 
 	"dalefront/internal/config"
@@ -40,3 +41,40 @@
 		}
 	}
 }
+
+// Each reason for which a job can never run has an error of its own.
+func TestAdmitErrors(t *testing.T) {
+	b := newBed(t, config.Team{Name: "a", MaxCPUs: 16})
+	catalog := wire.Catalog{Types: []wire.MachineType{*b.machineTypes["s"]}}
+	zone := "x"
+	for name, test := range map[string]struct {
+		change  func(*wire.Job)
+		matches func(error) bool
+	}{
+		"unknown team": {
+			func(j *wire.Job) { j.Team = "z" },
+			func(err error) bool { var e *UnknownTeamError; return errors.As(err, &e) && e.Team == "z" },
+		},
+		"no machine type": {
+			func(j *wire.Job) { j.CPUs = 9 },
+			func(err error) bool { return errors.Is(err, ErrNoMachineType) },
+		},
+		"spread in one zone": {
+			func(j *wire.Job) { j.Shape, j.Spread, j.Zone = wire.Gang, true, &zone },
+			func(err error) bool { return errors.Is(err, ErrSpreadInOneZone) },
+		},
+		"over the limit": {
+			func(j *wire.Job) { j.Shape, j.Tasks = wire.Gang, 17 },
+			func(err error) bool { var e *OverLimitError; return errors.As(err, &e) && e.Team == "a" },
+		},
+		"admitted": {func(*wire.Job) {}, func(err error) bool { return err == nil }},
+	} {
+		t.Run(name, func(t *testing.T) {
+			j := spec("j-1", "a", wire.Normal, 2, 1)
+			test.change(&j)
+			if err := Admit(b.settings, catalog, &j); !test.matches(err) {
+				t.Errorf("the error is %v", err)
+			}
+		})
+	}
+}
--- a/internal/sched/progress_test.go
+++ b/internal/sched/progress_test.go
@@ -65,3 +65,43 @@
 	}
 	b.fits(cm)
 }
+
+// The stored form of progress is that of earlier versions: words in little-endian order, as base64
+// text. What is stored of one set can be merged into another, and a text that is no chunk adds nothing.
+func TestTaskSetChunks(t *testing.T) {
+	const tasks = ChunkTasks + 70
+	set := newTaskSet(tasks)
+	for _, task := range []int32{0, 9, 63, 64, ChunkTasks - 1, ChunkTasks, ChunkTasks + 69} {
+		set.add(task)
+	}
+	if got, want := set.encodeChunk(1), "AQAAAAAAAAAgAAAAAAAAAA=="; got != want {
+		t.Errorf("the second chunk is %q, want %q", got, want)
+	}
+	merged := newTaskSet(tasks)
+	merged.add(5)
+	for chunk := range 2 {
+		merged.mergeChunk(chunk, set.encodeChunk(chunk))
+	}
+	merged.mergeChunk(0, "no chunk!")
+	for task := range int32(tasks) {
+		if want := set.has(task) || task == 5; merged.has(task) != want {
+			t.Errorf("task %d is in the merged set: %v, want %v", task, !want, want)
+		}
+	}
+}
+
+// A chunk stays dirty if tasks have completed since it was handed out, and only what is stored is durable.
+func TestProgressStoredLate(t *testing.T) {
+	p := newProgress(10)
+	p.complete(1)
+	text := p.completed.encodeChunk(0)
+	p.complete(2)
+	p.chunkStored(0, text)
+	if !p.dirtyChunks[0] || !p.isDurable(1) || p.isDurable(2) {
+		t.Errorf("dirty %v, task 1 durable %v, task 2 durable %v", p.dirtyChunks[0], p.isDurable(1), p.isDurable(2))
+	}
+	p.chunkStored(0, p.completed.encodeChunk(0))
+	if p.dirtyChunks[0] || !p.isDurable(2) {
+		t.Errorf("dirty %v, task 2 durable %v", p.dirtyChunks[0], p.isDurable(2))
+	}
+}
