--- a/internal/calendar/file.go
+++ b/internal/calendar/file.go
@@ -16,73 +16,28 @@
 	"github.com/hashicorp/hcl/v2/hclparse"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
+	"dalefront/internal/hclfile"
 	"dalefront/wire"
 )
 
-type calendarBlock struct {
-	Timezone string         `hcl:"timezone"`
-	Weekdays []string       `hcl:"weekdays,optional"`
-	Country  string         `hcl:"country,optional"`
-	Holidays []holidayBlock `hcl:"holiday,block"`
-}
-
-type scheduleBlock struct {
-	Calendar  string       `hcl:"calendar"`
-	Cron      string       `hcl:"cron,optional"`
-	Sun       *sunBlock    `hcl:"sun,block"`
-	FinishBy  *finishBlock `hcl:"finish_by,block"`
-	Gap       string       `hcl:"gap,optional"`
-	OnHoliday string       `hcl:"on_holiday,optional"`
-	When      string       `hcl:"when,optional"`
-	From      string       `hcl:"from,optional"`
-	Until     string       `hcl:"until,optional"`
-	Missed    string       `hcl:"missed,optional"`
-	Bound     int          `hcl:"missed_bound,optional"`
-	LatestS   float64      `hcl:"latest_start_s,optional"`
-	Overlap   string       `hcl:"overlap,optional"`
-	JitterS   float64      `hcl:"jitter_s,optional"`
-	KeepRuns  int          `hcl:"keep_runs,optional"`
-	Job       *jobBlock    `hcl:"job,block"`
-}
-
-type sunBlock struct {
-	Event     string  `hcl:"event"`
-	Latitude  float64 `hcl:"latitude"`
-	Longitude float64 `hcl:"longitude"`
-	OffsetS   float64 `hcl:"offset_s,optional"`
-}
-
-type finishBlock struct {
-	At   string  `hcl:"at"`
-	RunS float64 `hcl:"run_s"`
-}
+// Words of a file beside the policies.
+const (
+	gapNext     = "next" // a local time that does not exist runs when the clocks change
+	gapSkip     = "skip" // it does not run
+	holidaySkip = "skip"
+	holidayRun  = "run"
+	holidayOnly = "only"
+)
 
-type jobBlock struct {
-	Class       string   `hcl:"class"`
-	Team        string   `hcl:"team"`
-	Shape       string   `hcl:"shape,optional"`
-	Priority    string   `hcl:"priority,optional"`
-	Tasks       int      `hcl:"tasks,optional"`
-	CPUs        float64  `hcl:"cpus"`
-	GPUs        float64  `hcl:"gpus,optional"`
-	MemoryGB    float64  `hcl:"memory_gb"`
-	Image       string   `hcl:"image"`
-	ImageGB     float64  `hcl:"image_gb"`
-	Types       []string `hcl:"types,optional"`
-	Zone        *string  `hcl:"zone,optional"`
-	OneZone     bool     `hcl:"one_zone,optional"`
-	Spread      bool     `hcl:"spread,optional"`
-	Spot        bool     `hcl:"spot,optional"`
-	EstimateS   float64  `hcl:"estimate_s"`
-	CheckpointS float64  `hcl:"checkpoint_every_s,optional"`
-	SaveS       float64  `hcl:"save_s,optional"`
-	DeadlineS   *float64 `hcl:"deadline_s,optional"`
-}
+const (
+	secondsPerDay  = 86400
+	revisionLength = 8 // bytes of the hash
+)
 
 // Limits of a file.
 const (
-	mostBytes     = 16 << 20
-	mostSchedules = 100_000
+	maxFileBytes = 16 << 20
+	maxSchedules = 100_000
 )
 
 var nameForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$`)
@@ -98,40 +53,25 @@
 }
 
 // Parse checks the text of a file; the name is for errors.
-func Parse(name string, src []byte) (*Calendar, error) {
-	if len(src) > mostBytes {
-		return nil, fmt.Errorf("%s: larger than %d bytes", name, mostBytes)
+func Parse(name string, source []byte) (*Calendar, error) {
+	if len(source) > maxFileBytes {
+		return nil, fmt.Errorf("%s: larger than %d bytes", name, maxFileBytes)
 	}
-	f, diags := hclparse.NewParser().ParseHCL(src, name)
-	if diags.HasErrors() {
-		return nil, located(diags)
+	file, diagnostics := hclparse.NewParser().ParseHCL(source, name)
+	if diagnostics.HasErrors() {
+		return nil, firstError(diagnostics)
 	}
-	body, ok := f.Body.(*hclsyntax.Body)
+	body, ok := file.Body.(*hclsyntax.Body)
 	if !ok {
 		return nil, fmt.Errorf("%s: not HCL", name)
 	}
-	for _, a := range body.Attributes {
-		return nil, at(a.SrcRange, "%q does not belong here: a file holds calendar and schedule blocks", a.Name)
+	for _, attribute := range body.Attributes {
+		return nil, hclfile.At(attribute.SrcRange, "%q does not belong here: a file holds calendar and schedule blocks", attribute.Name)
 	}
 	r := &reader{calendars: map[string]*days{}, named: map[string]bool{}}
-	for _, kind := range []string{"calendar", "schedule"} { // a schedule may come before its calendar
-		for _, b := range body.Blocks {
-			if b.Type != "calendar" && b.Type != "schedule" {
-				return nil, at(b.TypeRange, "%q is not known: a file holds calendar and schedule blocks", b.Type)
-			}
-			if b.Type != kind {
-				continue
-			}
-			if len(b.Labels) != 1 || !nameForm.MatchString(b.Labels[0]) {
-				return nil, at(b.DefRange(), "a %s has one name of up to 64 letters, digits and _.-", b.Type)
-			}
-			var err error
-			if kind == "calendar" {
-				err = r.calendar(b)
-			} else {
-				err = r.schedule(b, src)
-			}
-			if err != nil {
+	for _, kind := range []string{calendarKind, scheduleKind} { // a schedule may come before its calendar
+		for _, block := range body.Blocks {
+			if err := r.block(block, kind, source); err != nil {
 				return nil, err
 			}
 		}
@@ -140,243 +80,310 @@
 	return &r.out, nil
 }
 
-// located is the first error of the parser as one line.
-func located(diags hcl.Diagnostics) error {
-	for _, d := range diags {
-		if d.Severity != hcl.DiagError {
+// Kinds of blocks of a file.
+const (
+	calendarKind = "calendar"
+	scheduleKind = "schedule"
+)
+
+// block reads a block if it is of the kind.
+func (r *reader) block(block *hclsyntax.Block, kind string, source []byte) error {
+	if block.Type != calendarKind && block.Type != scheduleKind {
+		return hclfile.At(block.TypeRange, "%q is not known: a file holds calendar and schedule blocks", block.Type)
+	}
+	if block.Type != kind {
+		return nil
+	}
+	if len(block.Labels) != 1 || !nameForm.MatchString(block.Labels[0]) {
+		return hclfile.At(block.DefRange(), "a %s has one name of up to 64 letters, digits and _.-", block.Type)
+	}
+	if kind == calendarKind {
+		return r.calendar(block)
+	}
+	return r.schedule(block, source)
+}
+
+// firstError is the first error of the parser as one line.
+func firstError(diagnostics hcl.Diagnostics) error {
+	for _, diagnostic := range diagnostics {
+		if diagnostic.Severity != hcl.DiagError {
 			continue
 		}
-		text := strings.TrimSuffix(d.Summary, ".")
-		if d.Detail != "" {
-			text += ": " + strings.ReplaceAll(d.Detail, "\n", " ")
+		text := strings.TrimSuffix(diagnostic.Summary, ".")
+		if diagnostic.Detail != "" {
+			text += ": " + strings.ReplaceAll(diagnostic.Detail, "\n", " ")
 		}
-		if d.Subject == nil {
-			return fmt.Errorf("%s", text)
+		if diagnostic.Subject == nil {
+			return errors.New(text)
 		}
-		return at(*d.Subject, "%s", text)
+		return hclfile.At(*diagnostic.Subject, "%s", text)
 	}
 	return nil
 }
 
-func at(r hcl.Range, format string, args ...any) error {
-	return fmt.Errorf("%s:%d:%d: %s", r.Filename, r.Start.Line, r.Start.Column, fmt.Sprintf(format, args...))
-}
-
 // where is the place of an attribute or block inside a block, or the block's own.
-func where(b *hclsyntax.Block, name string) hcl.Range {
-	if a := b.Body.Attributes[name]; a != nil {
-		return a.SrcRange
+func where(block *hclsyntax.Block, name string) hcl.Range {
+	if attribute := block.Body.Attributes[name]; attribute != nil {
+		return attribute.SrcRange
 	}
-	for _, x := range b.Body.Blocks {
-		if x.Type == name {
-			return x.DefRange()
+	for _, inner := range block.Body.Blocks {
+		if inner.Type == name {
+			return inner.DefRange()
 		}
 	}
-	return b.DefRange()
+	return block.DefRange()
 }
 
 // days is what a calendar block says.
 type days struct {
-	loc      *time.Location
-	week     [7]bool
+	location *time.Location
+	week     [7]bool // on which days of the week it runs, from Sunday
 	holidays *holidays
-	text     string
+	text     string // of the definition, for the revision of schedules
 }
 
+// reader collects what a file holds.
 type reader struct {
 	calendars map[string]*days
 	named     map[string]bool // schedules
 	out       Calendar
 }
 
-func (r *reader) calendar(b *hclsyntax.Block) error {
-	name := b.Labels[0]
+func (r *reader) calendar(block *hclsyntax.Block) error {
+	name := block.Labels[0]
 	if r.calendars[name] != nil {
-		return at(b.DefRange(), "calendar %q is there twice", name)
+		return hclfile.At(block.DefRange(), "calendar %q is there twice", name)
 	}
-	var c calendarBlock
-	if diags := gohcl.DecodeBody(b.Body, nil, &c); diags.HasErrors() {
-		return located(diags)
+	var definition calendarBlock
+	if diagnostics := gohcl.DecodeBody(block.Body, nil, &definition); diagnostics.HasErrors() {
+		return firstError(diagnostics)
 	}
-	d := &days{holidays: &holidays{dates: map[string]string{}}}
-	var err error
-	if d.loc, err = time.LoadLocation(c.Timezone); err != nil || c.Timezone == "" || c.Timezone == "Local" {
-		return at(where(b, "timezone"), "%q is not an IANA time zone", c.Timezone)
+	days, err := daysOf(block, &definition)
+	if err != nil {
+		return err
 	}
-	for _, w := range c.Weekdays {
-		i := slices.Index(weekdays, strings.ToLower(w))
-		if i < 0 {
-			return at(where(b, "weekdays"), "%q is not one of %s", w, strings.Join(weekdays, ", "))
+	r.calendars[name] = days
+	return nil
+}
+
+// daysOf checks a calendar's definition.
+func daysOf(block *hclsyntax.Block, definition *calendarBlock) (*days, error) {
+	location, err := time.LoadLocation(definition.Timezone)
+	if err != nil || definition.Timezone == "" || definition.Timezone == "Local" {
+		return nil, hclfile.At(where(block, "timezone"), "%q is not an IANA time zone", definition.Timezone)
+	}
+	out := &days{location: location, holidays: &holidays{dates: map[string]string{}}}
+	for _, name := range definition.Weekdays {
+		weekday := slices.Index(weekdays, strings.ToLower(name))
+		if weekday < 0 {
+			return nil, hclfile.At(where(block, "weekdays"), "%q is not one of %s", name, strings.Join(weekdays, ", "))
 		}
-		d.week[i] = true
+		out.week[weekday] = true
 	}
-	if len(c.Weekdays) == 0 {
-		d.week = [7]bool{true, true, true, true, true, true, true}
+	if len(definition.Weekdays) == 0 {
+		out.week = [7]bool{true, true, true, true, true, true, true}
 	}
-	if c.Country != "" {
-		if countries[c.Country] == nil {
-			return at(where(b, "country"), "holidays of %q are not known, only of %s; list them as holiday blocks", c.Country, strings.Join(Countries(), ", "))
+	if country := definition.Country; country != "" {
+		if countries[country] == nil {
+			return nil, hclfile.At(where(block, "country"), "holidays of %q are not known, only of %s; list them as holiday blocks", country, strings.Join(Countries(), ", "))
 		}
-		d.holidays.rules = slices.Clone(countries[c.Country])
+		out.holidays.rules = slices.Clone(countries[country])
 	}
-	for i := range c.Holidays {
-		if err := c.Holidays[i].add(d.holidays); err != nil {
-			return at(where(b, "holiday"), "%v", err)
+	for i := range definition.Holidays {
+		if err := definition.Holidays[i].add(out.holidays); err != nil {
+			return nil, hclfile.At(where(block, "holiday"), "%v", err)
 		}
 	}
-	d.text = fmt.Sprintf("%+v", c)
-	r.calendars[name] = d
-	return nil
+	out.text = fmt.Sprintf("%+v", *definition)
+	return out, nil
 }
 
-func (r *reader) schedule(b *hclsyntax.Block, src []byte) error {
-	name := b.Labels[0]
+func (r *reader) schedule(block *hclsyntax.Block, source []byte) error {
+	name := block.Labels[0]
 	if r.named[name] {
-		return at(b.DefRange(), "schedule %q is there twice", name)
+		return hclfile.At(block.DefRange(), "schedule %q is there twice", name)
+	}
+	if len(r.out.Schedules) == maxSchedules {
+		return hclfile.At(block.DefRange(), "more than %d schedules", maxSchedules)
 	}
-	if len(r.out.Schedules) == mostSchedules {
-		return at(b.DefRange(), "more than %d schedules", mostSchedules)
+	definition := scheduleBlock{Gap: gapNext, OnHoliday: holidaySkip, Missed: MissedRunOnce, Bound: 10, LatestS: 3600, Overlap: OverlapForbid, KeepRuns: 20}
+	if diagnostics := gohcl.DecodeBody(block.Body, nil, &definition); diagnostics.HasErrors() {
+		return firstError(diagnostics)
 	}
-	x := scheduleBlock{Gap: "next", OnHoliday: "skip", Missed: MissedRunOnce, Bound: 10, LatestS: 3600, Overlap: OverlapForbid, KeepRuns: 20}
-	if diags := gohcl.DecodeBody(b.Body, nil, &x); diags.HasErrors() {
-		return located(diags)
+	calendarDays := r.calendars[definition.Calendar]
+	if calendarDays == nil {
+		return hclfile.At(where(block, "calendar"), "there is no calendar %q", definition.Calendar)
 	}
-	d := r.calendars[x.Calendar]
-	if d == nil {
-		return at(where(b, "calendar"), "there is no calendar %q", x.Calendar)
+	if err := definition.checkPolicies(block); err != nil {
+		return err
+	}
+	schedule, err := definition.schedule(block, calendarDays)
+	if err != nil {
+		return err
 	}
-	s := &Schedule{Name: name, Location: d.loc, Missed: x.Missed, MissedBound: x.Bound, LatestStart: seconds(x.LatestS), Overlap: x.Overlap,
-		Jitter: seconds(x.JitterS), KeepRuns: x.KeepRuns, days: d.week, holidays: d.holidays, onOff: x.OnHoliday}
-	for _, c := range []struct {
-		name, value string
-		allowed     []string
+	schedule.Revision = revision(block.Range().SliceBytes(source), calendarDays)
+	r.named[name] = true
+	r.out.Schedules = append(r.out.Schedules, schedule)
+	return nil
+}
+
+// revision is a hash of whatever the file says of a schedule and of its calendar.
+func revision(source []byte, calendarDays *days) string {
+	sum := sha256.New()
+	_, _ = sum.Write(source)
+	_, _ = sum.Write([]byte(calendarDays.text))
+	return hex.EncodeToString(sum.Sum(nil)[:revisionLength])
+}
+
+// checkPolicies checks the words and numbers of a schedule.
+func (s *scheduleBlock) checkPolicies(block *hclsyntax.Block) error {
+	for _, word := range []struct {
+		field, value string
+		allowed      []string
 	}{
-		{"gap", x.Gap, []string{"next", "skip"}},
-		{"on_holiday", x.OnHoliday, []string{"skip", "run", "only"}},
-		{"missed", x.Missed, []string{MissedSkip, MissedRunOnce, MissedRunAll}},
-		{"overlap", x.Overlap, []string{OverlapAllow, OverlapForbid, OverlapReplace}},
+		{"gap", s.Gap, []string{gapNext, gapSkip}},
+		{"on_holiday", s.OnHoliday, []string{holidaySkip, holidayRun, holidayOnly}},
+		{"missed", s.Missed, []string{MissedSkip, MissedRunOnce, MissedRunAll}},
+		{"overlap", s.Overlap, []string{OverlapAllow, OverlapForbid, OverlapReplace}},
 	} {
-		if !slices.Contains(c.allowed, c.value) {
-			return at(where(b, c.name), "%s is %q, not one of %s", c.name, c.value, strings.Join(c.allowed, ", "))
+		if !slices.Contains(word.allowed, word.value) {
+			return hclfile.At(where(block, word.field), "%s is %q, not one of %s", word.field, word.value, strings.Join(word.allowed, ", "))
 		}
 	}
-	for _, c := range []struct {
-		name      string
-		v, lo, hi float64
+	for _, number := range []struct {
+		field              string
+		value, least, most float64
 	}{
-		{"missed_bound", float64(x.Bound), 1, 1000}, {"latest_start_s", x.LatestS, 1, 366 * 86400},
-		{"jitter_s", x.JitterS, 0, 86400}, {"keep_runs", float64(x.KeepRuns), 1, 100},
+		{"missed_bound", float64(s.Bound), 1, 1000},
+		{"latest_start_s", s.LatestS, 1, 366 * secondsPerDay},
+		{"jitter_s", s.JitterS, 0, secondsPerDay},
+		{"keep_runs", float64(s.KeepRuns), 1, 100},
 	} {
-		if !(c.v >= c.lo && c.v <= c.hi) {
-			return at(where(b, c.name), "%s must be from %g to %g", c.name, c.lo, c.hi)
+		if !(number.value >= number.least && number.value <= number.most) { // not a number is refused too
+			return hclfile.At(where(block, number.field), "%s must be from %g to %g", number.field, number.least, number.most)
 		}
 	}
+	return nil
+}
+
+// schedule turns a definition into a schedule without a revision.
+func (s *scheduleBlock) schedule(block *hclsyntax.Block, calendarDays *days) (*Schedule, error) {
+	name, location := block.Labels[0], calendarDays.location
+	out := &Schedule{Name: name, Location: location, Missed: s.Missed, MissedBound: s.Bound, LatestStart: seconds(s.LatestS), Overlap: s.Overlap,
+		Jitter: seconds(s.JitterS), KeepRuns: s.KeepRuns, days: calendarDays.week, holidays: calendarDays.holidays, onHoliday: s.OnHoliday}
 	var err error
-	if s.rule, err = x.rule(d.loc); err != nil {
-		place := "cron"
-		if x.Sun != nil {
-			place = "sun"
-		} else if x.FinishBy != nil {
-			place = "finish_by"
-		}
-		return at(where(b, place), "%v", err)
+	if out.rule, err = s.rule(location); err != nil {
+		return nil, hclfile.At(where(block, s.ruleField()), "%v", err)
 	}
-	if s.From, err = instant(x.From, d.loc); err != nil {
-		return at(where(b, "from"), "from: %v", err)
+	if out.From, err = instant(s.From, location); err != nil {
+		return nil, hclfile.At(where(block, "from"), "from: %v", err)
 	}
-	if s.Until, err = instant(x.Until, d.loc); err != nil {
-		return at(where(b, "until"), "until: %v", err)
+	if out.Until, err = instant(s.Until, location); err != nil {
+		return nil, hclfile.At(where(block, "until"), "until: %v", err)
 	}
-	if x.When != "" {
-		if s.when, err = newCondition(x.When); err != nil {
-			return at(where(b, "when"), "%v", err)
+	if s.When != "" {
+		if out.when, err = newCondition(s.When); err != nil {
+			return nil, hclfile.At(where(block, "when"), "%v", err)
 		}
 	}
-	if x.Job == nil {
-		return at(b.DefRange(), "schedule %q has no job block", name)
+	if s.Job == nil {
+		return nil, hclfile.At(block.DefRange(), "schedule %q has no job block", name)
 	}
-	if s.Job, err = x.Job.template(); err != nil {
-		return at(where(b, "job"), "%v", err)
+	if out.Job, err = s.Job.template(); err != nil {
+		return nil, hclfile.At(where(block, "job"), "%v", err)
 	}
-	// Whatever the file says of it, and of its calendar, is part of the revision.
-	sum := sha256.New()
-	_, _ = sum.Write(b.Range().SliceBytes(src))
-	_, _ = sum.Write([]byte(d.text))
-	s.Revision = hex.EncodeToString(sum.Sum(nil)[:8])
-	r.named[name] = true
-	r.out.Schedules = append(r.out.Schedules, s)
-	return nil
+	return out, nil
+}
+
+// ruleField names the field or block that an error of the rule is about.
+func (s *scheduleBlock) ruleField() string {
+	switch {
+	case s.Sun != nil:
+		return "sun"
+	case s.FinishBy != nil:
+		return "finish_by"
+	}
+	return "cron"
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func (x *scheduleBlock) rule(loc *time.Location) (rule, error) {
-	ways := 0
-	for _, set := range []bool{x.Cron != "", x.Sun != nil, x.FinishBy != nil} {
+// rule is the one rule that the definition gives.
+func (s *scheduleBlock) rule(location *time.Location) (rule, error) {
+	rules := 0
+	for _, set := range []bool{s.Cron != "", s.Sun != nil, s.FinishBy != nil} {
 		if set {
-			ways++
+			rules++
 		}
 	}
-	if ways != 1 {
+	switch {
+	case rules != 1:
 		return nil, errors.New("one of cron, sun and finish_by is needed")
+	case s.Cron != "":
+		return newCron(s.Cron, location, s.Gap == gapSkip)
+	case s.Sun != nil:
+		return s.Sun.rule(location)
 	}
-	switch {
-	case x.Cron != "":
-		return newCron(x.Cron, loc, x.Gap == "skip")
-	case x.Sun != nil:
-		u := x.Sun
-		if _, ok := altitudes[u.Event]; !ok {
-			return nil, fmt.Errorf("there is no event %q of the sun", u.Event)
-		}
-		if !(u.Latitude >= -90 && u.Latitude <= 90 && u.Longitude >= -180 && u.Longitude <= 180 && u.OffsetS >= -43200 && u.OffsetS <= 43200) {
-			return nil, errors.New("latitude is from -90 to 90, longitude from -180 to 180, offset_s from -43200 to 43200")
-		}
-		return &sunRule{u.Event, u.Latitude, u.Longitude, seconds(u.OffsetS), loc}, nil
+	return s.FinishBy.rule(location)
+}
+
+func (s *sunBlock) rule(location *time.Location) (rule, error) {
+	if _, ok := altitudes[s.Event]; !ok {
+		return nil, fmt.Errorf("there is no event %q of the sun", s.Event)
 	}
-	by, err := time.Parse("15:04", x.FinishBy.At)
+	const halfDay = secondsPerDay / 2
+	if !(s.Latitude >= -90 && s.Latitude <= 90 && s.Longitude >= -180 && s.Longitude <= 180 && s.OffsetS >= -halfDay && s.OffsetS <= halfDay) {
+		return nil, errors.New("latitude is from -90 to 90, longitude from -180 to 180, offset_s from -43200 to 43200")
+	}
+	return &sunRule{s.Event, s.Latitude, s.Longitude, seconds(s.OffsetS), location}, nil
+}
+
+func (f *finishBlock) rule(location *time.Location) (rule, error) {
+	by, err := time.Parse("15:04", f.At)
 	if err != nil {
-		return nil, fmt.Errorf("at %q is not HH:MM", x.FinishBy.At)
+		return nil, fmt.Errorf("at %q is not HH:MM", f.At)
 	}
-	if run := x.FinishBy.RunS; !(run >= 0 && run <= 86400) {
+	if !(f.RunS >= 0 && f.RunS <= secondsPerDay) {
 		return nil, errors.New("run_s must be from 0 to 86400")
 	}
-	return &finishRule{time.Duration(by.Hour())*time.Hour + time.Duration(by.Minute())*time.Minute, seconds(x.FinishBy.RunS), loc}, nil
+	sinceMidnight := time.Duration(by.Hour())*time.Hour + time.Duration(by.Minute())*time.Minute
+	return &finishRule{sinceMidnight, seconds(f.RunS), location}, nil
 }
 
 // instant reads a date, the start of it, or a local date and time.
-func instant(text string, loc *time.Location) (time.Time, error) {
+func instant(text string, location *time.Location) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
 	}
 	for _, form := range []string{time.DateOnly, "2006-01-02T15:04", "2006-01-02T15:04:05"} {
 		if wall, err := time.Parse(form, text); err == nil {
-			t, _ := resolve(wall, loc)
-			return t, nil
+			at, _ := resolve(wall, location)
+			return at, nil
 		}
 	}
 	return time.Time{}, fmt.Errorf("%q is not YYYY-MM-DD or YYYY-MM-DDTHH:MM", text)
 }
 
 // template is the job with an id that stands for any, checked as a submission is.
-func (x *jobBlock) template() (wire.Job, error) {
-	j := wire.Job{ID: "j-0", Class: x.Class, Team: x.Team, Shape: x.Shape, Priority: x.Priority, Tasks: x.Tasks, CPUs: x.CPUs, GPUs: x.GPUs,
-		MemoryGB: x.MemoryGB, Image: x.Image, ImageGB: x.ImageGB, Types: x.Types, Zone: x.Zone, OneZone: x.OneZone, Spread: x.Spread, Spot: x.Spot,
-		EstimateS: x.EstimateS, CheckpointIntervalS: x.CheckpointS, CheckpointDurationS: x.SaveS, DeadlineS: x.DeadlineS}
-	if j.Shape == "" {
-		j.Shape = wire.Array
+func (b *jobBlock) template() (wire.Job, error) {
+	job := wire.Job{ID: "j-0", Class: b.Class, Team: b.Team, Shape: b.Shape, Priority: b.Priority, Tasks: b.Tasks, CPUs: b.CPUs, GPUs: b.GPUs,
+		MemoryGB: b.MemoryGB, Image: b.Image, ImageGB: b.ImageGB, Types: b.Types, Zone: b.Zone, OneZone: b.OneZone, Spread: b.Spread, Spot: b.Spot,
+		EstimateS: b.EstimateS, CheckpointIntervalS: b.CheckpointS, CheckpointDurationS: b.SaveS, DeadlineS: b.DeadlineS}
+	if job.Shape == "" {
+		job.Shape = wire.Array
 	}
-	if j.Priority == "" {
-		j.Priority = wire.Normal
+	if job.Priority == "" {
+		job.Priority = wire.Normal
 	}
-	if j.Tasks == 0 {
-		j.Tasks = 1
+	if job.Tasks == 0 {
+		job.Tasks = 1
 	}
-	b, err := wire.Marshal(j)
+	body, err := wire.Marshal(job)
 	if err != nil {
-		return j, err
+		return job, err
 	}
-	if _, err := wire.ParseJob(b); err != nil {
-		return j, fmt.Errorf("job: %v", err)
+	if _, err := wire.ParseJob(body); err != nil {
+		return job, fmt.Errorf("job: %w", err)
 	}
-	return j, nil
+	return job, nil
 }
--- a/internal/calendar/holiday.go
+++ b/internal/calendar/holiday.go
@@ -76,7 +76,7 @@
 		if h.years == nil {
 			h.years = map[int]map[string]string{}
 		}
-		if len(h.years) > mostYears {
+		if len(h.years) > maxCachedYears {
 			clear(h.years)
 		}
 		h.years[y] = year
@@ -86,8 +86,8 @@
 
 var weekdays = []string{"sun", "mon", "tue", "wed", "thu", "fri", "sat"}
 
-// mostYears bounds the years whose holidays are remembered.
-const mostYears = 50
+// maxCachedYears bounds the years whose holidays are remembered.
+const maxCachedYears = 50
 
 // holidayBlock is a holiday of a file: the same date each year, listed dates, so many
 // days from Easter, or the nth weekday of a month (counted from its end if negative).
--- a/internal/calendar/rule.go
+++ b/internal/calendar/rule.go
@@ -31,7 +31,7 @@
 	}
 	spec, err := parser.Parse(expr)
 	if err != nil {
-		return nil, fmt.Errorf("cron: %q: %v", expr, err)
+		return nil, fmt.Errorf("cron: %q: %w", expr, err)
 	}
 	return &cronRule{spec, loc, skipGap}, nil
 }
@@ -56,12 +56,12 @@
 	loc      *time.Location
 }
 
-// mostDays is how far ahead a rule looks for a day on which it occurs.
-const mostDays = 400
+// maxDaysAhead is how far ahead a rule looks for a day on which it occurs.
+const maxDaysAhead = 400
 
 func (r *sunRule) next(after time.Time) (at, date time.Time) {
 	day := wallOf(after.Add(-r.offset), r.loc)
-	for i := -1; i < mostDays; i++ {
+	for i := -1; i < maxDaysAhead; i++ {
 		d := time.Date(day.Year(), day.Month(), day.Day()+i, 0, 0, 0, 0, time.UTC)
 		t, ok := SunEvent(r.event, d.Year(), d.Month(), d.Day(), r.lat, r.lon)
 		if at := t.Add(r.offset); ok && at.After(after) {
--- a/internal/calendar/schedule.go
+++ b/internal/calendar/schedule.go
@@ -40,11 +40,11 @@
 	Jitter      time.Duration // runs are spread over so long after their instants
 	KeepRuns    int           // runs of which the history is kept
 
-	rule     rule
-	days     [7]bool
-	holidays *holidays
-	onOff    string // what a holiday does: skip, run, only
-	when     *condition
+	rule      rule
+	days      [7]bool
+	holidays  *holidays
+	onHoliday string // what a holiday does: skip, run, only
+	when      *condition
 }
 
 // Occurrence is an instant at which a schedule falls due.
@@ -87,9 +87,9 @@
 	}
 	holiday := s.holidays.on(date.Date())
 	switch {
-	case holiday != "" && s.onOff == "skip":
+	case holiday != "" && s.onHoliday == holidaySkip:
 		return "holiday: " + holiday
-	case holiday == "" && s.onOff == "only":
+	case holiday == "" && s.onHoliday == holidayOnly:
 		return "not a holiday"
 	}
 	if s.when != nil {
--- a/internal/calendar/sun.go
+++ b/internal/calendar/sun.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The sun's altitude, in degrees, that an event of the day is reckoned by: at sunrise
+// The sun's altitude, in degrees, that defines an event of the day: at sunrise
 // and sunset its upper limb is on the horizon, refraction of 34' included; twilights
 // are by their definitions.
 var altitudes = map[string]float64{
@@ -16,7 +16,8 @@
 	"astronomical_dawn": -18, "astronomical_dusk": -18,
 }
 
-func morning(event string) bool {
+// isMorning reports whether an event comes before noon.
+func isMorning(event string) bool {
 	return event == "sunrise" || event == "civil_dawn" || event == "nautical_dawn" || event == "astronomical_dawn"
 }
 
@@ -59,7 +60,7 @@
 			return time.Time{}, false
 		}
 		angle := math.Acos(h) * 180 / math.Pi
-		if morning(event) {
+		if isMorning(event) {
 			angle = -angle
 		}
 		at = noon.Add(time.Duration((4*angle - eq) * float64(time.Minute)))
