--- a/internal/calendar/holiday.go
+++ b/internal/calendar/holiday.go
@@ -51,42 +51,55 @@
 	years map[int]map[string]string
 }
 
-func dateKey(y int, m time.Month, d int) string { return fmt.Sprintf("%04d-%02d-%02d", y, m, d) }
+// dateKey is a date as YYYY-MM-DD.
+func dateKey(year int, month time.Month, day int) string {
+	return fmt.Sprintf("%04d-%02d-%02d", year, month, day)
+}
 
-func (h *holidays) on(y int, m time.Month, d int) string {
+// on names the public holiday on a date; empty if there is none.
+func (h *holidays) on(year int, month time.Month, day int) string {
 	if h == nil {
 		return ""
 	}
-	if name := h.dates[dateKey(y, m, d)]; name != "" {
+	date := dateKey(year, month, day)
+	if name := h.dates[date]; name != "" {
 		return name
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	year, ok := h.years[y]
-	if !ok {
-		year = map[string]string{}
-		for _, r := range h.rules {
-			actual, observed := r.Calc(y)
-			for _, t := range []time.Time{actual, observed} {
-				if !t.IsZero() {
-					year[dateKey(t.Date())] = r.Name
-				}
-			}
-		}
+	names, cached := h.years[year]
+	if !cached {
+		names = h.inYear(year)
 		if h.years == nil {
 			h.years = map[int]map[string]string{}
 		}
 		if len(h.years) > maxCachedYears {
 			clear(h.years)
 		}
-		h.years[y] = year
+		h.years[year] = names
 	}
-	return year[dateKey(y, m, d)]
+	return names[date]
 }
 
+// inYear finds the names of a year's holidays, by date. The day on which a holiday is observed is one
+// too.
+func (h *holidays) inYear(year int) map[string]string {
+	names := map[string]string{}
+	for _, rule := range h.rules {
+		actual, observed := rule.Calc(year)
+		for _, date := range []time.Time{actual, observed} {
+			if !date.IsZero() {
+				names[dateKey(date.Date())] = rule.Name
+			}
+		}
+	}
+	return names
+}
+
+// weekdays are the names of days in a file, by time.Weekday.
 var weekdays = []string{"sun", "mon", "tue", "wed", "thu", "fri", "sat"}
 
-// maxCachedYears bounds the years whose holidays are remembered.
+// maxCachedYears bounds the years whose holidays are cached.
 const maxCachedYears = 50
 
 // holidayBlock is a holiday of a file: the same date each year, listed dates, so many
@@ -103,7 +116,8 @@
 	Until   int      `hcl:"until_year,optional"`
 }
 
-func (b *holidayBlock) add(h *holidays) error {
+// add adds the holiday to those of a calendar.
+func (b *holidayBlock) add(to *holidays) error {
 	ways := 0
 	for _, set := range []bool{b.Date != "", len(b.Dates) > 0, b.Easter != nil, b.Weekday != ""} {
 		if set {
@@ -113,40 +127,69 @@
 	if ways != 1 {
 		return fmt.Errorf("holiday %q: one of date, dates, easter and weekday is needed", b.Name)
 	}
+	if len(b.Dates) > 0 {
+		return b.addDates(to)
+	}
 	rule := &cal.Holiday{Name: b.Name, StartYear: b.From, EndYear: b.Until}
+	var err error
 	switch {
 	case b.Date != "":
-		t, err := time.Parse("2006-01-02", "2000-"+b.Date) // a leap year
-		if err != nil {
-			return fmt.Errorf("holiday %q: date %q is not MM-DD", b.Name, b.Date)
-		}
-		rule.Month, rule.Day, rule.Func = t.Month(), t.Day(), cal.CalcDayOfMonth
-		if t.Month() == time.February && t.Day() == 29 {
-			rule.Func = func(_ *cal.Holiday, year int) time.Time {
-				if t := time.Date(year, time.February, 29, 0, 0, 0, 0, time.UTC); t.Day() == 29 {
-					return t
-				}
-				return time.Time{}
-			}
-		}
-	case len(b.Dates) > 0:
-		for _, d := range b.Dates {
-			t, err := time.Parse(time.DateOnly, d)
-			if err != nil {
-				return fmt.Errorf("holiday %q: date %q is not YYYY-MM-DD", b.Name, d)
-			}
-			h.dates[dateKey(t.Date())] = b.Name
-		}
-		return nil
+		err = b.setDayOfYear(rule)
 	case b.Easter != nil:
 		rule.Offset, rule.Func = *b.Easter, cal.CalcEasterOffset
 	default:
-		day := slices.Index(weekdays, strings.ToLower(b.Weekday))
-		if day < 0 || b.Nth == 0 || b.Nth < -5 || b.Nth > 5 || b.Month < 1 || b.Month > 12 {
-			return fmt.Errorf("holiday %q: weekday is one of %s, nth from 1 to 5 or -1 to -5, month from 1 to 12", b.Name, strings.Join(weekdays, ", "))
+		err = b.setWeekdayOfMonth(rule)
+	}
+	if err != nil {
+		return err
+	}
+	to.rules = append(to.rules, rule)
+	return nil
+}
+
+// addDates adds the days that are listed with their years.
+func (b *holidayBlock) addDates(to *holidays) error {
+	for _, text := range b.Dates {
+		date, err := time.Parse(time.DateOnly, text)
+		if err != nil {
+			return fmt.Errorf("holiday %q: date %q is not YYYY-MM-DD", b.Name, text)
 		}
-		rule.Month, rule.Weekday, rule.Offset, rule.Func = time.Month(b.Month), time.Weekday(day), b.Nth, cal.CalcWeekdayOffset
+		to.dates[dateKey(date.Date())] = b.Name
+	}
+	return nil
+}
+
+func (b *holidayBlock) setDayOfYear(rule *cal.Holiday) error {
+	date, err := time.Parse(time.DateOnly, "2000-"+b.Date) // a leap year
+	if err != nil {
+		return fmt.Errorf("holiday %q: date %q is not MM-DD", b.Name, b.Date)
+	}
+	rule.Month, rule.Day, rule.Func = date.Month(), date.Day(), cal.CalcDayOfMonth
+	if date.Month() == time.February && date.Day() == 29 {
+		rule.Func = leapDay
+	}
+	return nil
+}
+
+// leapDay is 29 February, or the zero time in years without one.
+func leapDay(_ *cal.Holiday, year int) time.Time {
+	date := time.Date(year, time.February, 29, 0, 0, 0, 0, time.UTC)
+	if date.Day() != 29 {
+		return time.Time{}
+	}
+	return date
+}
+
+// nthLimit is the last weekday of its kind that a month may have, counted from its start or, negative,
+// from its end.
+const nthLimit = 5
+
+func (b *holidayBlock) setWeekdayOfMonth(rule *cal.Holiday) error {
+	weekday := slices.Index(weekdays, strings.ToLower(b.Weekday))
+	if weekday < 0 || b.Nth == 0 || b.Nth < -nthLimit || b.Nth > nthLimit || b.Month < 1 || b.Month > 12 {
+		return fmt.Errorf("holiday %q: weekday is one of %s, nth from 1 to 5 or -1 to -5, month from 1 to 12", b.Name, strings.Join(weekdays, ", "))
 	}
-	h.rules = append(h.rules, rule)
+	rule.Month, rule.Weekday = time.Month(b.Month), time.Weekday(weekday)
+	rule.Offset, rule.Func = b.Nth, cal.CalcWeekdayOffset
 	return nil
 }
