--- a/internal/calendar/calendar_test.go
+++ b/internal/calendar/calendar_test.go
@@ -67,7 +67,7 @@
 func scan(r *cronRule, after time.Time, until time.Time) (time.Time, bool) {
 	matches := func(wall time.Time) bool { return r.spec.Next(wall.Add(-time.Second)).Equal(wall) }
 	for t := after.Truncate(time.Minute).Add(time.Minute); !t.After(until); t = t.Add(time.Minute) {
-		wall, before := wallOf(t, r.loc), wallOf(t.Add(-time.Minute), r.loc)
+		wall, before := wallOf(t, r.location), wallOf(t.Add(-time.Minute), r.location)
 		if !r.skipGap {
 			for w := before.Add(time.Minute); w.Before(wall); w = w.Add(time.Minute) {
 				if matches(w) {
@@ -80,7 +80,7 @@
 		}
 		shown := false
 		for d := 15 * time.Minute; d <= 3*time.Hour; d += 15 * time.Minute {
-			shown = shown || wallOf(t.Add(-d), r.loc).Equal(wall)
+			shown = shown || wallOf(t.Add(-d), r.location).Equal(wall)
 		}
 		if !shown {
 			return t, true
@@ -110,7 +110,7 @@
 			got, _ := r.next(after)
 			want, found := scan(r, after, after.Add(8*24*time.Hour))
 			if !found || !got.Equal(want) {
-				rt.Fatalf("%s in %s after %s: %s, a scan finds %s", expr, r.loc, after, got, want)
+				rt.Fatalf("%s in %s after %s: %s, a scan finds %s", expr, r.location, after, got, want)
 			}
 			if !got.After(after) {
 				rt.Fatalf("%s does not come after %s", got, after)
--- a/internal/calendar/condition.go
+++ b/internal/calendar/condition.go
@@ -10,7 +10,7 @@
 
 // condition is an expression in Starlark over the local date and time of an
 // occurrence. It sees no clock, file or network, and is bounded in steps.
-type condition struct{ src string }
+type condition struct{ source string }
 
 // maxConditionChars bounds the characters of a condition.
 const maxConditionChars = 2000
@@ -37,7 +37,7 @@
 		"minute": local.Minute(), "weekday": int(local.Weekday()), "yearday": local.YearDay()} {
 		env[name] = starlark.MakeInt(number)
 	}
-	value, err := starlark.EvalOptions(&syntax.FileOptions{}, thread, "when", c.src, env)
+	value, err := starlark.EvalOptions(&syntax.FileOptions{}, thread, "when", c.source, env)
 	if err != nil {
 		return false, fmt.Errorf("when: %w", err)
 	}
--- a/internal/calendar/zone.go
+++ b/internal/calendar/zone.go
@@ -14,15 +14,15 @@
 	return time.Date(t.Year(), t.Month(), t.Day(), t.Hour(), t.Minute(), t.Second(), t.Nanosecond(), time.UTC)
 }
 
-// window is beyond any zone's offset from UTC.
-const window = 16 * time.Hour
+// maxZoneOffset is beyond any zone's offset from UTC.
+const maxZoneOffset = 16 * time.Hour
 
 // resolve is the instant at which clocks in the zone show the wall time. A wall time
 // that occurs twice, as clocks go back, is the first of the two; one that does not
 // occur, as clocks go forward, is the instant at which they do, and exists is false.
 func resolve(wall time.Time, loc *time.Location) (at time.Time, exists bool) {
-	end := wall.Add(window)
-	for t := wall.Add(-window); t.Before(end); {
+	end := wall.Add(maxZoneOffset)
+	for t := wall.Add(-maxZoneOffset); t.Before(end); {
 		in := t.In(loc)
 		_, offset := in.Zone()
 		at = wall.Add(-time.Duration(offset) * time.Second)
