--- a/cmd/dalefront/scale.go
+++ b/cmd/dalefront/scale.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	violations := report.Broken
+	violations := report.Violations
 	if flags.sweep {
 		sweepViolations, err := runSweeps(ctx, cmd, spec, options, report, flags.dir)
 		if err != nil {
@@ -73,13 +73,13 @@
 // after each point, since a sweep takes long.
 func runSweeps(ctx context.Context, cmd *cobra.Command, spec *scaletest.Spec, options scaletest.Options, first *scaletest.Report, dir string) (violations []string, err error) {
 	var writeErr error
-	options.Swept = func(sweep *scaletest.SweepReport) { writeErr = writeSweeps(dir, sweep) }
+	options.SweepDone = func(sweep *scaletest.SweepReport) { writeErr = writeSweeps(dir, sweep) }
 	sweep, err := scaletest.RunSweeps(ctx, spec, options, first)
 	fmt.Fprintln(cmd.ErrOrStderr()) // ends the line of the progress
 	if err := errors.Join(err, sweep.Text(cmd.OutOrStdout()), writeErr); err != nil {
 		return nil, err
 	}
-	return sweep.Broken, nil
+	return sweep.Violations, nil
 }
 
 func writeScale(dir string, report *scaletest.Report) error {
--- a/cmd/dalefront/scale_test.go
+++ b/cmd/dalefront/scale_test.go
@@ -22,11 +22,11 @@
 	}
 	spec.RampS = 240
 	r, err := scaletest.Run(t.Context(), spec, scaletest.Options{Dir: t.TempDir()})
-	if err != nil && !errors.Is(err, scaletest.ErrNotCounted) {
+	if err != nil && !errors.Is(err, scaletest.ErrInvalidRun) {
 		t.Fatal(err)
 	}
-	if len(r.Broken) > 0 || len(r.Malformed) > 0 {
-		t.Errorf("broken rules: %v, malformed transactions: %v", r.Broken, r.Malformed)
+	if len(r.Violations) > 0 || len(r.Malformed) > 0 {
+		t.Errorf("broken rules: %v, malformed transactions: %v", r.Violations, r.Malformed)
 	}
 	if r.Role("leader").ResidentMB == 0 || r.Role("other controller").ResidentMB == 0 || r.State.All == 0 || r.Worker.P50BS == 0 || r.StartsPerS == 0 {
 		t.Errorf("not everything was measured: %+v", r)
@@ -34,8 +34,8 @@
 	if c := r.Config; c == nil || c.Applied == 0 || c.Failed > 0 {
 		t.Errorf("configuration: %+v", c)
 	}
-	if len(r.Events) != 1 || r.Troubled.Times["takeover"].N != 1 {
-		t.Errorf("the kill: %v, %+v", r.Events, r.Troubled.Times["takeover"])
+	if len(r.Events) != 1 || r.Disrupted.Times["takeover"].Count != 1 {
+		t.Errorf("the kill: %v, %+v", r.Events, r.Disrupted.Times["takeover"])
 	}
 	dir := t.TempDir()
 	if err := writeScale(dir, r); err != nil {
--- a/internal/scaletest/config.go
+++ b/internal/scaletest/config.go
@@ -11,7 +11,7 @@
 	"dalefront/internal/peer"
 )
 
-// ConfigResult is how the changes of configuration went, over the whole run.
+// ConfigResult counts the changes of configuration and their outcomes, over the whole run.
 type ConfigResult struct {
 	Applied int `json:"applied"`
 	InForce int `json:"in_force"` // at all controllers that were reached, within the limit
@@ -21,15 +21,15 @@
 }
 
 const (
-	inForceLimit = 15 * time.Second // the letter's
-	inForcePoll  = 5 * time.Millisecond
+	inForceTimeout = 15 * time.Second // which the operators ask for
+	inForcePoll    = 5 * time.Millisecond
 )
 
-// configurer changes the limits of teams in turn.
+// configurer changes the limits of one team after the other through the controllers.
 type configurer struct {
-	r       *runner
-	clients []*peer.Client
-	set     *config.Settings
+	runner   *runner
+	clients  []*peer.Client
+	settings *config.Settings
 
 	mu     sync.Mutex
 	result ConfigResult
@@ -41,97 +41,98 @@
 	if rate <= 0 {
 		return
 	}
-	c := &configurer{r: r}
-	if err := c.dial(); err != nil {
-		r.report.notCounted("configuration: %v", err)
+	changer := &configurer{runner: r}
+	if err := changer.dial(); err != nil {
+		r.report.invalidate("configuration: %v", err)
 		return
 	}
-	var all sync.WaitGroup
-	begun := time.Now()
+	var changes sync.WaitGroup
+	start := time.Now()
 	for i := 0; ; i++ {
-		if !pause(ctx, time.Until(begun.Add(time.Duration(float64(i)/rate*float64(time.Second))))) {
+		if !sleep(ctx, time.Until(start.Add(time.Duration(float64(i)/rate*float64(time.Second))))) {
 			break
 		}
-		all.Go(func() { c.change(i) })
+		changes.Go(func() { changer.applyChange(i) })
 	}
-	all.Wait()
-	for _, client := range c.clients {
+	changes.Wait()
+	for _, client := range changer.clients {
 		_ = client.Close()
 	}
-	r.configured <- c.result
+	r.configured <- changer.result
 }
 
 // dial connects to the controllers by their own addresses.
 func (c *configurer) dial() error {
-	for i := range c.r.site.Controllers() {
-		set, err := config.Load(c.r.site.Settings(i), c.r.opt.Operator)
+	for i := range c.runner.site.Controllers() {
+		settings, err := config.Load(c.runner.site.Settings(i), c.runner.options.Operator)
 		if err != nil {
 			return err
 		}
-		client, err := peer.Dial(set.PeerAddr)
+		client, err := peer.Dial(settings.PeerAddr)
 		if err != nil {
 			return err
 		}
-		c.clients, c.set = append(c.clients, client), set
+		c.clients, c.settings = append(c.clients, client), settings
 	}
 	return nil
 }
 
-// change applies a limit of one team, slightly below the platform's so that it changes what
+// applyChange applies a limit of one team, slightly below the platform's so that it changes what
 // starts little, at one controller after the other until one says that it is applied.
-func (c *configurer) change(i int) {
-	team := c.set.Deployment.Teams[i%len(c.set.Deployment.Teams)]
-	limit := team.MaxCPUs - float64(1+i/len(c.set.Deployment.Teams)%16)
-	d, err := dynconfig.NewDocument(dynconfig.KindTeam, team.Name, dynconfig.Team{CPUsMax: &limit})
+func (c *configurer) applyChange(number int) {
+	team := c.settings.Deployment.Teams[number%len(c.settings.Deployment.Teams)]
+	limit := team.MaxCPUs - float64(1+number/len(c.settings.Deployment.Teams)%16)
+	document, err := dynconfig.NewDocument(dynconfig.KindTeam, team.Name, dynconfig.Team{CPUsMax: &limit})
 	if err != nil {
-		c.count(func(r *ConfigResult) { r.Failed++ })
+		c.updateResult(func(r *ConfigResult) { r.Failed++ })
 		return
 	}
-	ctx, cancel := context.WithTimeout(c.r.ctx, time.Minute)
+	ctx, cancel := context.WithTimeout(c.runner.ctx, time.Minute)
 	defer cancel()
-	q := &peer.ConfigApplyRequest{ID: fmt.Sprintf("scale-%d-%d", c.r.gen.prefix, i), Author: "scale run", Changes: []dynconfig.Change{{Document: d}}}
-	begun := time.Now()
-	for k := range c.clients {
-		a, err := c.clients[(i+k)%len(c.clients)].ConfigApply(ctx, q)
-		if err == nil && (a.Outcome == peer.ConfigApplied || a.Outcome == peer.ConfigUnchanged) {
-			c.r.gen.record(timeApply, time.Since(begun))
-			c.count(func(r *ConfigResult) { r.Applied++ })
-			c.awaitInForce(ctx, a.Generation)
+	request := &peer.ConfigApplyRequest{ID: fmt.Sprintf("scale-%d-%d", c.runner.generator.prefix, number), Author: "scale run", Changes: []dynconfig.Change{{Document: document}}}
+	start := time.Now()
+	for attempt := range c.clients {
+		response, err := c.clients[(number+attempt)%len(c.clients)].ConfigApply(ctx, request)
+		if err == nil && (response.Outcome == peer.ConfigApplied || response.Outcome == peer.ConfigUnchanged) {
+			c.runner.generator.record(latencyConfigApply, time.Since(start))
+			c.updateResult(func(r *ConfigResult) { r.Applied++ })
+			c.awaitInForce(ctx, response.Generation)
 			return
 		}
-		q.Retry = true
+		request.Retry = true
 	}
-	c.count(func(r *ConfigResult) { r.Failed++ })
+	c.updateResult(func(r *ConfigResult) { r.Failed++ })
 }
 
-// awaitInForce waits until all controllers decide by the generation.
+// awaitInForce waits until the generation is in force at all controllers.
 func (c *configurer) awaitInForce(ctx context.Context, generation uint64) {
-	begun := time.Now()
+	start := time.Now()
 	for _, client := range c.clients {
 		for {
-			a, err := client.ConfigStatus(ctx)
-			if err == nil && a.Loaded && a.Generation >= generation {
+			status, err := client.ConfigStatus(ctx)
+			if err == nil && status.Loaded && status.Generation >= generation {
 				break
 			}
-			if time.Since(begun) > inForceLimit {
-				c.count(func(r *ConfigResult) { r.Late++ })
+			if time.Since(start) > inForceTimeout {
+				c.updateResult(func(r *ConfigResult) { r.Late++ })
 				return
 			}
 			time.Sleep(inForcePoll)
 		}
 	}
-	c.r.gen.record(timeInForce, time.Since(begun))
-	c.count(func(r *ConfigResult) { r.InForce++ })
+	c.runner.generator.record(latencyConfigInForce, time.Since(start))
+	c.updateResult(func(r *ConfigResult) { r.InForce++ })
 }
 
-func (c *configurer) count(f func(*ConfigResult)) {
+// updateResult changes the result under the lock.
+func (c *configurer) updateResult(f func(*ConfigResult)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(&c.result)
 }
 
-// takeConfig takes the result of the changes once the generator has stopped.
-func (r *runner) takeConfig() {
+// collectConfigResult adds the result of the changes to the report after the load has stopped.
+func (r *runner) collectConfigResult() {
 	if r.spec.Counts.ConfigPerS <= 0 {
 		return
 	}
@@ -143,7 +144,7 @@
 			}
 		}
 		r.report.Config = &result
-	case <-time.After(inForceLimit + time.Minute):
-		r.report.notCounted("changes of configuration did not end")
+	case <-time.After(inForceTimeout + time.Minute):
+		r.report.invalidate("changes of configuration did not end")
 	}
 }
--- a/internal/scaletest/generator.go
+++ b/internal/scaletest/generator.go
@@ -24,38 +24,38 @@
 )
 
 const (
-	answerLimit  = 5 * time.Second // for which users wait for an answer
-	giveUpAfter  = time.Minute
-	pollInterval = 5 * time.Second
-	pollLimit    = 2 * time.Second // for which users wait for an answer to a poll
-	mostOnTheWay = 4000            // submissions without an answer
-	idleConns    = 256             // connections to the balancer that are kept unused
-	submitters   = 8               // submissions at a time of the jobs that fill the site at first
+	requestTimeout    = 5 * time.Second // for which users wait for an answer
+	submissionTimeout = time.Minute
+	pollInterval      = 5 * time.Second
+	pollTimeout       = 2 * time.Second // for which users wait for an answer to a poll
+	maxInFlight       = 4000            // submissions without an answer
+	maxIdleConns      = 256             // connections to the balancer that are kept unused
+	submitters        = 8               // submissions at a time of the jobs that fill the site at first
 )
 
-// submission is a job that was or is to be submitted.
+// submission is a submitted job and the state of its tasks.
 type submission struct {
-	job     wire.Job
-	begun   time.Time // of the first attempt
-	started int       // tasks, each counted once
-	seen    []bool
+	job          wire.Job
+	firstAttempt time.Time // of the first attempt
+	started      int       // tasks, each counted once
+	startedTasks []bool
 }
 
-// generator submits jobs at planned times, whatever becomes of earlier ones, and takes when
-// their tasks start.
+// generator is an open-loop load generator: it submits jobs at planned times, whatever becomes
+// of earlier ones, and measures when their tasks start.
 type generator struct {
 	spec   *Spec
 	client *httpclient.Client
-	prefix int64 // of the jobs' names: no two runs share one
-	turns  chan struct{}
+	prefix int64 // of the jobs' IDs, unique to the run
+	slots  chan struct{}
 
 	mu       sync.Mutex
 	jobs     map[string]*submission
 	number   int
 	team     int
 	accepted int
-	again    int
-	gaveUp   int
+	retries  int
+	givenUp  int
 	starts   int
 	times    map[string]*hdrhistogram.Histogram // microseconds
 	onStart  []func(at time.Time)               // called once each, at the next start
@@ -63,49 +63,56 @@
 
 // Names of histograms.
 const (
-	timeLate     = "generator_late"  // from when a submission was planned until it was sent
-	timeAccepted = "acceptance"      // from the first attempt to the answer
-	timeUrgent   = "urgent_start"    // from the first attempt until a task starts, for each task
-	timeUrgentOn = "urgent_whole"    // until the last task of the job has started
-	timeGang     = "gang_whole"      // until the gang's last task has started
-	timeBatch    = "ordinary_start"  // for each task
-	timeTakeover = "takeover"        // from the kill until another one shows itself as leader
-	timeResumed  = "takeover_starts" // from the kill until the next task starts
-	timeInForce  = "config_in_force" // from the answer to an apply until all controllers follow
-	timeApply    = "config_apply"    // from the request until it is answered
+	latencyGeneratorLag     = "generator_late"  // from when a submission was planned until it was sent
+	latencyAcceptance       = "acceptance"      // from the first attempt to the answer
+	latencyUrgentStart      = "urgent_start"    // from the first attempt until a task starts, for each task
+	latencyUrgentAllStarted = "urgent_whole"    // until the last task of the job has started
+	latencyGangAllStarted   = "gang_whole"      // until the gang's last task has started
+	latencyBatchStart       = "ordinary_start"  // for each task
+	latencyTakeover         = "takeover"        // from the kill until another one shows itself as leader
+	latencyTakeoverStart    = "takeover_starts" // from the kill until the next task starts
+	latencyConfigInForce    = "config_in_force" // from the answer to an apply until all controllers follow
+	latencyConfigApply      = "config_apply"    // from the request until it is answered
+)
+
+// The latencies that a histogram can hold.
+const (
+	maxLatencyMicros = 600_000_000
+	latencyDigits    = 3 // significant ones
 )
 
 func newGenerator(spec *Spec, server string) *generator {
-	return &generator{spec: spec, client: httpclient.New("http://"+server, 0, idleConns), prefix: time.Now().UnixMilli(), turns: make(chan struct{}, mostOnTheWay),
+	return &generator{spec: spec, client: httpclient.New("http://"+server, 0, maxIdleConns), prefix: time.Now().UnixMilli(), slots: make(chan struct{}, maxInFlight),
 		jobs: map[string]*submission{}, times: map[string]*hdrhistogram.Histogram{}}
 }
 
-// record takes a time.
+// record adds a latency to the histogram of that name.
 func (g *generator) record(name string, d time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.recordLocked(name, d)
 }
 
+// recordLocked is record for callers that hold the lock.
 func (g *generator) recordLocked(name string, d time.Duration) {
-	h := g.times[name]
-	if h == nil {
-		h = hdrhistogram.New(1, 600_000_000, 3)
-		g.times[name] = h
+	histogram := g.times[name]
+	if histogram == nil {
+		histogram = hdrhistogram.New(1, maxLatencyMicros, latencyDigits)
+		g.times[name] = histogram
 	}
-	_ = h.RecordValue(max(1, d.Microseconds())) // below its bound: ten minutes
+	_ = histogram.RecordValue(max(1, d.Microseconds())) // below its bound: ten minutes
 }
 
-// forget drops what was counted so far, as that of the ramp.
-func (g *generator) forget() {
+// reset drops all counts and latencies so far, such as those of the ramp.
+func (g *generator) reset() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	clear(g.times)
-	g.starts, g.accepted, g.again, g.gaveUp = 0, 0, 0, 0
+	g.starts, g.accepted, g.retries, g.givenUp = 0, 0, 0, 0
 }
 
-// begins takes that a task starts; the site calls it.
-func (g *generator) begins(j *wire.Job, task int) {
+// taskStarted records that a task has started. The emulated workers call it.
+func (g *generator) taskStarted(job *wire.Job, task int) {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -114,29 +121,36 @@
 		f(now)
 	}
 	g.onStart = nil
-	s := g.jobs[j.ID]
-	if s == nil || task >= len(s.seen) || s.seen[task] {
+	tracked := g.jobs[job.ID]
+	if tracked == nil || task >= len(tracked.startedTasks) || tracked.startedTasks[task] {
 		return
 	}
-	s.seen[task] = true
-	s.started++
-	waited := now.Sub(s.begun)
-	whole := s.started == j.Tasks
-	switch j.Class {
+	tracked.startedTasks[task] = true
+	tracked.started++
+	waited := now.Sub(tracked.firstAttempt)
+	whole := tracked.started == job.Tasks
+	switch job.Class {
 	case classBatch:
-		g.recordLocked(timeBatch, waited)
+		g.recordLocked(latencyBatchStart, waited)
 	case classUrgent:
-		g.recordLocked(timeUrgent, waited)
+		g.recordLocked(latencyUrgentStart, waited)
 		if whole {
-			g.recordLocked(timeUrgentOn, waited)
+			g.recordLocked(latencyUrgentAllStarted, waited)
 		}
 	case classGang:
 		if whole {
-			g.recordLocked(timeGang, waited)
+			g.recordLocked(latencyGangAllStarted, waited)
 		}
 	}
 }
 
+// startCount returns the number of tasks that have started since the last reset.
+func (g *generator) startCount() int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.starts
+}
+
 // atNextStart calls f at the next start of a task.
 func (g *generator) atNextStart(f func(time.Time)) {
 	g.mu.Lock()
@@ -144,7 +158,7 @@
 	g.onStart = append(g.onStart, f)
 }
 
-// newJob makes a job of a class, for the teams in turn.
+// newJob returns a job of a class with a new ID, for one team after the other.
 func (g *generator) newJob(class, priority string, tasks int, runS float64) wire.Job {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -154,159 +168,159 @@
 		Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "image", ImageGB: 0.01, EstimateS: runS}
 }
 
-// submit submits a job as users do: again after a second or Retry-After, for a minute.
+// submit submits a job as users do: it tries again each second until submissionTimeout.
 func (g *generator) submit(ctx context.Context, job wire.Job) {
-	s := &submission{job: job, begun: time.Now(), seen: make([]bool, job.Tasks)}
+	tracked := &submission{job: job, firstAttempt: time.Now(), startedTasks: make([]bool, job.Tasks)}
 	g.mu.Lock()
-	g.jobs[job.ID] = s
+	g.jobs[job.ID] = tracked
 	g.mu.Unlock()
 	for ctx.Err() == nil {
 		var status wire.JobStatus
-		err := g.client.Call(ctx, answerLimit, http.MethodPost, wire.PathJobs, job, &status)
+		err := g.client.Call(ctx, requestTimeout, http.MethodPost, wire.PathJobs, job, &status)
 		if code := httpclient.Code(err); err == nil || code == http.StatusCreated {
-			g.record(timeAccepted, time.Since(s.begun))
+			g.record(latencyAcceptance, time.Since(tracked.firstAttempt))
 			g.mu.Lock()
 			g.accepted++
 			g.mu.Unlock()
 			return
-		} else if code == http.StatusBadRequest || code == http.StatusUnprocessableEntity || time.Since(s.begun) > giveUpAfter {
+		} else if code == http.StatusBadRequest || code == http.StatusUnprocessableEntity || time.Since(tracked.firstAttempt) > submissionTimeout {
 			g.mu.Lock()
-			g.gaveUp++
+			g.givenUp++
 			g.mu.Unlock()
 			return
 		}
 		g.mu.Lock()
-		g.again++
+		g.retries++
 		g.mu.Unlock()
-		pause(ctx, time.Second)
+		sleep(ctx, time.Second)
 	}
 }
 
-// plan submits what next returns at each multiple of the interval, whether or not earlier
-// submissions have been answered, until the context ends.
-func (g *generator) plan(ctx context.Context, every time.Duration, next func() wire.Job) {
-	begun := time.Now()
+// submitPeriodically submits the job that next returns at each multiple of the interval until the
+// context ends, whether or not earlier submissions have been answered.
+func (g *generator) submitPeriodically(ctx context.Context, interval time.Duration, next func() wire.Job) {
+	start := time.Now()
 	for i := 0; ; i++ {
-		due := begun.Add(time.Duration(i) * every)
-		if !pause(ctx, time.Until(due)) {
+		due := start.Add(time.Duration(i) * interval)
+		if !sleep(ctx, time.Until(due)) {
 			return
 		}
 		select {
-		case g.turns <- struct{}{}:
+		case g.slots <- struct{}{}:
 		case <-ctx.Done():
 			return
 		}
 		job := next()
-		g.record(timeLate, time.Since(due))
+		g.record(latencyGeneratorLag, time.Since(due))
 		go func() {
-			defer func() { <-g.turns }()
+			defer func() { <-g.slots }()
 			g.submit(ctx, job)
 		}()
 	}
 }
 
-// arrayTasks bounds the tasks of an array.
-const arrayTasks = 1000
+// maxArrayTasks bounds the tasks of an array.
+const maxArrayTasks = 1000
 
-// residents submits the long tasks that fill the workers, and the jobs that wait for ever.
-func (g *generator) residents(ctx context.Context) {
-	c := &g.spec.Counts
-	var all sync.WaitGroup
-	turn := make(chan struct{}, submitters)
-	send := func(j wire.Job) {
-		turn <- struct{}{}
-		all.Go(func() {
-			defer func() { <-turn }()
-			g.submit(ctx, j)
+// submitResidents submits the long tasks that fill the workers, and the jobs that wait for ever.
+func (g *generator) submitResidents(ctx context.Context) {
+	counts := &g.spec.Counts
+	var submissions sync.WaitGroup
+	slots := make(chan struct{}, submitters)
+	submit := func(job wire.Job) {
+		slots <- struct{}{}
+		submissions.Go(func() {
+			defer func() { <-slots }()
+			g.submit(ctx, job)
 		})
 	}
-	onAccel := g.acceleratorTasks()
-	for left := onAccel; left > 0; left -= arrayTasks {
-		j := g.resident(min(left, arrayTasks))
-		j.Types, j.GPUs = []string{accelType}, g.spec.acceleratorShare()
-		send(j)
+	acceleratorTasks := g.acceleratorTasks()
+	for left := acceleratorTasks; left > 0; left -= maxArrayTasks {
+		job := g.resident(min(left, maxArrayTasks))
+		job.Types, job.GPUs = []string{accelType}, g.spec.acceleratorsPerTask()
+		submit(job)
 	}
-	for left := g.residentTasks() - onAccel; left > 0; left -= arrayTasks {
-		j := g.resident(min(left, arrayTasks))
-		j.Types = []string{plainType}
-		send(j)
+	for left := g.residentTasks() - acceleratorTasks; left > 0; left -= maxArrayTasks {
+		job := g.resident(min(left, maxArrayTasks))
+		job.Types = []string{plainType}
+		submit(job)
 	}
-	for range c.JobsWaiting {
-		j := g.newJob(classWaiting, wire.Low, 1, 60)
-		j.CPUs = g.spec.coresEach() // a whole machine: none is ever empty
-		send(j)
+	for range counts.JobsWaiting {
+		job := g.newJob(classWaiting, wire.Low, 1, 60)
+		job.CPUs = g.spec.coresPerWorker() // a whole machine: none is ever empty
+		submit(job)
 	}
-	all.Wait()
+	submissions.Wait()
 }
 
-// residentS is how long resident tasks run: longer than any run.
-const residentS = 1e6
+// residentRunS is how long resident tasks run: longer than any run.
+const residentRunS = 1e6
 
-// resident is an array of long tasks that save.
+// resident returns an array of long tasks that write checkpoints.
 func (g *generator) resident(tasks int) wire.Job {
-	due := 10 * residentS // work of low priority without a deadline is no reason to rent
-	j := g.newJob(classResident, wire.Low, tasks, residentS)
-	j.CheckpointIntervalS, j.CheckpointDurationS, j.DeadlineS = 30, 1, &due
-	return j
+	deadlineS := 10 * residentRunS // work of low priority without a deadline is no reason to rent
+	job := g.newJob(classResident, wire.Low, tasks, residentRunS)
+	job.CheckpointIntervalS, job.CheckpointDurationS, job.DeadlineS = 30, 1, &deadlineS
+	return job
 }
 
-// acceleratorTasks is how many of the tasks that run all the time use accelerators: they fill
-// the workers that have any.
+// acceleratorTasks returns how many of the resident tasks use accelerators: as many as fill the
+// workers that have any.
 func (g *generator) acceleratorTasks() int {
-	return min(g.residentTasks(), g.spec.Counts.Accelerators/acceleratorsEach*int(g.spec.coresEach()))
+	return min(g.residentTasks(), g.spec.Counts.Accelerators/acceleratorsPerWorker*int(g.spec.coresPerWorker()))
 }
 
-// residentTasks is how many tasks run all the time.
+// residentTasks returns the number of tasks that run throughout.
 func (g *generator) residentTasks() int {
 	c := &g.spec.Counts
 	return c.TasksRunning - int(math.Ceil(c.StartsPerS*g.spec.TaskS))
 }
 
-// load submits until the context ends what comes and goes.
-func (g *generator) load(ctx context.Context) {
-	c := &g.spec.Counts
-	var all sync.WaitGroup
-	if c.StartsPerS > 0 {
-		tasks := max(1, int(math.Round(c.StartsPerS*batchEvery.Seconds())))
-		all.Go(func() {
-			g.plan(ctx, batchEvery, func() wire.Job { return g.newJob(classBatch, wire.Normal, tasks, g.spec.TaskS) })
+// generateLoad submits batch jobs, urgent jobs and gangs until the context ends.
+func (g *generator) generateLoad(ctx context.Context) {
+	counts := &g.spec.Counts
+	var workers sync.WaitGroup
+	if counts.StartsPerS > 0 {
+		tasks := max(1, int(math.Round(counts.StartsPerS*batchInterval.Seconds())))
+		workers.Go(func() {
+			g.submitPeriodically(ctx, batchInterval, func() wire.Job { return g.newJob(classBatch, wire.Normal, tasks, g.spec.TaskS) })
 		})
 	}
-	if c.UrgentTasks > 0 {
-		all.Go(func() {
-			g.plan(ctx, seconds(c.UrgentEveryS), func() wire.Job { return g.newJob(classUrgent, wire.High, c.UrgentTasks, g.spec.TaskS) })
+	if counts.UrgentTasks > 0 {
+		workers.Go(func() {
+			g.submitPeriodically(ctx, seconds(counts.UrgentEveryS), func() wire.Job { return g.newJob(classUrgent, wire.High, counts.UrgentTasks, g.spec.TaskS) })
 		})
 	}
-	if c.GangSize > 0 {
-		all.Go(func() {
-			g.plan(ctx, seconds(c.GangEveryS), func() wire.Job {
-				j := g.newJob(classGang, wire.High, c.GangSize, g.spec.TaskS)
-				j.Shape = wire.Gang
-				return j
+	if counts.GangSize > 0 {
+		workers.Go(func() {
+			g.submitPeriodically(ctx, seconds(counts.GangEveryS), func() wire.Job {
+				job := g.newJob(classGang, wire.High, counts.GangSize, g.spec.TaskS)
+				job.Shape = wire.Gang
+				return job
 			})
 		})
 	}
-	all.Go(func() { g.poll(ctx) })
-	all.Wait()
+	workers.Go(func() { g.pollJobs(ctx) })
+	workers.Wait()
 }
 
-// batchEvery is how often an array is submitted whose tasks make up the starts.
-const batchEvery = time.Second
+// batchInterval is the time between two arrays, whose tasks make up the rate of starts.
+const batchInterval = time.Second
 
-// poll asks for the state of the jobs that have not ended, as their users do.
-func (g *generator) poll(ctx context.Context) {
-	for pause(ctx, pollInterval) {
+// pollJobs polls the state of the jobs that have not ended, as their users do.
+func (g *generator) pollJobs(ctx context.Context) {
+	for sleep(ctx, pollInterval) {
 		g.mu.Lock()
 		var ids []string
-		for id, s := range g.jobs {
-			if s.job.Class != classResident && s.job.Class != classWaiting {
+		for id, tracked := range g.jobs {
+			if tracked.job.Class != classResident && tracked.job.Class != classWaiting {
 				ids = append(ids, id)
 			}
 		}
 		g.mu.Unlock()
 		for _, id := range ids {
 			var status wire.JobStatus
-			err := g.client.Call(ctx, pollLimit, http.MethodGet, wire.PathJobs+"/"+id, nil, &status)
+			err := g.client.Call(ctx, pollTimeout, http.MethodGet, wire.PathJobs+"/"+id, nil, &status)
 			if err == nil && wire.Final(status.Status) {
 				g.mu.Lock()
 				delete(g.jobs, id)
@@ -316,10 +330,11 @@
 	}
 }
 
+// seconds converts a number of seconds.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// pause waits, and says whether the context has not ended meanwhile.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for the duration and reports whether the context is still valid after it.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/scaletest/meter.go
+++ b/internal/scaletest/meter.go
@@ -9,7 +9,7 @@
 	"dalefront/internal/emulator"
 )
 
-// Role is what one process did for the system, per second of the steady part.
+// Role is the resource usage of one process in the steady part.
 type Role struct {
 	Name       string  `json:"role"`
 	CPU        float64 `json:"cores"`
@@ -21,7 +21,7 @@
 	Goroutines int     `json:"goroutines"`
 }
 
-// Roles.
+// Names of roles.
 const (
 	roleLeader  = "leader"
 	roleStandby = "warm standby"
@@ -29,7 +29,7 @@
 	roleSite    = "stand-ins, workers and generator (one process)"
 )
 
-// StateCost is what the state service was asked for in a second, and what it kept at the end.
+// StateCost is the load on the state service per second, and its size at the end.
 type StateCost struct {
 	Requests  map[string]float64 `json:"requests_per_s"`
 	All       float64            `json:"all_requests_per_s"`
@@ -41,17 +41,26 @@
 	KeyBytes  int                `json:"key_bytes"`
 }
 
-// WorkerCost is what workers sent and received, over all workers that were up throughout.
+// WorkerCost is the traffic of the workers that were up throughout.
 type WorkerCost struct {
 	P50BS     float64            `json:"p50_bytes_per_s"` // both ways, over the steady part
 	P99BS     float64            `json:"p99_bytes_per_s"`
-	Most10S   float64            `json:"most_bytes_per_s_over_10_s"`
+	Peak10S   float64            `json:"most_bytes_per_s_over_10_s"`
 	Reports   map[string]float64 `json:"reports_per_s"` // of one worker, by cause
 	Commands  float64            `json:"commands_per_s"`
 	CodecCore float64            `json:"codec_cores"` // to encode its reports and decode the answers
 }
 
-// sample is everything that is read at a moment.
+// heartbeatsPerS returns the heartbeats of one worker, whatever their cause.
+func (c WorkerCost) heartbeatsPerS() float64 {
+	total := 0.0
+	for _, perS := range c.Reports {
+		total += perS
+	}
+	return total
+}
+
+// sample holds all figures that are read at one time.
 type sample struct {
 	at          time.Time
 	controllers []Usage
@@ -70,21 +79,21 @@
 	peakMB  float64 // of all processes together
 }
 
-// take reads everything once. A process that is not there has no figures.
-func (m *meter) take() sample {
-	s := sample{at: time.Now(), state: m.site.Services.Load(), workers: m.site.Fleet.Traffic()}
-	s.site, _ = usage(m.self)
-	together := s.site.Resident
+// record takes a sample. The figures of a process that doesn't exist are zero.
+func (m *meter) record() sample {
+	reading := sample{at: time.Now(), state: m.site.Services.Load(), workers: m.site.Fleet.Traffic()}
+	reading.site, _ = usage(m.self)
+	totalMB := reading.site.Resident
 	for i := range m.site.Controllers() {
-		u, _ := usage(m.site.Process(i))
-		s.controllers = append(s.controllers, u)
-		together += u.Resident
+		process, _ := usage(m.site.Process(i))
+		reading.controllers = append(reading.controllers, process)
+		totalMB += process.Resident
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.samples = append(m.samples, s)
-	m.peakMB = max(m.peakMB, together)
-	return s
+	m.samples = append(m.samples, reading)
+	m.peakMB = max(m.peakMB, totalMB)
+	return reading
 }
 
 // reset drops the samples so far.
@@ -94,117 +103,117 @@
 	m.samples = nil
 }
 
-// roles sums up the samples by role.
+// roles returns the usage by role over the samples.
 func (m *meter) roles(leader, standby int) []Role {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.samples) < 2 {
 		return nil
 	}
-	all := make([]Role, m.site.Controllers())
-	for i := range all {
-		all[i] = m.role(func(s sample) Usage { return s.controllers[i] })
+	controllers := make([]Role, m.site.Controllers())
+	for i := range controllers {
+		controllers[i] = m.roleCost(func(s sample) Usage { return s.controllers[i] })
 		if shown, err := m.site.Metrics(i); err == nil {
-			all[i].Goroutines = int(shown["dalefront_goroutines"])
+			controllers[i].Goroutines = int(shown["dalefront_goroutines"])
 		}
 	}
-	out := []Role{}
+	roles := []Role{}
 	other := -1
-	for i := range all {
+	for i := range controllers {
 		switch {
 		case i == leader:
-			all[i].Name = roleLeader
-			out = append(out, all[i])
+			controllers[i].Name = roleLeader
+			roles = append(roles, controllers[i])
 		case i == standby:
-			all[i].Name = roleStandby
-			out = append(out, all[i])
-		case other < 0 || all[i].CPU > all[other].CPU:
+			controllers[i].Name = roleStandby
+			roles = append(roles, controllers[i])
+		case other < 0 || controllers[i].CPU > controllers[other].CPU:
 			other = i
 		}
 	}
 	if other >= 0 {
-		all[other].Name = roleOther
-		out = append(out, all[other])
+		controllers[other].Name = roleOther
+		roles = append(roles, controllers[other])
 	}
-	self := m.role(func(s sample) Usage { return s.site })
+	self := m.roleCost(func(s sample) Usage { return s.site })
 	self.Name = roleSite
-	return append(out, self)
+	return append(roles, self)
 }
 
-// role sums up one process. The lock is held.
-func (m *meter) role(of func(sample) Usage) (r Role) {
+// roleCost returns the usage of one process over the samples. The lock must be held.
+func (m *meter) roleCost(usageOf func(sample) Usage) (role Role) {
 	first, last := m.samples[0], m.samples[len(m.samples)-1]
-	from, to := of(first), of(last)
-	passed := last.at.Sub(first.at).Seconds()
-	r.CPU = (to.CPU - from.CPU) / passed
-	r.ReadBS = float64(to.Read-from.Read) / passed
-	r.WrittenBS = float64(to.Written-from.Written) / passed
+	start, end := usageOf(first), usageOf(last)
+	elapsedS := last.at.Sub(first.at).Seconds()
+	role.CPU = (end.CPU - start.CPU) / elapsedS
+	role.ReadBS = float64(end.Read-start.Read) / elapsedS
+	role.WrittenBS = float64(end.Written-start.Written) / elapsedS
 	for i, s := range m.samples {
-		u := of(s)
-		r.ResidentMB, r.Sockets = max(r.ResidentMB, u.Resident), max(r.Sockets, u.Sockets)
+		used := usageOf(s)
+		role.ResidentMB, role.Sockets = max(role.ResidentMB, used.Resident), max(role.Sockets, used.Sockets)
 		if i > 0 {
 			before := m.samples[i-1]
-			r.CPUPeak = max(r.CPUPeak, (u.CPU-of(before).CPU)/s.at.Sub(before.at).Seconds())
+			role.CPUPeak = max(role.CPUPeak, (used.CPU-usageOf(before).CPU)/s.at.Sub(before.at).Seconds())
 		}
 	}
-	return r
+	return role
 }
 
-// state sums up the state service.
+// state returns the load on the state service over the samples.
 func (m *meter) state() StateCost {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	first, last := m.samples[0], m.samples[len(m.samples)-1]
-	passed := last.at.Sub(first.at).Seconds()
-	rate := func(from, to int64) float64 { return float64(to-from) / passed }
-	a, b := first.state, last.state
-	c := StateCost{Requests: map[string]float64{}, Changes: rate(a.Changes, b.Changes), Conflicts: rate(a.Conflicts, b.Conflicts),
-		Refused: rate(a.Refused, b.Refused), Cloud: rate(a.Cloud, b.Cloud), Keys: b.Keys, KeyBytes: b.KeyBytes}
-	for path, n := range b.Requests {
-		c.Requests[path] = rate(a.Requests[path], n)
-		c.All += c.Requests[path]
+	elapsedS := last.at.Sub(first.at).Seconds()
+	rate := func(from, to int64) float64 { return float64(to-from) / elapsedS }
+	before, after := first.state, last.state
+	cost := StateCost{Requests: map[string]float64{}, Changes: rate(before.Changes, after.Changes), Conflicts: rate(before.Conflicts, after.Conflicts),
+		Refused: rate(before.Refused, after.Refused), Cloud: rate(before.Cloud, after.Cloud), Keys: after.Keys, KeyBytes: after.KeyBytes}
+	for path, count := range after.Requests {
+		cost.Requests[path] = rate(before.Requests[path], count)
+		cost.All += cost.Requests[path]
 	}
-	return c
+	return cost
 }
 
-// worst10 is over how many samples, one a second, a worker's greatest rate is taken.
-const worst10 = 10
+// peakWindowSamples is the number of samples, one a second, over which a worker's peak is taken.
+const peakWindowSamples = 10
 
-// workers sums up the workers that were up throughout.
+// workers returns the traffic of the workers that were up throughout.
 func (m *meter) workers() WorkerCost {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	first, last := m.samples[0], m.samples[len(m.samples)-1]
-	passed := last.at.Sub(first.at).Seconds()
-	c := WorkerCost{Reports: map[string]float64{}}
+	elapsedS := last.at.Sub(first.at).Seconds()
+	cost := WorkerCost{Reports: map[string]float64{}}
 	var rates []float64
-	both := func(t emulator.Traffic) float64 { return float64(t.Sent + t.Received) }
-	for id, from := range first.workers {
-		to, there := last.workers[id]
-		if !there {
+	bytesOf := func(t emulator.Traffic) float64 { return float64(t.Sent + t.Received) }
+	for id, start := range first.workers {
+		end, present := last.workers[id]
+		if !present {
 			continue
 		}
-		rates = append(rates, (both(to)-both(from))/passed)
-		for cause, n := range to.Reports {
-			c.Reports[cause] += float64(n-from.Reports[cause]) / passed
+		rates = append(rates, (bytesOf(end)-bytesOf(start))/elapsedS)
+		for cause, count := range end.Reports {
+			cost.Reports[cause] += float64(count-start.Reports[cause]) / elapsedS
 		}
-		c.Commands += float64(to.Commands-from.Commands) / passed
-		for i := worst10; i < len(m.samples); i++ {
-			before, now := m.samples[i-worst10], m.samples[i]
+		cost.Commands += float64(end.Commands-start.Commands) / elapsedS
+		for i := peakWindowSamples; i < len(m.samples); i++ {
+			before, now := m.samples[i-peakWindowSamples], m.samples[i]
 			a, was := before.workers[id]
 			if b, is := now.workers[id]; was && is {
-				c.Most10S = max(c.Most10S, (both(b)-both(a))/now.at.Sub(before.at).Seconds())
+				cost.Peak10S = max(cost.Peak10S, (bytesOf(b)-bytesOf(a))/now.at.Sub(before.at).Seconds())
 			}
 		}
 	}
 	if len(rates) == 0 {
-		return c
+		return cost
 	}
 	slices.SortFunc(rates, cmp.Compare[float64])
-	c.P50BS, c.P99BS = rates[len(rates)/2], rates[len(rates)*99/100]
-	for cause := range c.Reports {
-		c.Reports[cause] /= float64(len(rates))
+	cost.P50BS, cost.P99BS = rates[len(rates)/2], rates[len(rates)*99/100]
+	for cause := range cost.Reports {
+		cost.Reports[cause] /= float64(len(rates))
 	}
-	c.Commands /= float64(len(rates))
-	return c
+	cost.Commands /= float64(len(rates))
+	return cost
 }
--- a/internal/scaletest/process.go
+++ b/internal/scaletest/process.go
@@ -75,17 +75,17 @@
 	return read, written, nil
 }
 
-func sockets(dir string) (n int, err error) {
+func sockets(dir string) (count int, err error) {
 	open, err := os.ReadDir(dir)
 	if err != nil {
 		return 0, err
 	}
-	for _, f := range open {
-		if to, err := os.Readlink(filepath.Join(dir, f.Name())); err == nil && strings.HasPrefix(to, "socket:") {
-			n++
+	for _, file := range open {
+		if target, err := os.Readlink(filepath.Join(dir, file.Name())); err == nil && strings.HasPrefix(target, "socket:") {
+			count++
 		}
 	}
-	return n, nil
+	return count, nil
 }
 
 // Host is the machine that the run is on.
--- a/internal/scaletest/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -36,8 +36,8 @@
 func TestSizes(t *testing.T) {
 	for _, c := range []Counts{{Workers: 2700, TasksRunning: 51000, StartsPerS: 920}, {Workers: 100, TasksRunning: 1900}, {Workers: 7, TasksRunning: 100}} {
 		s := Spec{Counts: c}
-		s.defaults()
-		if room := s.coresEach() * float64(c.Workers); room < float64(c.TasksRunning) || room > 1.2*float64(c.TasksRunning) {
+		s.setDefaults()
+		if room := s.coresPerWorker() * float64(c.Workers); room < float64(c.TasksRunning) || room > 1.2*float64(c.TasksRunning) {
 			t.Errorf("%+v: room for %g tasks", c, room)
 		}
 	}
@@ -51,7 +51,7 @@
 	}
 	for _, name := range []string{"workers", "tasks_running", "starts_per_s", "teams", "jobs_waiting", "gang_size", "config_per_s"} {
 		v, err := s.with(name, 8)
-		if err != nil || v.Counts.value(name) != 8 || len(v.Events) > 0 || v.Trouble != 0 {
+		if err != nil || v.Counts.value(name) != 8 || len(v.Events) > 0 || v.DisruptionS != 0 {
 			t.Errorf("%s: %+v, %v", name, v, err)
 		}
 		if len(s.Events) != 1 || s.Counts.Workers != 10 {
@@ -72,7 +72,7 @@
 	if math.Abs(s.PerUnit-2) > 1e-9 || math.Abs(s.Intercept-10) > 1e-9 || math.Abs(s.Fit-1) > 1e-9 || math.Abs(s.Bend-1) > 1e-9 {
 		t.Errorf("%+v", s)
 	}
-	if math.Abs(s.Extrapolated-30) > 1e-9 || s.Measured != 60 || !s.Off {
+	if math.Abs(s.Extrapolated-30) > 1e-9 || s.Measured != 60 || !s.Inaccurate {
 		t.Errorf("beside the measured value: %+v", s)
 	}
 	bent := slopes("workers", []Point{point(1, 1), point(2, 2), point(3, 6), point(4, 10)}, nil)
--- a/internal/scaletest/spec.go
+++ b/internal/scaletest/spec.go
@@ -19,20 +19,20 @@
 
 // Spec is a scale run as its file describes it. Durations are seconds.
 type Spec struct {
-	Counts  Counts                `hcl:"counts,block"`
-	RampS   float64               `hcl:"ramp_s,optional"`    // at most, until the resident tasks run; 180
-	SteadyS float64               `hcl:"steady_s,optional"`  // without troubles: what roles cost is measured here; 60
-	Trouble float64               `hcl:"trouble_s,optional"` // in which the events fall; 0
-	SweepS  float64               `hcl:"sweep_s,optional"`   // the steady part of each point of a sweep; 20
-	TaskS   float64               `hcl:"task_s,optional"`    // mean run time of the tasks that come and go; 5
-	Limits  *SpecLimits           `hcl:"limits,block"`
-	Events  []Event               `hcl:"event,block"`
-	Sweeps  []Sweep               `hcl:"sweep,block"` // used with --sweep
-	Workers *emulator.SpecWorkers `hcl:"workers,block"`
-	State   *emulator.SpecState   `hcl:"state,block"`
-	Cloud   *emulator.SpecCloud   `hcl:"cloud,block"`
-	Seed    uint64                `hcl:"seed,optional"`
-	Sockets int                   `hcl:"sockets,optional"` // of a controller; 800
+	Counts      Counts                `hcl:"counts,block"`
+	RampS       float64               `hcl:"ramp_s,optional"`    // at most, until the resident tasks run; 180
+	SteadyS     float64               `hcl:"steady_s,optional"`  // without events: the cost of roles is measured here; 60
+	DisruptionS float64               `hcl:"trouble_s,optional"` // in which the events fall; 0
+	SweepS      float64               `hcl:"sweep_s,optional"`   // the steady part of each point of a sweep; 20
+	TaskS       float64               `hcl:"task_s,optional"`    // mean run time of the tasks that come and go; 5
+	Limits      *SpecLimits           `hcl:"limits,block"`
+	Events      []Event               `hcl:"event,block"`
+	Sweeps      []Sweep               `hcl:"sweep,block"` // used with --sweep
+	Workers     *emulator.SpecWorkers `hcl:"workers,block"`
+	State       *emulator.SpecState   `hcl:"state,block"`
+	Cloud       *emulator.SpecCloud   `hcl:"cloud,block"`
+	Seed        uint64                `hcl:"seed,optional"`
+	Sockets     int                   `hcl:"sockets,optional"` // of a controller; 800
 }
 
 // Counts is the size of a run. Each can be varied by a sweep.
@@ -60,7 +60,7 @@
 	LateMs      float64 `hcl:"late_ms,optional"`      // 99 of 100 submissions are sent at most so late, or the run does not count; 250
 }
 
-// Event is a trouble at a moment after the steady part has ended: "kill" of the leader,
+// Event is a disruption at a given time after the steady part has ended: "kill" of the leader,
 // "rack" (count machines of one zone die at once), "restart" (count workers, one after the
 // other over for_s) or "cut" of a zone for for_s.
 type Event struct {
@@ -97,29 +97,56 @@
 
 // Parse reads a scale run from text; the name is for errors.
 func Parse(text []byte, name string) (*Spec, error) {
-	s := &Spec{}
-	if err := hclfile.Decode(text, name, s); err != nil {
+	spec := &Spec{}
+	if err := hclfile.Decode(text, name, spec); err != nil {
 		return nil, err
 	}
-	s.defaults()
-	return s, s.check(hcl.Range{Filename: name, Start: hcl.InitialPos})
+	spec.setDefaults()
+	return spec, spec.validate(hcl.Range{Filename: name, Start: hcl.InitialPos})
 }
 
-func (s *Spec) defaults() {
-	c := &s.Counts
-	c.Controllers, c.Zones, c.Teams = cmp.Or(c.Controllers, 6), cmp.Or(c.Zones, 5), cmp.Or(c.Teams, 4)
-	c.GangEveryS, c.UrgentEveryS = cmp.Or(c.GangEveryS, 20), cmp.Or(c.UrgentEveryS, 5)
-	s.RampS, s.SteadyS, s.SweepS = cmp.Or(s.RampS, 180), cmp.Or(s.SteadyS, 60), cmp.Or(s.SweepS, 20)
-	s.TaskS, s.Seed = cmp.Or(s.TaskS, 5), cmp.Or(s.Seed, 1)
-	s.Sockets = cmp.Or(s.Sockets, 800)
+// What a file may leave out.
+const (
+	defaultControllers  = 6
+	defaultZones        = 5
+	defaultTeams        = 4
+	defaultGangEveryS   = 20
+	defaultUrgentEveryS = 5
+	defaultRampS        = 180
+	defaultSteadyS      = 60
+	defaultSweepS       = 20
+	defaultTaskS        = 5
+	defaultSeed         = 1
+	defaultSockets      = 800
+	defaultMemoryShare  = 0.5
+	defaultProcesses    = 300
+	defaultLateMs       = 250
+)
+
+// setDefaults fills in what the file leaves out.
+func (s *Spec) setDefaults() {
+	counts := &s.Counts
+	counts.Controllers = cmp.Or(counts.Controllers, defaultControllers)
+	counts.Zones = cmp.Or(counts.Zones, defaultZones)
+	counts.Teams = cmp.Or(counts.Teams, defaultTeams)
+	counts.GangEveryS = cmp.Or(counts.GangEveryS, defaultGangEveryS)
+	counts.UrgentEveryS = cmp.Or(counts.UrgentEveryS, defaultUrgentEveryS)
+	s.RampS = cmp.Or(s.RampS, defaultRampS)
+	s.SteadyS = cmp.Or(s.SteadyS, defaultSteadyS)
+	s.SweepS = cmp.Or(s.SweepS, defaultSweepS)
+	s.TaskS = cmp.Or(s.TaskS, defaultTaskS)
+	s.Seed = cmp.Or(s.Seed, defaultSeed)
+	s.Sockets = cmp.Or(s.Sockets, defaultSockets)
 	if s.Limits == nil {
 		s.Limits = &SpecLimits{}
 	}
-	l := s.Limits
-	*l = SpecLimits{cmp.Or(l.MemoryShare, 0.5), cmp.Or(l.Processes, 300), cmp.Or(l.LateMs, 250)}
+	limits := s.Limits
+	limits.MemoryShare = cmp.Or(limits.MemoryShare, defaultMemoryShare)
+	limits.Processes = cmp.Or(limits.Processes, defaultProcesses)
+	limits.LateMs = cmp.Or(limits.LateMs, defaultLateMs)
 }
 
-// What a run may be asked for at most.
+// The largest sizes of a run.
 const (
 	maxControllers = 9
 	maxZones       = 26
@@ -127,68 +154,69 @@
 	maxTeams       = 1_000
 )
 
-func (s *Spec) check(at hcl.Range) error {
-	c := &s.Counts
+// validate checks a complete specification. Its error names the place in the file.
+func (s *Spec) validate(at hcl.Range) error {
+	counts := &s.Counts
 	switch {
-	case c.Controllers < 1 || c.Controllers > maxControllers || c.Zones < 1 || c.Zones > maxZones:
+	case counts.Controllers < 1 || counts.Controllers > maxControllers || counts.Zones < 1 || counts.Zones > maxZones:
 		return hclfile.At(at, "counts: controllers must be from 1 to 9, zones from 1 to 26")
-	case c.Workers < 1 || c.Workers > maxWorkers || c.TasksRunning < 1 || c.Teams < 1 || c.Teams > maxTeams:
+	case counts.Workers < 1 || counts.Workers > maxWorkers || counts.TasksRunning < 1 || counts.Teams < 1 || counts.Teams > maxTeams:
 		return hclfile.At(at, "counts: workers must be from 1 to 20000, tasks_running at least 1, teams from 1 to 1000")
-	case !(c.StartsPerS >= 0) || c.StartsPerS*s.TaskS > float64(c.TasksRunning):
+	case !(counts.StartsPerS >= 0) || counts.StartsPerS*s.TaskS > float64(counts.TasksRunning):
 		return hclfile.At(at, "counts: starts_per_s times task_s must not be above tasks_running")
-	case c.Accelerators > acceleratorsEach*c.Workers:
-		return hclfile.At(at, "counts: more than %d accelerators a worker", acceleratorsEach)
+	case counts.Accelerators > acceleratorsPerWorker*counts.Workers:
+		return hclfile.At(at, "counts: more than %d accelerators a worker", acceleratorsPerWorker)
 	case s.Limits.MemoryShare <= 0 || s.Limits.MemoryShare > 0.5:
 		return hclfile.At(at, "limits: memory_share must be above 0 and at most 0.5")
 	}
-	for _, e := range s.Events {
-		if !slices.Contains([]string{EventKill, EventRack, EventRestart, EventCut}, e.Kind) {
-			return hclfile.At(e.Range, "event %q is not one of kill, rack, restart, cut", e.Kind)
+	for _, event := range s.Events {
+		if !slices.Contains([]string{EventKill, EventRack, EventRestart, EventCut}, event.Kind) {
+			return hclfile.At(event.Range, "event %q is not one of kill, rack, restart, cut", event.Kind)
 		}
-		if !(e.AtS >= 0 && e.AtS <= s.Trouble) {
-			return hclfile.At(e.Range, "event %s: at_s must be from 0 to trouble_s", e.Kind)
+		if !(event.AtS >= 0 && event.AtS <= s.DisruptionS) {
+			return hclfile.At(event.Range, "event %s: at_s must be from 0 to trouble_s", event.Kind)
 		}
 	}
-	for _, w := range s.Sweeps {
-		if _, err := s.with(w.Count, 1); err != nil {
-			return hclfile.At(w.Range, "%v", err)
+	for _, sweep := range s.Sweeps {
+		if _, err := s.with(sweep.Count, 1); err != nil {
+			return hclfile.At(sweep.Range, "%v", err)
 		}
-		if len(w.Values) < 4 {
-			return hclfile.At(w.Range, "sweep %s: at least four values", w.Count)
+		if len(sweep.Values) < 4 {
+			return hclfile.At(sweep.Range, "sweep %s: at least four values", sweep.Count)
 		}
 	}
 	return nil
 }
 
-// with returns the run with one count changed, for a sweep: without troubles.
+// with returns the run with one count changed, for a sweep: without events.
 func (s *Spec) with(count string, value float64) (*Spec, error) {
-	out := *s
-	out.Events, out.Trouble, out.SteadyS = nil, 0, s.SweepS
-	c := &out.Counts
-	whole := int(math.Round(value))
+	varied := *s
+	varied.Events, varied.DisruptionS, varied.SteadyS = nil, 0, s.SweepS
+	counts := &varied.Counts
+	rounded := int(math.Round(value))
 	switch count {
 	case "workers":
-		c.Accelerators = c.Accelerators * whole / c.Workers
-		c.Workers = whole
+		counts.Accelerators = counts.Accelerators * rounded / counts.Workers
+		counts.Workers = rounded
 	case "tasks_running":
-		c.TasksRunning = whole
+		counts.TasksRunning = rounded
 	case "starts_per_s":
-		c.StartsPerS = value
+		counts.StartsPerS = value
 	case "teams":
-		c.Teams = whole
+		counts.Teams = rounded
 	case "jobs_waiting":
-		c.JobsWaiting = whole
+		counts.JobsWaiting = rounded
 	case "gang_size":
-		c.GangSize = whole
+		counts.GangSize = rounded
 	case "config_per_s":
-		c.ConfigPerS = value
+		counts.ConfigPerS = value
 	default:
 		return nil, fmt.Errorf("%q is not a count that can be varied", count)
 	}
-	return &out, nil
+	return &varied, nil
 }
 
-const acceleratorsEach = 4 // of a worker that has any
+const acceleratorsPerWorker = 4 // of a worker that has any
 
 // Machine types of a run.
 const (
@@ -196,41 +224,42 @@
 	accelType = "accel"
 )
 
-// site is the site that the run needs: workers just large enough for the running tasks, of
+// siteSpec returns the site that the run needs: workers just large enough for the running tasks, of
 // one core each, and a little more.
-func (s *Spec) site() emulator.Spec {
-	c := &s.Counts
-	out := emulator.Spec{Controllers: c.Controllers, Machines: c.Workers, Seed: s.Seed, Sockets: s.Sockets, Workers: s.Workers, State: s.State, Cloud: s.Cloud}
-	for i := range c.Zones {
-		out.Zones = append(out.Zones, "zone-"+string(rune('a'+i)))
+func (s *Spec) siteSpec() emulator.Spec {
+	counts := &s.Counts
+	site := emulator.Spec{Controllers: counts.Controllers, Machines: counts.Workers, Seed: s.Seed, Sockets: s.Sockets, Workers: s.Workers, State: s.State, Cloud: s.Cloud}
+	for i := range counts.Zones {
+		site.Zones = append(site.Zones, "zone-"+string(rune('a'+i)))
 	}
-	cores := s.coresEach()
+	cores := s.coresPerWorker()
 	memory := 2 * cores
-	out.Types = append(out.Types, emulator.SpecMachine{Name: plainType, CPUs: cores, MemoryGB: memory, Price: 1, BootS: 1})
-	if c.Accelerators > 0 {
-		out.Types = append(out.Types, emulator.SpecMachine{Name: accelType, CPUs: cores, GPUs: acceleratorsEach, MemoryGB: memory, Price: 4, BootS: 1})
+	site.Types = append(site.Types, emulator.SpecMachine{Name: plainType, CPUs: cores, MemoryGB: memory, Price: 1, BootS: 1})
+	if counts.Accelerators > 0 {
+		site.Types = append(site.Types, emulator.SpecMachine{Name: accelType, CPUs: cores, GPUs: acceleratorsPerWorker, MemoryGB: memory, Price: 4, BootS: 1})
 	}
-	share := float64(c.TasksRunning) / float64(c.Teams)
-	for i := range c.Teams {
-		out.Teams = append(out.Teams, emulator.SpecTeam{Name: teamName(i), CPUs: math.Floor(0.8 * share), CPUsMax: math.Ceil(3*share) + 64})
+	share := float64(counts.TasksRunning) / float64(counts.Teams)
+	for i := range counts.Teams {
+		site.Teams = append(site.Teams, emulator.SpecTeam{Name: teamName(i), CPUs: math.Floor(0.8 * share), CPUsMax: math.Ceil(3*share) + 64})
 	}
-	return out
+	return site
 }
 
-// spareRoom is how much larger the workers are together than the running tasks, if whole
+// spareCapacityFactor is the capacity of all workers over the cores of the running tasks, if whole
 // cores allow it.
-const spareRoom = 1.01
+const spareCapacityFactor = 1.01
 
-// coresEach is the size of a worker.
-func (s *Spec) coresEach() float64 {
+// coresPerWorker returns the number of cores of a worker.
+func (s *Spec) coresPerWorker() float64 {
 	each := float64(s.Counts.TasksRunning) / float64(s.Counts.Workers)
-	return max(math.Ceil(each), math.Floor(spareRoom*each))
+	return max(math.Ceil(each), math.Floor(spareCapacityFactor*each))
 }
 
-// acceleratorShare is what a task takes of accelerators so that a worker has some for each of
-// its cores, in hundredths.
-func (s *Spec) acceleratorShare() float64 {
-	return math.Floor(100*acceleratorsEach/s.coresEach()) / 100
+// acceleratorsPerTask returns the share of an accelerator that a task takes, rounded down to
+// hundredths, so that a worker has some for each of its cores.
+func (s *Spec) acceleratorsPerTask() float64 {
+	return math.Floor(100*acceleratorsPerWorker/s.coresPerWorker()) / 100
 }
 
+// teamName returns the name of the i-th team, from 0.
 func teamName(i int) string { return fmt.Sprintf("team-%02d", i+1) }
--- a/internal/scaletest/sweep.go
+++ b/internal/scaletest/sweep.go
@@ -28,29 +28,30 @@
 
 // Slope is how one cost grows with one count, by least squares.
 type Slope struct {
-	Count     string  `json:"count"`
-	Cost      string  `json:"cost"`
-	PerUnit   float64 `json:"per_unit"`
-	Error     float64 `json:"standard_error"`
-	Intercept float64 `json:"intercept"`
-	Fit       float64 `json:"r_squared"`
+	Count         string  `json:"count"`
+	Cost          string  `json:"cost"`
+	PerUnit       float64 `json:"per_unit"`
+	StandardError float64 `json:"standard_error"`
+	Intercept     float64 `json:"intercept"`
+	Fit           float64 `json:"r_squared"`
 	// Of the slope over the upper half of the points to that over the lower half: far from 1
 	// where the line bends.
 	Bend float64 `json:"bend"`
-	// At the full size, beside what was measured there; Off if they differ by more than a quarter.
+	// At the full size, beside the measured value; Inaccurate if they differ by more than
+	// extrapolationTolerance.
 	Extrapolated float64 `json:"extrapolated"`
 	Measured     float64 `json:"measured"`
-	Off          bool    `json:"off"`
+	Inaccurate   bool    `json:"off"`
 }
 
 // SweepReport is the result of all sweeps of a file.
 type SweepReport struct {
-	Points map[string][]Point `json:"points"` // by count
-	Slopes []Slope            `json:"slopes"`
-	Broken []string           `json:"broken_rules"`
+	Points     map[string][]Point `json:"points"` // by count
+	Slopes     []Slope            `json:"slopes"`
+	Violations []string           `json:"broken_rules"`
 }
 
-// costs are the figures that are fitted.
+// costs returns the figures that are fitted, by name.
 func (r *Report) costs() map[string]float64 {
 	leader, standby, other := r.Role(roleLeader), r.Role(roleStandby), r.Role(roleOther)
 	return map[string]float64{
@@ -62,55 +63,55 @@
 	}
 }
 
-// offShare is how far an extrapolation may be from what was measured.
-const offShare = 0.25
+// extrapolationTolerance is the relative error that an extrapolation may have.
+const extrapolationTolerance = 0.25
 
-// RunSweeps plays each sweep of the file, and fits its costs. Full is the run at full size, or
+// RunSweeps runs each sweep of the file, and fits its costs. Full is the run at full size, or
 // nil: then nothing is compared.
-func RunSweeps(ctx context.Context, spec *Spec, opt Options, full *Report) (*SweepReport, error) {
-	out := &SweepReport{Points: map[string][]Point{}}
+func RunSweeps(ctx context.Context, spec *Spec, options Options, full *Report) (*SweepReport, error) {
+	report := &SweepReport{Points: map[string][]Point{}}
 	for _, sweep := range spec.Sweeps {
 		for _, value := range sweep.Values {
-			one, err := spec.with(sweep.Count, value)
+			varied, err := spec.with(sweep.Count, value)
 			if err != nil {
-				return out, err
+				return report, err
 			}
-			progress := opt.Progress
-			inner := opt
+			progress := options.Progress
+			inner := options
 			inner.Progress = func(what string) { progress(fmt.Sprintf("%s = %g: %s", sweep.Count, value, what)) }
-			r, err := Run(ctx, one, inner)
-			if r == nil || err != nil && !errors.Is(err, ErrNotCounted) {
+			result, err := Run(ctx, varied, inner)
+			if result == nil || err != nil && !errors.Is(err, ErrInvalidRun) {
 				if ctx.Err() != nil {
-					return out, err
+					return report, err
 				}
-				out.Points[sweep.Count] = append(out.Points[sweep.Count], Point{Value: value, Skipped: err.Error()})
+				report.Points[sweep.Count] = append(report.Points[sweep.Count], Point{Value: value, Skipped: err.Error()})
 				continue
 			}
-			point := Point{Value: value, Costs: r.costs()}
+			point := Point{Value: value, Costs: result.costs()}
 			if err != nil {
 				point.Skipped = err.Error()
 			}
-			out.Points[sweep.Count] = append(out.Points[sweep.Count], point)
-			out.Broken = append(out.Broken, r.Broken...)
+			report.Points[sweep.Count] = append(report.Points[sweep.Count], point)
+			report.Violations = append(report.Violations, result.Violations...)
 		}
-		out.Slopes = append(out.Slopes, slopes(sweep.Count, out.Points[sweep.Count], full)...)
-		if opt.Swept != nil {
-			opt.Swept(out)
+		report.Slopes = append(report.Slopes, slopes(sweep.Count, report.Points[sweep.Count], full)...)
+		if options.SweepDone != nil {
+			options.SweepDone(report)
 		}
 	}
-	return out, nil
+	return report, nil
 }
 
-// slopes fits every cost over the points of a count that count.
-func slopes(count string, points []Point, full *Report) (out []Slope) {
+// slopes fits every cost over the valid points of a count.
+func slopes(count string, points []Point, full *Report) (fitted []Slope) {
 	var xs []float64
 	ys := map[string][]float64{}
-	for _, p := range points {
-		if p.Skipped != "" {
+	for _, point := range points {
+		if point.Skipped != "" {
 			continue
 		}
-		xs = append(xs, p.Value)
-		for cost, y := range p.Costs {
+		xs = append(xs, point.Value)
+		for cost, y := range point.Costs {
 			ys[cost] = append(ys[cost], y)
 		}
 	}
@@ -123,47 +124,47 @@
 	}
 	slices.Sort(names)
 	for _, cost := range names {
-		s := fit(xs, ys[cost])
-		s.Count, s.Cost = count, cost
+		slope := fit(xs, ys[cost])
+		slope.Count, slope.Cost = count, cost
 		if full != nil {
 			at := full.Counts.value(count)
-			s.Extrapolated, s.Measured = s.Intercept+s.PerUnit*at, full.costs()[cost]
-			s.Off = math.Abs(s.Extrapolated-s.Measured) > offShare*math.Abs(s.Measured)
+			slope.Extrapolated, slope.Measured = slope.Intercept+slope.PerUnit*at, full.costs()[cost]
+			slope.Inaccurate = math.Abs(slope.Extrapolated-slope.Measured) > extrapolationTolerance*math.Abs(slope.Measured)
 		}
-		out = append(out, s)
+		fitted = append(fitted, slope)
 	}
-	return out
+	return fitted
 }
 
-// fit fits a line.
-func fit(xs, ys []float64) (s Slope) {
-	s.Intercept, s.PerUnit = stat.LinearRegression(xs, ys, nil, false)
-	s.Fit = stat.RSquared(xs, ys, nil, s.Intercept, s.PerUnit)
-	rest, spread := 0.0, 0.0
+// fit fits a line by least squares.
+func fit(xs, ys []float64) (slope Slope) {
+	slope.Intercept, slope.PerUnit = stat.LinearRegression(xs, ys, nil, false)
+	slope.Fit = stat.RSquared(xs, ys, nil, slope.Intercept, slope.PerUnit)
+	residuals, spread := 0.0, 0.0
 	middle := stat.Mean(xs, nil)
 	for i, x := range xs {
-		off := ys[i] - s.Intercept - s.PerUnit*x
-		rest += off * off
+		residual := ys[i] - slope.Intercept - slope.PerUnit*x
+		residuals += residual * residual
 		spread += (x - middle) * (x - middle)
 	}
-	n := len(xs)
-	if n > 2 && spread > 0 {
-		s.Error = math.Sqrt(rest / float64(n-2) / spread)
+	count := len(xs)
+	if count > 2 && spread > 0 {
+		slope.StandardError = math.Sqrt(residuals / float64(count-2) / spread)
 	}
-	_, lower := stat.LinearRegression(xs[:(n+1)/2], ys[:(n+1)/2], nil, false)
-	_, upper := stat.LinearRegression(xs[n/2:], ys[n/2:], nil, false)
+	_, lower := stat.LinearRegression(xs[:(count+1)/2], ys[:(count+1)/2], nil, false)
+	_, upper := stat.LinearRegression(xs[count/2:], ys[count/2:], nil, false)
 	if lower != 0 {
-		s.Bend = upper / lower
+		slope.Bend = upper / lower
 	}
-	for _, v := range []*float64{&s.Bend, &s.Fit, &s.Error} {
-		if math.IsNaN(*v) || math.IsInf(*v, 0) {
-			*v = 0
+	for _, statistic := range []*float64{&slope.Bend, &slope.Fit, &slope.StandardError} {
+		if math.IsNaN(*statistic) || math.IsInf(*statistic, 0) {
+			*statistic = 0
 		}
 	}
-	return s
+	return slope
 }
 
-// value is the count of that name.
+// value returns the count of that name.
 func (c *Counts) value(name string) float64 {
 	return map[string]float64{"workers": float64(c.Workers), "tasks_running": float64(c.TasksRunning), "starts_per_s": c.StartsPerS, "teams": float64(c.Teams),
 		"jobs_waiting": float64(c.JobsWaiting), "gang_size": float64(c.GangSize), "config_per_s": c.ConfigPerS}[name]
@@ -178,33 +179,33 @@
 
 // Text writes the slopes for people.
 func (r *SweepReport) Text(out io.Writer) error {
-	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(t, "count\tcost\tper unit\t±\tat 0\tR²\tbend\textrapolated\tmeasured\t")
-	for _, s := range r.Slopes {
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(table, "count\tcost\tper unit\t±\tat 0\tR²\tbend\textrapolated\tmeasured\t")
+	for _, slope := range r.Slopes {
 		off := ""
-		if s.Off {
+		if slope.Inaccurate {
 			off = "off by more than a quarter"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%.4g\t%.2g\t%.4g\t%.3f\t%.2f\t%.4g\t%.4g\t%s\n", s.Count, s.Cost, s.PerUnit, s.Error, s.Intercept, s.Fit, s.Bend, s.Extrapolated, s.Measured, off)
+		fmt.Fprintf(table, "%s\t%s\t%.4g\t%.2g\t%.4g\t%.3f\t%.2f\t%.4g\t%.4g\t%s\n", slope.Count, slope.Cost, slope.PerUnit, slope.StandardError, slope.Intercept, slope.Fit, slope.Bend, slope.Extrapolated, slope.Measured, off)
 	}
 	for count, points := range r.Points {
-		for _, p := range points {
-			if p.Skipped != "" {
-				fmt.Fprintf(t, "%s = %g does not count: %s\n", count, p.Value, p.Skipped)
+		for _, point := range points {
+			if point.Skipped != "" {
+				fmt.Fprintf(table, "%s = %g does not count: %s\n", count, point.Value, point.Skipped)
 			}
 		}
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
 // Plot draws one cost over the values of a count, with the line fitted, as SVG.
-func (r *SweepReport) Plot(s Slope) ([]byte, error) {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = fmt.Sprintf("%s by %s", s.Cost, s.Count), s.Count, s.Cost
+func (r *SweepReport) Plot(slope Slope) ([]byte, error) {
+	figure := plot.New()
+	figure.Title.Text, figure.X.Label.Text, figure.Y.Label.Text = fmt.Sprintf("%s by %s", slope.Cost, slope.Count), slope.Count, slope.Cost
 	var points plotter.XYs
-	for _, x := range r.Points[s.Count] {
-		if x.Skipped == "" {
-			points = append(points, plotter.XY{X: x.Value, Y: x.Costs[s.Cost]})
+	for _, point := range r.Points[slope.Count] {
+		if point.Skipped == "" {
+			points = append(points, plotter.XY{X: point.Value, Y: point.Costs[slope.Cost]})
 		}
 	}
 	dots, err := plotter.NewScatter(points)
@@ -212,14 +213,14 @@
 		return nil, err
 	}
 	first, last := points[0].X, points[len(points)-1].X
-	line, err := plotter.NewLine(plotter.XYs{{X: first, Y: s.Intercept + s.PerUnit*first}, {X: last, Y: s.Intercept + s.PerUnit*last}})
+	line, err := plotter.NewLine(plotter.XYs{{X: first, Y: slope.Intercept + slope.PerUnit*first}, {X: last, Y: slope.Intercept + slope.PerUnit*last}})
 	if err != nil {
 		return nil, err
 	}
-	p.Add(plotter.NewGrid(), dots, line)
+	figure.Add(plotter.NewGrid(), dots, line)
 	canvas := vgsvg.New(6*vg.Inch, 3.2*vg.Inch)
-	p.Draw(canvases.New(canvas))
-	var b bytes.Buffer
-	_, err = canvas.WriteTo(&b)
-	return b.Bytes(), err
+	figure.Draw(canvases.New(canvas))
+	var buffer bytes.Buffer
+	_, err = canvas.WriteTo(&buffer)
+	return buffer.Bytes(), err
 }
