--- a/internal/calendar/blocks.go
+++ b/internal/calendar/blocks.go
@@ -1,5 +1,10 @@
 package calendar
 
+import (
+	"fmt"
+	"slices"
+)
+
 // The Go names of the fields of calendarBlock and of holidayBlock are part of each schedule's
 // revision, which is stored: see daysOf. They can't be renamed.
 
@@ -11,6 +16,21 @@
 	Holidays []holidayBlock `hcl:"holiday,block"`
 }
 
+// revisionText is what a schedule's revision takes of its calendar. Offsets from Easter are written
+// by their value at the end: in place they would be the address of a variable, another one in each
+// process.
+func (b calendarBlock) revisionText() string {
+	b.Holidays = slices.Clone(b.Holidays)
+	easterOffsets := ""
+	for i := range b.Holidays {
+		if offset := b.Holidays[i].Easter; offset != nil {
+			easterOffsets += fmt.Sprintf(" %d:%d", i, *offset)
+			b.Holidays[i].Easter = nil
+		}
+	}
+	return fmt.Sprintf("%+v", b) + easterOffsets
+}
+
 // scheduleBlock is a schedule in a file. Durations are seconds.
 type scheduleBlock struct {
 	Calendar  string       `hcl:"calendar"`
--- a/internal/calendar/calendar_test.go
+++ b/internal/calendar/calendar_test.go
@@ -309,6 +309,23 @@
 	}
 }
 
+// A file with a holiday that is counted from Easter gives the same revision each time it is read, and
+// another one for another offset.
+func TestRevisionWithEaster(t *testing.T) {
+	read := func(easter string) string {
+		src := "calendar \"c\" {\n timezone = \"UTC\"\n holiday \"e\" {\n  easter = " + easter + "\n }\n}\n" +
+			"schedule \"s\" {\n calendar = \"c\"\n cron = \"1 * * * *\"\n" + job + "}\n"
+		return parse(t, src).Schedules[0].Revision
+	}
+	first := read("1")
+	if again := read("1"); again != first {
+		t.Errorf("the same file has revisions %s and %s", first, again)
+	}
+	if other := read("2"); other == first {
+		t.Errorf("another offset has the same revision %s", other)
+	}
+}
+
 // FuzzParse: whatever a file holds, it is read or refused, and what is read goes on.
 func FuzzParse(f *testing.F) {
 	if b, err := os.ReadFile("../../deploy/calendar.hcl"); err == nil {
--- a/internal/calendar/file.go
+++ b/internal/calendar/file.go
@@ -194,7 +194,7 @@
 			return nil, hclfile.At(where(block, "holiday"), "%v", err)
 		}
 	}
-	out.text = fmt.Sprintf("%+v", *definition)
+	out.text = definition.revisionText()
 	return out, nil
 }
 
