--- a/internal/calendar/blocks.go
+++ b/internal/calendar/blocks.go
@@ -20,15 +20,18 @@
 // by their value at the end: in place they would be the address of a variable, another one in each
 // process.
 func (b calendarBlock) revisionText() string {
-	b.Holidays = slices.Clone(b.Holidays)
+	printed := b
+	printed.Holidays = slices.Clone(b.Holidays)
 	easterOffsets := ""
-	for i := range b.Holidays {
-		if offset := b.Holidays[i].Easter; offset != nil {
-			easterOffsets += fmt.Sprintf(" %d:%d", i, *offset)
-			b.Holidays[i].Easter = nil
+	for i := range printed.Holidays {
+		holiday := &printed.Holidays[i]
+		if holiday.Easter == nil {
+			continue
 		}
+		easterOffsets += fmt.Sprintf(" %d:%d", i, *holiday.Easter)
+		holiday.Easter = nil
 	}
-	return fmt.Sprintf("%+v", b) + easterOffsets
+	return fmt.Sprintf("%+v", printed) + easterOffsets
 }
 
 // scheduleBlock is a schedule in a file. Durations are seconds.
