--- a/internal/archive/compactor.go
+++ b/internal/archive/compactor.go
@@ -150,7 +150,7 @@
 	for i, end := range due {
 		jobKeys[i] = c.source.JobPrefix + end.id()
 	}
-	keysPerRequest := kvstore.ConditionsPerMutation * c.limits.MaxMutations
+	keysPerRequest := wire.ConditionsPerChange * c.limits.MaxMutations
 	c.Counts.Requests += (len(jobKeys) + keysPerRequest - 1) / keysPerRequest
 	existing, err := kvstore.ExistingKeys(ctx, c.reader.store, jobKeys, c.limits.MaxMutations)
 	if err != nil {
--- a/internal/kvstore/store.go
+++ b/internal/kvstore/store.go
@@ -19,10 +19,6 @@
 
 var _ Store = (*Client)(nil)
 
-// ConditionsPerMutation is how many conditions a transaction may have for each mutation
-// that the service's limit allows it.
-const ConditionsPerMutation = 4
-
 // ExistingKeys returns which of the keys exist. It uses transactions that consist of
 // conditions only: each of them checks many keys at one revision and transfers no values.
 // maxMutations is the service's limit of mutations in a transaction. Errors are those of
@@ -30,7 +26,7 @@
 func ExistingKeys(ctx context.Context, store Store, keys []string, maxMutations int) (map[string]bool, error) {
 	existing := map[string]bool{}
 	for len(keys) > 0 {
-		batch := keys[:min(ConditionsPerMutation*maxMutations, len(keys))]
+		batch := keys[:min(wire.ConditionsPerChange*maxMutations, len(keys))]
 		keys = keys[len(batch):]
 		var txn wire.Txn
 		for _, key := range batch {
